--- a/packages/rampwick-router/src/rampwick_router/control/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/control/__init__.py
@@ -17,8 +17,8 @@
     ReadsUpstreams as ReadsUpstreams,
     WatchedHosts as WatchedHosts,
 )
-from ._reading_role import ReadingRole as ReadingRole
-from ._steward import StewardTask as StewardTask
+from ._reader_role import ReadingRole as ReadingRole
+from ._rollout_controller import StewardTask as StewardTask
 from ._target_sources import (
     PolledTargets as PolledTargets,
     ReadsTargets as ReadsTargets,
--- a/packages/rampwick-router/src/rampwick_router/control/_steward.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -38,7 +38,7 @@
 from .._logs import PartLogger
 from .._scheduler_task import SchedulerTask
 from ..upstream import CONTROL_TIMEOUT_SECONDS, UpstreamControl
-from ._lease_keeper import LeaseKeeper
+from ._lease_manager import LeaseKeeper
 
 #: Time between two looks at the plan while there is something to do, while there is
 #: not, and between two looks at the lease of a host that has no part in it.
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -40,9 +40,9 @@
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask, HostListTask, StewardTask
-from ._ages import AgeKeeper
 from ._cache_outbox import CacheOutbox
 from ._directory import PeerDirectory
+from ._freshness import AgeKeeper
 from ._links import Link, PeerLinks
 from ._member_updates import MemberUpdates
 from ._messages import (
--- a/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
@@ -20,16 +20,16 @@
     DialectControl as DialectControl,
     UpstreamControl as UpstreamControl,
 )
-from ._silence import (
-    Listening as Listening,
-    SilenceWatch as SilenceWatch,
-)
 from ._sse import (
     DONE as DONE,
     OrderKeeper as OrderKeeper,
     StreamEvent as StreamEvent,
     format_event as format_event,
 )
+from ._stalls import (
+    Listening as Listening,
+    SilenceWatch as SilenceWatch,
+)
 from ._tasks import (
     CancelTask as CancelTask,
     ProbeTask as ProbeTask,
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -24,7 +24,7 @@
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.control._configuration import ConfigurationTask
 from rampwick_router.control._host_lists import HostListTask
-from rampwick_router.control._reading_role import ReadingRole
+from rampwick_router.control._reader_role import ReadingRole
 from rampwick_router.peers._sync import PeerSync
 from rampwick_schema import (
     HostEntry,
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -16,7 +16,7 @@
     TreeInForce,
     TreeView,
 )
-from rampwick_router.upstream._silence import SilenceWatch
+from rampwick_router.upstream._stalls import SilenceWatch
 from rampwick_schema import (
     HostEntry,
     HostList,
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -51,8 +51,8 @@
 from rampwick_router._errors import AttemptError
 from rampwick_router._metrics import Metrics
 from rampwick_router._scheduler_task import SchedulerTask
-from rampwick_router.control._lease_keeper import LeaseKeeper
-from rampwick_router.control._steward import StewardTask
+from rampwick_router.control._lease_manager import LeaseKeeper
+from rampwick_router.control._rollout_controller import StewardTask
 from rampwick_router.control._target_sources import WatchedTargets
 from rampwick_router.peers._links import Link, PeerLinks
 from rampwick_schema import HostEntry, HostList, WeightsTarget, parse_settings
