--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -17,7 +17,7 @@
 from ._logs import PartLogger
 from ._profile import MAX_PROFILE_SECONDS, Profiler
 from ._scheduler_task import Decision
-from .control import ConfigurationTask, HostListTask, StewardTask
+from .control import ConfigurationTask, HostListTask, RolloutController
 from .entry import Parts
 from .peers import RolesView
 
@@ -33,7 +33,7 @@
         life: Life,
         configuration: ConfigurationTask,
         hosts: HostListTask,
-        steward: StewardTask,
+        steward: RolloutController,
         read_platform_calls: Callable[[], Mapping[str, int]],
         read_store_era: Callable[[], int],
         read_roles: Callable[[], RolesView],
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -19,13 +19,13 @@
 from .control import (
     ConfigurationTask,
     HostListTask,
-    PolledHosts,
-    PolledTargets,
-    ReadingRole,
-    StewardTask,
+    PolledHostSource,
+    PolledTargetSource,
+    ReaderRole,
+    RolloutController,
     TreeStoreSource,
-    WatchedHosts,
-    WatchedTargets,
+    WatchedHostSource,
+    WatchedTargetSource,
     WatchedTreeSource,
 )
 from .entry import ClaimTask, EntryApp, Parts, RequestIds, StreamTokens
@@ -36,7 +36,7 @@
     ChannelPool,
     DialectControl,
     ProbeTask,
-    SilenceWatch,
+    StallDetector,
     UpstreamClient,
     UpstreamControl,
 )
@@ -91,7 +91,7 @@
                 self._find_health_path,
                 self.scheduler,
             )
-        self.steward = StewardTask(
+        self.steward = RolloutController(
             api, settings, self.scheduler, control, read_clock, draw
         )
         self.hosts = HostListTask(self.scheduler)
@@ -109,8 +109,8 @@
             self.steward,
         )
         self.steward.notify_peers = self.gossip.broadcast_rollout
-        self.scheduler.note_long_prompt = self.gossip.early.note_load
-        self.scheduler.note_burst = self.gossip.early.note_burst
+        self.scheduler.note_long_prompt = self.gossip.urgent_updates.note_load
+        self.scheduler.note_burst = self.gossip.urgent_updates.note_burst
         self._connect(api, draw, integration)
         self.claims = ClaimTask(api, settings.claims, read_clock, clocks.wall)
         self.probes = ProbeTask(control, self.scheduler)
@@ -122,11 +122,11 @@
             channels,
             dialects.cache,
             salts,
-            self.gossip.cache_outbox.tell,
-            self.gossip.roles.neighbours_at_work,
+            self.gossip.cache_outbox.publish,
+            self.gossip.roles.cache_reading_peers,
         )
-        self.gossip.cache_outbox.list_read = self.cache_reader.read_names
-        self.silences = SilenceWatch(read_clock)
+        self.gossip.cache_outbox.list_read_caches = self.cache_reader.read_names
+        self.silences = StallDetector(read_clock)
         self.parts = Parts(
             settings=settings,
             scheduler=self.scheduler,
@@ -164,7 +164,7 @@
         integration: Integration | None,
     ) -> None:
         """Give the tasks that follow the platform their sources."""
-        self.targets: PolledTargets | WatchedTargets | None = None
+        self.targets: PolledTargetSource | WatchedTargetSource | None = None
         self.directory: PeerDirectory | None = None
         if api is None:
             return
@@ -175,17 +175,17 @@
                 TreeStore(api), settings, self.gossip.roles.neighbours, read_clock
             )
             interval_seconds = settings.platform.host_list_interval_seconds
-            self.hosts.source = PolledHosts(api, interval_seconds)
-            self.targets = PolledTargets(
+            self.hosts.source = PolledHostSource(api, interval_seconds)
+            self.targets = PolledTargetSource(
                 api, scheduler, lambda: steward.is_holder, steward.wake, read_clock
             )
             return
-        role = ReadingRole(
+        role = ReaderRole(
             self.gossip.roles.table,
             lambda: self.gossip.roles.live_names,
-            lambda: self.gossip.roles.staying_names,
-            lambda: self.gossip.roles.hears_nobody,
-            lambda: self.gossip.ages.answered_at_seconds,
+            lambda: self.gossip.roles.serving_names,
+            lambda: self.gossip.roles.has_no_live_peers,
+            lambda: self.gossip.freshness.answered_at_seconds,
             self.configuration,
             self.hosts,
             lambda: steward.is_holder,
@@ -195,17 +195,17 @@
         self.configuration.source = WatchedTreeSource(
             api, reader, settings, role.wants_configuration, read_clock, draw
         )
-        self.configuration.ask_peer = self.gossip.ages.ask_reader
-        self.hosts.source = WatchedHosts(
+        self.configuration.ask_peer = self.gossip.freshness.query_reader
+        self.hosts.source = WatchedHostSource(
             api, reader, role.wants_hosts, read_clock, draw
         )
-        self.targets = WatchedTargets(
+        self.targets = WatchedTargetSource(
             api, reader, scheduler, steward.wake, role.wants_targets, read_clock, draw
         )
         self.directory = PeerDirectory(
-            api, self.gossip.roles.table.own, role.is_lonely, role.is_reader, draw
+            api, self.gossip.roles.table.own, role.is_disconnected, role.is_reader, draw
         )
-        self.directory.note_found = self.gossip.look_for_peers
+        self.directory.on_records_read = self.gossip.reconcile_links
         self.gossip.directory = self.directory
         steward.is_candidate = role.is_candidate
 
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -164,7 +164,7 @@
             self.life.gone_by_seconds = gone_by_seconds
         log.info("not ready, waiting for the balancer")
         self._gossip.summaries.is_leaving = True
-        await self.steward.give_up()
+        await self.steward.retire()
         self._gossip.summaries.publish_own()
         await self.life.pause(self._settings.life.balancer_delay_seconds)
         self.life.has_balancer_turned = True
--- a/packages/rampwick-router/src/rampwick_router/_integration.py
+++ b/packages/rampwick-router/src/rampwick_router/_integration.py
@@ -8,10 +8,10 @@
 from rampwick_schema import Shown
 
 from ._dialects import Dialects
-from .control import ReadsConfiguration, ReadsTargets, ReadsUpstreams
+from .control import ConfigurationReader, TargetReader, UpstreamReader
 
 
-class StoreReader(ReadsConfiguration, ReadsUpstreams, ReadsTargets, Protocol):
+class StoreReader(ConfigurationReader, UpstreamReader, TargetReader, Protocol):
     """How everything that others keep in the store is read."""
 
 
--- a/packages/rampwick-router/src/rampwick_router/control/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/control/__init__.py
@@ -7,20 +7,20 @@
 
 from ._configuration import ConfigurationTask as ConfigurationTask
 from ._configuration_sources import (
-    ReadsConfiguration as ReadsConfiguration,
+    ConfigurationReader as ConfigurationReader,
     TreeStoreSource as TreeStoreSource,
     WatchedTreeSource as WatchedTreeSource,
 )
 from ._host_lists import HostListTask as HostListTask
 from ._host_sources import (
-    PolledHosts as PolledHosts,
-    ReadsUpstreams as ReadsUpstreams,
-    WatchedHosts as WatchedHosts,
+    PolledHostSource as PolledHostSource,
+    UpstreamReader as UpstreamReader,
+    WatchedHostSource as WatchedHostSource,
 )
-from ._reader_role import ReadingRole as ReadingRole
-from ._rollout_controller import StewardTask as StewardTask
+from ._reader_role import ReaderRole as ReaderRole
+from ._rollout_controller import RolloutController as RolloutController
 from ._target_sources import (
-    PolledTargets as PolledTargets,
-    ReadsTargets as ReadsTargets,
-    WatchedTargets as WatchedTargets,
+    PolledTargetSource as PolledTargetSource,
+    TargetReader as TargetReader,
+    WatchedTargetSource as WatchedTargetSource,
 )
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration.py
@@ -12,7 +12,7 @@
 from .._scheduler_task import SchedulerTask
 
 #: Longest wait for a peer's confirmation before the platform itself is asked.
-PEER_ANSWER_SECONDS = 0.1
+PEER_CONFIRM_SECONDS = 0.1
 
 log = PartLogger("configuration")
 
@@ -89,9 +89,9 @@
         """
         confirmed_at_seconds = self._confirmed_at_seconds
         if self.ask_peer():
-            with anyio.move_on_after(PEER_ANSWER_SECONDS):
+            with anyio.move_on_after(PEER_CONFIRM_SECONDS):
                 while self._confirmed_at_seconds == confirmed_at_seconds:
-                    await anyio.sleep(PEER_ANSWER_SECONDS / 20)
+                    await anyio.sleep(PEER_CONFIRM_SECONDS / 20)
                 return
         if self.source is not None:
             await self.source.refresh()
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -30,7 +30,7 @@
 
 #: Wait after a failed call, and before a host without a watch looks by itself.
 FAILURE_PAUSE_SECONDS = 0.5
-LOOK_INTERVAL_SECONDS = 15.0
+RELOAD_INTERVAL_SECONDS = 15.0
 
 #: How often a host without a watch sees whether it shall keep one now.
 ROLE_INTERVAL_SECONDS = 0.5
@@ -51,12 +51,12 @@
         self,
         store: TreeStore,
         settings: Settings,
-        list_neighbours: Callable[[], Neighbours],
+        list_peers: Callable[[], Neighbours],
         read_clock: Callable[[], float],
     ) -> None:
         self._store = store
         self._settings = settings
-        self._list_neighbours = list_neighbours
+        self._list_peers = list_peers
         self._read_clock = read_clock
         self._store_version = 0
         self._restored = RestoredTrees()
@@ -65,14 +65,14 @@
 
     async def run(self, task: ConfigurationTask) -> None:
         """Follow the log until cancelled."""
-        looked_at_seconds = -LOOK_INTERVAL_SECONDS
+        loaded_at_seconds = -RELOAD_INTERVAL_SECONDS
         while True:
             now_seconds = self._read_clock()
-            is_due = now_seconds - looked_at_seconds >= LOOK_INTERVAL_SECONDS
+            is_due = now_seconds - loaded_at_seconds >= RELOAD_INTERVAL_SECONDS
             try:
                 if is_due or task.follower.has_gap:
                     await self._load(task)
-                    looked_at_seconds = now_seconds
+                    loaded_at_seconds = now_seconds
                 elif self._is_held and self._is_watcher():
                     await anyio.sleep(ROLE_INTERVAL_SECONDS)
                     await self._load(task)
@@ -82,7 +82,7 @@
                     await anyio.sleep(ROLE_INTERVAL_SECONDS)
             except HistoryGoneError as error:
                 task.note_problem(str(error))
-                looked_at_seconds = -math.inf
+                loaded_at_seconds = -math.inf
                 await anyio.sleep(FAILURE_PAUSE_SECONDS)
             except (PlatformError, DataError) as error:
                 task.note_problem(str(error))
@@ -92,7 +92,7 @@
         """Do nothing: an old tree only refuses what a newer one may allow."""
 
     def _is_watcher(self) -> bool:
-        return is_watcher(self._settings.host.name, self._list_neighbours().heard)
+        return is_watcher(self._settings.host.name, self._list_peers().heard)
 
     async def _load(self, task: ConfigurationTask) -> None:
         began_seconds = self._read_clock()
@@ -143,7 +143,7 @@
         self._store_version = max([self._store_version, *versions])
 
 
-class ReadsConfiguration(Protocol):
+class ConfigurationReader(Protocol):
     """How a deployment's configuration is read from the store."""
 
     @property
@@ -160,7 +160,7 @@
     def __init__(
         self,
         api: ObjectApi,
-        reader: ReadsConfiguration,
+        reader: ConfigurationReader,
         settings: Settings,
         is_wanted: Callable[[], bool],
         read_clock: Callable[[], float],
@@ -183,7 +183,7 @@
             reader.configuration_prefix,
             wait_seconds=settings.platform.confirm_wait_seconds,
             is_wanted=is_wanted,
-            take_state=self._take,
+            take_state=self._apply_state,
             take_problem=self._note_problem,
             read_clock=read_clock,
             draw=draw,
@@ -193,10 +193,10 @@
         """Watch until cancelled."""
         self._task = task
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._take_held)
+            tasks.start_soon(self._apply_held)
             await self._watcher.run()
 
-    async def _take_held(self) -> None:
+    async def _apply_held(self) -> None:
         """Take trees that are held back as soon as they may be."""
         while True:
             self._has_due = anyio.Event()
@@ -204,7 +204,7 @@
             with anyio.move_on_after(wait_seconds) as scope:
                 await self._has_due.wait()
             if scope.cancelled_caught and self._last_state is not None:
-                self._take(self._last_state)
+                self._apply_state(self._last_state)
 
     async def refresh(self) -> None:
         """Read the configuration now, unless that was done a moment ago.
@@ -241,7 +241,7 @@
         """Whether what the store shows is not taken yet."""
         return math.isfinite(self._due_at_seconds)
 
-    def _take(self, state: KindState) -> None:
+    def _apply_state(self, state: KindState) -> None:
         self._task.note_problem("")
         self._refresh_interval_seconds = REFRESH_INTERVAL_SECONDS
         self._last_state = state
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -31,7 +31,7 @@
 log = PartLogger("upstreams")
 
 
-class TakesHosts(Protocol):
+class HostListConsumer(Protocol):
     """Who is told of the host list."""
 
     #: The newest list that is known, whoever has read it.
@@ -50,18 +50,18 @@
 class HostSource(Protocol):
     """Where the list of hosts comes from."""
 
-    async def run(self, task: TakesHosts) -> None:
+    async def run(self, task: HostListConsumer) -> None:
         """Hand on each list that is read, until cancelled."""
 
 
-class PolledHosts:
+class PolledHostSource:
     """Rampwick's own host list, read again and again."""
 
     def __init__(self, api: ObjectApi, interval_seconds: float) -> None:
         self._api = api
         self._interval_seconds = interval_seconds
 
-    async def run(self, task: TakesHosts) -> None:
+    async def run(self, task: HostListConsumer) -> None:
         """Poll until cancelled."""
         while True:
             try:
@@ -73,7 +73,7 @@
             await anyio.sleep(self._interval_seconds)
 
 
-class ReadsUpstreams(Protocol):
+class UpstreamReader(Protocol):
     """How upstreams that register themselves in the store are read."""
 
     @property
@@ -84,13 +84,13 @@
         """Return an upstream's entry, or raise a DataError."""
 
 
-class WatchedHosts:
+class WatchedHostSource:
     """Upstreams that keep an entry each in the store."""
 
     def __init__(
         self,
         api: ObjectApi,
-        reader: ReadsUpstreams,
+        reader: UpstreamReader,
         is_wanted: Callable[[], bool],
         read_clock: Callable[[], float],
         draw: random.Random,
@@ -105,24 +105,24 @@
             wait_seconds=UPSTREAMS_WAIT_SECONDS,
             pause_seconds=WATCH_PAUSE_SECONDS,
             is_wanted=is_wanted,
-            take_state=self._take_state,
+            take_state=self._apply_state,
             take_problem=self._note_problem,
             read_clock=read_clock,
             draw=draw,
         )
-        self._task: TakesHosts
+        self._task: HostListConsumer
 
-    async def run(self, task: TakesHosts) -> None:
+    async def run(self, task: HostListConsumer) -> None:
         """Watch until cancelled."""
         self._task = task
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._end_lapses)
+            tasks.start_soon(self._expire_entries)
             await self._watcher.run()
 
     def _note_problem(self, problem: str) -> None:
         self._task.note_problem(problem)
 
-    def _take_state(self, state: KindState) -> None:
+    def _apply_state(self, state: KindState) -> None:
         self._task.note_problem("")
         entries = []
         for stored in state.objects.values():
@@ -137,14 +137,14 @@
             self._read_clock(),
             self._task.host_list,
         )
-        self._hand_on()
+        self._offer_list()
         self._task.confirm(state.confirmed_at_seconds)
         self._changed.set()
 
-    def _hand_on(self) -> None:
+    def _offer_list(self) -> None:
         self._task.offer(self._guard.host_list(self._read_clock()))
 
-    async def _end_lapses(self) -> None:
+    async def _expire_entries(self) -> None:
         while True:
             self._changed = anyio.Event()
             end_seconds = self._guard.lapse_end_seconds
@@ -154,4 +154,4 @@
             with anyio.move_on_after(wait_seconds) as scope:
                 await self._changed.wait()
             if scope.cancelled_caught:
-                self._hand_on()
+                self._offer_list()
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
@@ -17,7 +17,7 @@
 
 #: Time for which nothing is heard of the holder after which the lease is read: a few
 #: summaries of peers.
-SILENCE_SECONDS = 1.2
+HOLDER_TIMEOUT_SECONDS = 1.2
 
 #: Age of its own reading of the targets up to which a holder keeps the lease: a watch
 #: on a dead connection and three listings after it that fail take 7 s.
@@ -30,7 +30,7 @@
 log = PartLogger("steward")
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Competes for the lease and keeps it while this host can do what it is for."""
 
     def __init__(
@@ -59,14 +59,14 @@
         """Whether this host holds the lease now."""
         return self.lease.is_held(self._read_clock())
 
-    def note_holding(self) -> bool:
+    def update_held(self) -> bool:
         """Look at whether the lease is held; return whether that has changed."""
         was_held = math.isfinite(self._held_since_seconds)
         if self.is_held == was_held:
             return False
         self._held_since_seconds = math.inf if was_held else self._read_clock()
-        sentence = "lease lost" if was_held else "lease taken"
-        log.info(sentence, fencing_number=self.lease.version)
+        message = "lease lost" if was_held else "lease taken"
+        log.info(message, fencing_number=self.lease.version)
         return True
 
     def note_order(self, timeout_seconds: float) -> None:
@@ -76,7 +76,7 @@
     async def keep(self, is_candidate: bool) -> None:
         """Do what is due now: renew, take, or look for a holder that fell silent."""
         now_seconds = self._read_clock()
-        if self.is_held and not self._is_informed(now_seconds):
+        if self.is_held and not self._has_fresh_targets(now_seconds):
             await self._abstain(now_seconds)
         is_due = now_seconds >= self._renew_at_seconds
         if not self._may_try(is_candidate, now_seconds):
@@ -87,14 +87,14 @@
                 if self._may_try(is_candidate, self._read_clock()):
                     await self._write()
         elif not self.is_held:
-            await self._listen_for_holder(now_seconds)
+            await self._check_holder(now_seconds)
 
     def _may_try(self, is_candidate: bool, now_seconds: float) -> bool:
         if self.is_held:
             return True
         return is_candidate and now_seconds >= self._abstains_until_seconds
 
-    def _is_informed(self, now_seconds: float) -> bool:
+    def _has_fresh_targets(self, now_seconds: float) -> bool:
         """Return whether this holder knows what is wanted, or may still learn it."""
         held_seconds = now_seconds - self._held_since_seconds
         return min(self._read_targets_age(), held_seconds) <= MAX_TARGETS_AGE_SECONDS
@@ -156,7 +156,7 @@
         self._renew_at_seconds = self._read_clock() + renewal_seconds
         await self._leases.try_take(self.lease, self._read_clock)
 
-    async def _listen_for_holder(self, now_seconds: float) -> None:
+    async def _check_holder(self, now_seconds: float) -> None:
         """Read the lease once if its holder has fallen silent.
 
         Its last renewal may not have been heard of; the wait for the lease counts
@@ -165,7 +165,7 @@
         assert self._leases is not None
         silent_seconds = now_seconds - self.lease.heard_at_seconds
         is_known = self.lease.version in (0, self._read_version)
-        if is_known or silent_seconds < SILENCE_SECONDS:
+        if is_known or silent_seconds < HOLDER_TIMEOUT_SECONDS:
             return
         await self._leases.read(self.lease, self._read_clock)
         self._read_version = self.lease.version
--- a/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
@@ -28,29 +28,29 @@
 CANDIDATES_COUNT = 2
 
 
-class ReadingRole:
+class ReaderRole:
     """Answers what of the platform this host is to read now."""
 
     def __init__(
         self,
         table: MemberTable,
         list_live: Callable[[], set[str]],
-        list_staying: Callable[[], set[str]],
-        hears_nobody: Callable[[], bool],
+        list_serving: Callable[[], set[str]],
+        has_no_live_peers: Callable[[], bool],
         answered_at: Callable[[], float],
         configuration: ConfigurationTask,
         hosts: HostListTask,
-        is_steward: Callable[[], bool],
+        is_rollout_controller: Callable[[], bool],
         read_clock: Callable[[], float],
     ) -> None:
         self._table = table
         self._list_live = list_live
-        self._list_staying = list_staying
-        self._hears_nobody = hears_nobody
+        self._list_serving = list_serving
+        self._has_no_live_peers = has_no_live_peers
         self._answered_at = answered_at
         self._configuration = configuration
         self._hosts = hosts
-        self._is_steward = is_steward
+        self._is_rollout_controller = is_rollout_controller
         self._read_clock = read_clock
         link = table.own.link_megabits_per_second
         self._is_weak = link < STRONG_LINK_MEGABITS_PER_SECOND
@@ -60,9 +60,9 @@
         """Return whether this host reads for its group."""
         return self._is_past_grace() and self._table.is_reader(self._list_live())
 
-    def is_lonely(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Return whether this host hears nobody."""
-        return self._hears_nobody()
+        return self._has_no_live_peers()
 
     def is_candidate(self) -> bool:
         """Return whether this host may take the steward's lease.
@@ -72,7 +72,7 @@
         """
         if not self._is_past_grace():
             return False
-        return self._table.rank(self._list_staying()) < CANDIDATES_COUNT
+        return self._table.rank(self._list_serving()) < CANDIDATES_COUNT
 
     def wants_configuration(self) -> bool:
         """Return whether this host is to read the configuration."""
@@ -88,7 +88,7 @@
         Whoever gives the orders reads them, whatever its rank: a host may have taken
         the lease before it heard of the others.
         """
-        return self._is_steward() or self._wants(0.0)
+        return self._is_rollout_controller() or self._wants(0.0)
 
     def _wants(self, age_seconds: float) -> bool:
         if not self._is_past_grace():
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -38,13 +38,13 @@
 from .._logs import PartLogger
 from .._scheduler_task import SchedulerTask
 from ..upstream import CONTROL_TIMEOUT_SECONDS, UpstreamControl
-from ._lease_manager import LeaseKeeper
+from ._lease_manager import LeaseManager
 
 #: Time between two looks at the plan while there is something to do, while there is
 #: not, and between two looks at the lease of a host that has no part in it.
 BUSY_INTERVAL_SECONDS = 0.05
 IDLE_INTERVAL_SECONDS = 0.25
-BYSTANDER_INTERVAL_SECONDS = 1.0
+INACTIVE_INTERVAL_SECONDS = 1.0
 
 #: Time between announcing a load to peers and ordering it: the update takes a few trips
 #: between halls, and prompts that were sent before have begun by then.
@@ -54,13 +54,13 @@
 TAKE_JITTER_SECONDS = 0.4
 
 #: Time for which peers are told of weights that an own load brought.
-TOLD_SECONDS = 2.0
+OBSERVED_WEIGHTS_SECONDS = 2.0
 
 log = PartLogger("steward")
 
 
 @attrs.frozen(repr=False)
-class LoadUnderWay(Shown):
+class PendingLoad(Shown):
     """A load that this host has ordered, as peers are told."""
 
     upstream: str
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen(repr=False)
-class WeightsShown(Shown):
+class ObservedWeights(Shown):
     """Weights that a runner was seen to have after an own order."""
 
     upstream: str
@@ -79,7 +79,7 @@
     seen_at_seconds: float
 
 
-class StewardTask:
+class RolloutController:
     """Competes for the lease and, holding it, brings weights to their targets.
 
     Every order is sent only if the lease outlives the order's own time-out, so that
@@ -100,7 +100,7 @@
         self._control = control
         self._read_clock = read_clock
         self._draw = draw
-        self._keeper = LeaseKeeper(
+        self._lease_manager = LeaseManager(
             LeaseStore(api, f"leases/steward-{settings.host.region}") if api else None,
             LeaseWatcher(
                 settings.host.name,
@@ -115,43 +115,43 @@
             settings.steward.max_loads_count, settings.steward.max_loads_ratio
         )
         self._has_stopped = False
-        self._shown: dict[str, WeightsShown] = {}
+        self._observed: dict[str, ObservedWeights] = {}
         self._wake = anyio.Event()
         #: Whether this host may take a lease that it does not hold.
         self.is_candidate: Callable[[], bool] = lambda: True
         #: Called when peers shall hear of a load at once.
-        self.notify_peers: Callable[[], None] = _tell_nobody
+        self.notify_peers: Callable[[], None] = _notify_nobody
 
     @property
     def lease(self) -> LeaseWatcher:
         """What this host knows of the lease."""
-        return self._keeper.lease
+        return self._lease_manager.lease
 
     @property
     def is_holder(self) -> bool:
         """Whether this host holds the lease now."""
-        return self._keeper.is_held
+        return self._lease_manager.is_held
 
     def wake(self) -> None:
         """Have the plan looked at now, since there may be something to do."""
         self._wake.set()
 
-    def loads(self) -> list[LoadUnderWay]:
+    def loads(self) -> list[PendingLoad]:
         """Return the loads that this host has ordered and that are not over."""
         found = []
         for name, (version, until_seconds) in self._rollout.loads().items():
-            found.append(LoadUnderWay(name, "", version, until_seconds))
+            found.append(PendingLoad(name, "", version, until_seconds))
         return found
 
-    def weights_shown(self) -> list[WeightsShown]:
+    def observed_weights(self) -> list[ObservedWeights]:
         """Return the weights that own loads have brought of late."""
-        oldest = self._read_clock() - TOLD_SECONDS
-        self._shown = {
-            name: shown
-            for name, shown in self._shown.items()
-            if shown.seen_at_seconds > oldest
+        oldest = self._read_clock() - OBSERVED_WEIGHTS_SECONDS
+        self._observed = {
+            name: observed
+            for name, observed in self._observed.items()
+            if observed.seen_at_seconds > oldest
         }
-        return list(self._shown.values())
+        return list(self._observed.values())
 
     def outdated_count(self) -> int:
         """Return the number of runners with older weights than are wanted here."""
@@ -171,7 +171,7 @@
                 try:
                     await self._keep_lease()
                     if self.is_holder:
-                        is_busy = await self._look(tasks)
+                        is_busy = await self._run_plan(tasks)
                 except (PlatformError, DataError) as error:
                     # The lease runs out by itself; nothing is ordered without it.
                     log.problem("no orders now", error=str(error))
@@ -183,18 +183,18 @@
             return BUSY_INTERVAL_SECONDS
         if self.is_holder or self.is_candidate():
             return IDLE_INTERVAL_SECONDS
-        return BYSTANDER_INTERVAL_SECONDS
+        return INACTIVE_INTERVAL_SECONDS
 
-    async def give_up(self) -> None:
+    async def retire(self) -> None:
         """Let another host take the lease at once, as this one stops."""
         self._has_stopped = True
-        await self._keeper.retire()
+        await self._lease_manager.retire()
 
     async def _keep_lease(self) -> None:
         try:
-            await self._keeper.keep(self.is_candidate())
+            await self._lease_manager.keep(self.is_candidate())
         finally:
-            if self._keeper.note_holding():
+            if self._lease_manager.update_held():
                 # What the holder before ordered shows in the runners' reports.
                 self._rollout.reset()
 
@@ -210,7 +210,7 @@
         now_seconds = self._read_clock()
         return any(load.until_seconds > now_seconds for load in self.loads())
 
-    async def _look(self, tasks: TaskGroup) -> bool:
+    async def _run_plan(self, tasks: TaskGroup) -> bool:
         """Carry out what is to be done now; return whether more will follow."""
         targets = self._scheduler.targets()
         if not targets:
@@ -225,13 +225,13 @@
             if entry is None:
                 continue
             if isinstance(step, AskReport):
-                tasks.start_soon(self._ask, entry)
+                tasks.start_soon(self._probe, entry)
             else:
                 planned.append((entry, step))
         if planned:
             self._announce(planned, now_seconds)
             for entry, step in planned:
-                tasks.start_soon(self._order, entry, step)
+                tasks.start_soon(self._run_order, entry, step)
         return bool(steps or self._rollout.loads())
 
     def _announce(
@@ -245,7 +245,7 @@
             self._scheduler.post(LoadOrdered(entry.name, "", version, until_seconds))
         self.notify_peers()
 
-    async def _ask(self, entry: HostEntry) -> None:
+    async def _probe(self, entry: HostEntry) -> None:
         began_seconds = self._read_clock()
         try:
             report = await self._control.probe(entry)
@@ -266,31 +266,33 @@
                 weights_version=report.weights_version,
                 report_age_seconds=round(self._read_clock() - began_seconds, 3),
             )
-            self._note_shown(entry.name, report.incarnation, report.weights_version)
+            self._note_observed(entry.name, report.incarnation, report.weights_version)
             self.notify_peers()
         self.wake()
 
-    def _note_shown(self, runner: str, incarnation: str, version: int) -> None:
+    def _note_observed(self, runner: str, incarnation: str, version: int) -> None:
         now_seconds = self._read_clock()
-        self._shown[runner] = WeightsShown(runner, incarnation, version, now_seconds)
+        self._observed[runner] = ObservedWeights(
+            runner, incarnation, version, now_seconds
+        )
         self._scheduler.post(WeightsSeen(runner, incarnation, version))
 
-    async def _order(self, entry: HostEntry, planned: PlannedOrder) -> None:
+    async def _run_order(self, entry: HostEntry, planned: PlannedOrder) -> None:
         version = planned.order.weights_version
         await anyio.sleep(ANNOUNCE_LEAD_SECONDS)
-        result = await self._send(entry, planned)
+        result = await self._send_order(entry, planned)
         self._rollout.note_result(entry.name, result)
         if result not in (OrderResult.TAKEN, OrderResult.LOST):
             self._scheduler.post(LoadOrdered(entry.name, "", version, 0.0))
         self.wake()
 
-    async def _send(self, entry: HostEntry, planned: PlannedOrder) -> OrderResult:
-        number = await self._keeper.fencing_number(CONTROL_TIMEOUT_SECONDS)
+    async def _send_order(self, entry: HostEntry, planned: PlannedOrder) -> OrderResult:
+        number = await self._lease_manager.fencing_number(CONTROL_TIMEOUT_SECONDS)
         if number is None:
             log.problem("lease too short for an order", runner=entry.name)
             return OrderResult.REFUSED
         order = attrs.evolve(planned.order, fencing_number=number)
-        self._keeper.note_order(CONTROL_TIMEOUT_SECONDS)
+        self._lease_manager.note_order(CONTROL_TIMEOUT_SECONDS)
         result = await self._control.send_order(entry, order)
         log.info(
             "order sent",
@@ -310,7 +312,7 @@
     return max(settings.lease_seconds, apart_seconds)
 
 
-def _tell_nobody() -> None:
+def _notify_nobody() -> None:
     return
 
 
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -34,7 +34,7 @@
 log = PartLogger("steward")
 
 
-class ReadsTargets(Protocol):
+class TargetReader(Protocol):
     """How the weights that runners shall have are read from the store."""
 
     @property
@@ -45,13 +45,13 @@
         """Return one target, or raise a DataError."""
 
 
-class WatchedTargets:
+class WatchedTargetSource:
     """Targets that others name in the store, one object a model."""
 
     def __init__(
         self,
         api: ObjectApi,
-        reader: ReadsTargets,
+        reader: TargetReader,
         scheduler: SchedulerTask,
         wake: Callable[[], None],
         is_wanted: Callable[[], bool],
@@ -66,7 +66,7 @@
             reader.targets_prefix,
             wait_seconds=TARGETS_WAIT_SECONDS,
             is_wanted=is_wanted,
-            take_state=self._take_state,
+            take_state=self._apply_state,
             take_problem=_log_problem,
             read_clock=read_clock,
             draw=draw,
@@ -76,7 +76,7 @@
         """Watch until cancelled."""
         await self._watcher.run()
 
-    def _take_state(self, state: KindState) -> None:
+    def _apply_state(self, state: KindState) -> None:
         targets = []
         for stored in state.objects.values():
             try:
@@ -92,7 +92,7 @@
         )
 
 
-class PolledTargets:
+class PolledTargetSource:
     """Targets that operators set with rampwick's own command line."""
 
     def __init__(
--- a/packages/rampwick-router/src/rampwick_router/entry/_parts.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_parts.py
@@ -20,7 +20,7 @@
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask
-from ..upstream import ChannelPool, SilenceWatch, UpstreamClient
+from ..upstream import ChannelPool, StallDetector, UpstreamClient
 from ._call import hash_key
 from ._claims import ClaimTask
 from ._stream_tokens import StreamTokens
@@ -73,7 +73,7 @@
     channels: ChannelPool
     dialects: Dialects
     salts: SaltBook
-    silences: SilenceWatch
+    silences: StallDetector
     #: How long answers take here, for when this host leaves.
     pace: AnswerPace = attrs.field(factory=AnswerPace)
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -13,7 +13,7 @@
 from .._dialects import read_request_rate, read_signals
 from .._errors import AttemptError
 from .._headers import LEAVING, REQUEST_RATE
-from ..upstream import DONE, OrderKeeper, StreamEvent, UpstreamStream, format_event
+from ..upstream import DONE, SequenceFilter, StreamEvent, UpstreamStream, format_event
 from ._call import ModelCall
 from ._parts import Parts
 from ._rates import note_rate
@@ -59,7 +59,7 @@
         self._target = target
         self._parts = target.parts
         self._dispatch = dispatch
-        self._order = OrderKeeper(0, dispatch.upstream)
+        self._order = SequenceFilter(0, dispatch.upstream)
         self._has_delivered = False
         self._is_whole = False
         self.answer = Answer()
@@ -242,7 +242,7 @@
     stream: UpstreamStream, token: bytes, position: int, responder: Responder
 ) -> None:
     """Relay a stream that a caller takes up again, from ``position`` on."""
-    order = OrderKeeper(position, "")
+    order = SequenceFilter(position, "")
     async for body in _resumed_bodies(stream, token, order):
         if body is None:
             await responder.end(b"data: " + DONE + b"\n\n")
@@ -254,7 +254,7 @@
 
 
 async def _resumed_bodies(
-    stream: UpstreamStream, token: bytes, order: OrderKeeper
+    stream: UpstreamStream, token: bytes, order: SequenceFilter
 ) -> AsyncIterator[bytes | None]:
     async for events in stream.batches():
         pieces: list[bytes] = []
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -21,7 +21,7 @@
 from .._errors import AttemptError
 from .._headers import AnswerHead
 from .._logs import PartLogger
-from ..upstream import Channel, Listening
+from ..upstream import Channel, ReadMonitor
 from ._parts import Parts
 from ._rates import note_rate
 from ._routed_request import RoutedRequest
@@ -57,7 +57,7 @@
         #: Whether the caller has part of an answer, which this one is to go on with.
         self._is_resumed = is_resumed
         self._channel: Channel
-        self._listening: Listening
+        self._listening: ReadMonitor
         #: For how long the connection is kept after the answer.
         self.rest_seconds = 0.0
 
@@ -81,10 +81,10 @@
             self._note_channel(facts)
             self._note_upstream_state(facts, asked_at_seconds)
             self._check(head, facts)
-            with self._parts.silences.listen(self._silence_seconds()) as listening:
+            with self._parts.silences.monitor(self._silence_seconds()) as listening:
                 self._listening = listening
                 yield head
-            if listening.is_silent:
+            if listening.has_stalled:
                 raise self.failed(Outcome.BROKEN, "the upstream is silent")
         self.rest_seconds = self._channel.max_rest_seconds
 
@@ -170,7 +170,7 @@
         if facts.is_closing:
             self._channel.max_rest_seconds = 0.0
         elif facts.max_rest_seconds is not None:
-            self._channel.note_rest_bound(facts.max_rest_seconds)
+            self._channel.set_idle_limit(facts.max_rest_seconds)
 
     def _check(self, head: AnswerHead, facts: AnswerFacts) -> None:
         """Raise unless the answer is this attempt's own and may be passed on."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -18,7 +18,7 @@
 from .._dialects import read_request_rate, read_signals
 from .._errors import AttemptError
 from .._headers import LEAVING, REQUEST_RATE
-from ..upstream import UpstreamAnswer
+from ..upstream import UpstreamResponse
 from ._call import CallTerms
 from ._exchange import Exchange
 from ._parts import Parts
@@ -139,7 +139,7 @@
             await self._pass_on(dispatch, answer)
         return AttemptDone(self.request_id, dispatch.attempt_id)
 
-    async def _pass_on(self, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
+    async def _pass_on(self, dispatch: Dispatch, answer: UpstreamResponse) -> None:
         headers = [
             (name, value)
             for name, value in answer.head.headers
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -18,7 +18,7 @@
 
 #: Time for which events are batched: well below the time for which placements, which
 #: hosts exchange at once, stay valid.
-GATHER_SECONDS = 0.4
+BATCH_SECONDS = 0.4
 
 
 class CacheOutbox:
@@ -36,19 +36,19 @@
         self._scheduler = scheduler
         self._list_live = list_live
         #: What was read in this host's hall.
-        self._read_here = CacheBox()
+        self._from_own_hall = CacheBox()
         #: What other halls sent.
-        self._read_elsewhere = CacheBox()
+        self._from_other_halls = CacheBox()
         self._has_update = anyio.Event()
         #: Says which caches this host reads.
-        self.list_read: Callable[[], set[str]] = set
+        self.list_read_caches: Callable[[], set[str]] = set
 
-    def greet(self, link: Link) -> None:
+    def send_initial_state(self, link: Link) -> None:
         """Send a newly linked peer what the caches read here hold.
 
         Not in a large fleet, where relays would send each host the state of all caches.
         """
-        names = self.list_read()
+        names = self.list_read_caches()
         if self._table.is_large or not names:
             return
         seen = self._scheduler.look(
@@ -64,36 +64,36 @@
             # The first events after an idle time are sent at once, as by a host that
             # has just read its first cache; the rest is batched.
             self._has_update = anyio.Event()
-            self._hand_on()
-            await anyio.sleep(GATHER_SECONDS)
+            self._flush()
+            await anyio.sleep(BATCH_SECONDS)
 
-    def tell(self, seen: CacheSeen) -> None:
+    def publish(self, seen: CacheSeen) -> None:
         """Add events that this host has read."""
-        self._read_here.add(seen)
+        self._from_own_hall.add(seen)
         self._has_update.set()
 
     def take(self, link: Link, message: CacheEventUpdate) -> None:
         """Apply events that a peer sent; a relay forwards them."""
         is_relay = self._table.is_relay(self._list_live())
-        is_near = self._table.is_in_group(link.peer.hall)
-        box = self._read_here if is_near else self._read_elsewhere
+        is_own_hall = self._table.is_in_group(link.peer.hall)
+        box = self._from_own_hall if is_own_hall else self._from_other_halls
         for seen in cache_events(message):
             self._scheduler.post(seen)
             if is_relay:
                 box.add(seen)
                 self._has_update.set()
 
-    def _hand_on(self) -> None:
-        here, elsewhere = self._read_here.take(), self._read_elsewhere.take()
+    def _flush(self) -> None:
+        here, elsewhere = self._from_own_hall.take(), self._from_other_halls.take()
         if not here and not elsewhere:
             return
         live = self._list_live()
         if self._table.is_relay(live):
             self._send(here, lambda peer: not self._table.is_in_group(peer.hall))
-            self._send([*here, *elsewhere], self._is_of_group)
+            self._send([*here, *elsewhere], self._is_in_own_group)
             return
         relay = self._relay(live)
-        self._send(here, self._is_of_group if relay is None else _named(relay))
+        self._send(here, self._is_in_own_group if relay is None else _is_named(relay))
 
     def _relay(self, live: set[str]) -> str | None:
         """Return the hall's relay in a large fleet, if there is a link to it."""
@@ -104,7 +104,7 @@
             return None
         return first.name
 
-    def _is_of_group(self, peer: Member) -> bool:
+    def _is_in_own_group(self, peer: Member) -> bool:
         return self._table.is_in_group(peer.hall)
 
     def _send(self, seen: list[CacheSeen], is_for: Callable[[Member], bool]) -> None:
@@ -112,5 +112,5 @@
             self._links.broadcast(to_cache_event_update(seen), is_for)
 
 
-def _named(name: str) -> Callable[[Member], bool]:
+def _is_named(name: str) -> Callable[[Member], bool]:
     return lambda peer: peer.name == name
--- a/packages/rampwick-router/src/rampwick_router/peers/_directory.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_directory.py
@@ -22,7 +22,7 @@
 PEERS_PREFIX = "peers/"
 
 #: Time between two looks of a host that hears nobody at where others are.
-LONELY_LOOK_SECONDS = 2.0
+DISCOVERY_INTERVAL_SECONDS = 2.0
 
 log = PartLogger("peers")
 
@@ -38,18 +38,18 @@
         self,
         api: ObjectApi,
         own: Member,
-        is_lonely: Callable[[], bool],
+        is_disconnected: Callable[[], bool],
         is_reader: Callable[[], bool],
         draw: random.Random,
     ) -> None:
         self._api = api
         self._own = own
-        self._is_lonely = is_lonely
+        self._is_disconnected = is_disconnected
         self._is_reader = is_reader
         self._draw = draw
         self._members: list[Member] = []
         #: Called when the records have been read.
-        self.note_found: Callable[[], None] = _do_nothing
+        self.on_records_read: Callable[[], None] = _do_nothing
         #: Era of the store that has the own record; none while it has none.
         self._recorded_era: int | None = None
 
@@ -60,21 +60,21 @@
     async def run(self) -> None:
         """Keep the own record and look for others while needed, until cancelled."""
         # Where all hosts come back at once, the seeds may be the last ones to listen.
-        await self._look(is_first=True)
+        await self._refresh(is_first=True)
         while True:
-            seconds = LONELY_LOOK_SECONDS * self._draw.uniform(0.7, 1.3)
+            seconds = DISCOVERY_INTERVAL_SECONDS * self._draw.uniform(0.7, 1.3)
             await anyio.sleep(seconds)
-            await self._look(is_first=False)
+            await self._refresh(is_first=False)
 
-    async def _look(self, is_first: bool) -> None:
+    async def _refresh(self, is_first: bool) -> None:
         try:
             # A store that was restored from a copy may lack the record.
             has_record = self._recorded_era == self._api.era
             if self._is_reader() and not has_record and not is_first:
                 await self._write_record()
-            if self._is_lonely():
+            if self._is_disconnected():
                 await self._read_records()
-                self.note_found()
+                self.on_records_read()
         except (PlatformError, DataError) as error:
             log.problem("directory out of reach", error=str(error))
 
@@ -105,10 +105,10 @@
         )
         stored = await self._api.get(key)
         version = stored.version if stored else ABSENT
-        is_known = stored is not None and (
+        is_current = stored is not None and (
             decode_record(stored, HostRecord).peer_address == record.peer_address
         )
-        if not is_known:
+        if not is_current:
             await settle_put(self._api, key, record, version)
         self._recorded_era = self._api.era
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_freshness.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_freshness.py
@@ -9,13 +9,13 @@
 from ._sync import PeerSync
 
 #: Time between two questions about the ages of a reader's knowledge.
-CONFIRM_SECONDS = 0.6
+POLL_INTERVAL_SECONDS = 0.6
 
 #: Time without an answer after which the next reader in rank is asked.
-CONFIRM_PATIENCE_SECONDS = 1.5
+READER_TIMEOUT_SECONDS = 1.5
 
 
-class AgeKeeper:
+class FreshnessPoller:
     """Keeps the ages of what this host was told, unless it reads itself."""
 
     def __init__(
@@ -36,30 +36,30 @@
         In a large fleet the relay tells them unasked.
         """
         while True:
-            await sleep_on_grid(CONFIRM_SECONDS)
+            await sleep_on_grid(POLL_INTERVAL_SECONDS)
             if self._roles.table.is_large or self._roles.is_reader():
                 continue
             link = self._reader_link()
             if link is not None:
-                self._sync.ask_ages(link)
+                self._sync.request_ages(link)
 
     def _reader_link(self) -> Link | None:
         links = (
             self._links.link_to(member.name)
             for member in self._roles.table.first_of_group(self._roles.live_names)
         )
-        known = [link for link in links if link is not None]
-        if not known:
+        linked = [link for link in links if link is not None]
+        if not linked:
             return None
-        since_seconds = self._read_clock() - self._sync.answered_at_seconds
-        is_silent = since_seconds > CONFIRM_PATIENCE_SECONDS
-        return known[1] if is_silent and len(known) > 1 else known[0]
+        elapsed_seconds = self._read_clock() - self._sync.answered_at_seconds
+        is_unresponsive = elapsed_seconds > READER_TIMEOUT_SECONDS
+        return linked[1] if is_unresponsive and len(linked) > 1 else linked[0]
 
-    def ask_reader(self) -> bool:
+    def query_reader(self) -> bool:
         """Ask a reader now, if one is linked; return whether one is."""
         link = None if self._roles.is_reader() else self._reader_link()
         if link is not None:
-            self._sync.ask_ages(link)
+            self._sync.request_ages(link)
         return link is not None
 
     @property
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -39,16 +39,16 @@
 from .._logs import PartLogger
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
-from ..control import ConfigurationTask, HostListTask, StewardTask
+from ..control import ConfigurationTask, HostListTask, RolloutController
 from ._cache_outbox import CacheOutbox
 from ._directory import PeerDirectory
-from ._freshness import AgeKeeper
+from ._freshness import FreshnessPoller
 from ._links import Link, PeerLinks
 from ._member_updates import MemberUpdates
 from ._messages import (
     listed_members,
+    rollout_events,
     rollout_update,
-    steward_events,
     to_member,
     to_record,
 )
@@ -63,10 +63,10 @@
 FULL_RATE_GROUP_COUNT = 9
 
 #: Tellings of a hall's sum to its own hosts for each one to the other halls.
-TELLINGS_PER_HALL_SUM = 2
+SUMMARIES_PER_HALL_SUMMARY = 2
 
 #: Time between two broadcasts of the leader's update where nothing changes.
-STEWARD_INTERVAL_SECONDS = 0.5
+ROLLOUT_INTERVAL_SECONDS = 0.5
 
 #: Time after the start for which seeds are dialled whatever else is known, and hosts
 #: count that are known and not heard yet.
@@ -90,14 +90,14 @@
         metrics: Metrics,
         read_clock: Callable[[], float],
         hosts: HostListTask,
-        steward: StewardTask,
+        rollout_controller: RolloutController,
     ) -> None:
         self._settings = settings.peers
         self._scheduler = scheduler
         self._configuration = configuration
         self._read_clock = read_clock
         self._hosts = hosts
-        self._steward = steward
+        self._rollout_controller = rollout_controller
         #: Records in the store by which lonely hosts find others.
         self.directory: PeerDirectory | None = None
         self.roles = Roles(own, scheduler, read_clock)
@@ -112,13 +112,15 @@
             read_clock,
         )
         self._member_updates = MemberUpdates(self._links)
-        self._links.take = self._take
-        self._links.note_opened = self._note_opened
-        self._links.note_unreachable = self._note_unreachable
+        self._links.on_message = self._handle_message
+        self._links.on_opened = self._on_link_opened
+        self._links.on_unreachable = self._on_unreachable
         self._sync = PeerSync(
             configuration.follower, configuration, hosts, scheduler, read_clock
         )
-        self.ages = AgeKeeper(self.roles, self._links, self._sync, read_clock)
+        self.freshness = FreshnessPoller(
+            self.roles, self._links, self._sync, read_clock
+        )
         self.summaries = SummaryPublisher(
             scheduler,
             configuration.follower,
@@ -127,7 +129,7 @@
             self._sync,
             read_clock,
         )
-        self.early = UrgentUpdates(
+        self.urgent_updates = UrgentUpdates(
             (scheduler.suspects, scheduler.rates, scheduler.departures),
             self.summaries,
             self._links,
@@ -140,8 +142,8 @@
             self.table, self._links, scheduler, lambda: self.roles.live_names
         )
         #: Whether the fleet is large, and whether this host is one of its relays.
-        self._standing = (False, False)
-        self._seen = NeighboursSeen(Neighbours(), is_leaving=False)
+        self._last_role = (False, False)
+        self._last_live_peers = NeighboursSeen(Neighbours(), is_leaving=False)
         self._began_seconds = read_clock()
         #: Addresses known from the settings.
         self.seeds = frozenset(settings.peers.seeds)
@@ -154,16 +156,16 @@
             tasks.start_soon(self._links.run, listener)
             tasks.start_soon(self._member_updates.run)
             tasks.start_soon(self.cache_outbox.run)
-            tasks.start_soon(self.ages.run)
+            tasks.start_soon(self.freshness.run)
             tasks.start_soon(self._broadcast_rollout)
-            tasks.start_soon(self.early.run)
-            await self._tell_again()
+            tasks.start_soon(self.urgent_updates.run)
+            await self._publish_summaries()
 
     # Members and roles.
 
-    def look_for_peers(self) -> None:
+    def reconcile_links(self) -> None:
         """Dial at once whoever has become known."""
-        self._links.look_again()
+        self._links.schedule_reconcile()
 
     def _list_wanted(self) -> list[Member]:
         self.table.learn(listed_members(self._hosts.host_list))
@@ -172,7 +174,7 @@
         return self.table.wanted_links(self._read_clock())
 
     def _list_seeds(self) -> Iterable[str]:
-        if self._is_starting or self.roles.hears_nobody:
+        if self._is_starting or self.roles.has_no_live_peers:
             return self.seeds
         return ()
 
@@ -180,31 +182,31 @@
     def _is_starting(self) -> bool:
         return self._read_clock() - self._began_seconds < SEEDING_SECONDS
 
-    def _note_unreachable(self, name: str) -> None:
+    def _on_unreachable(self, name: str) -> None:
         self.table.note_unreachable(name, self._read_clock())
 
-    def _note_opened(self, link: Link) -> None:
+    def _on_link_opened(self, link: Link) -> None:
         known = [to_record(member) for member in self.table]
         link.put(Members(known))
-        self.cache_outbox.greet(link)
-        for message in self.early.initial_states(self._read_clock()):
+        self.cache_outbox.send_initial_state(link)
+        for message in self.urgent_updates.initial_states(self._read_clock()):
             link.put(message)
-        if self._steward.is_holder:
+        if self._rollout_controller.is_holder:
             # A host that has just started sent prompts to a runner that was about to
             # load, until the next telling half a second later.
             link.put(self._rollout_update())
-        self._learn([link.peer], link)
+        self._add_members([link.peer], link)
 
-    def _learn(self, members: Iterable[Member], link: Link) -> None:
-        learned = self.table.learn(members)
-        if learned:
+    def _add_members(self, members: Iterable[Member], link: Link) -> None:
+        added = self.table.learn(members)
+        if added:
             if self._is_starting:
                 # Later those count that were heard: some that are known have left.
                 self._scheduler.note_members(len(list(self.table)))
-            self._links.look_again()
-            self._member_updates.add(learned, link.peer.name)
+            self._links.schedule_reconcile()
+            self._member_updates.add(added, link.peer.name)
 
-    def _look_at_roles(self) -> None:
+    def _update_roles(self) -> None:
         """Pass over a relay that fell silent; begin anew where the own role changes."""
         now_seconds = self._read_clock()
         if self.table.is_large:
@@ -212,36 +214,36 @@
             if self._listener.is_silent(relays, now_seconds):
                 log.problem("relay is silent", peer=relays[0].name)
                 self.table.note_unreachable(relays[0].name, now_seconds)
-                self._links.look_again()
-        standing = (self.table.is_large, self.roles.is_relay_candidate)
-        if standing == self._standing:
+                self._links.schedule_reconcile()
+        role = (self.table.is_large, self.roles.is_relay_candidate)
+        if role == self._last_role:
             return
-        self._standing = standing
-        self._links.look_again()
-        log.info("role changed", is_large=standing[0], is_relay_candidate=standing[1])
+        self._last_role = role
+        self._links.schedule_reconcile()
+        log.info("role changed", is_large=role[0], is_relay_candidate=role[1])
         # Whoever spoke for others before would be counted beside them.
         for view in self._scheduler.peer_views(now_seconds):
             self._scheduler.post(PeerGone(view.name))
 
-    def _note_neighbours(self) -> None:
+    def _post_live_peers(self) -> None:
         """Tell the scheduler whom this host hears, by which senders are chosen."""
         seen = NeighboursSeen(self.roles.neighbours(), self.summaries.is_leaving)
-        if seen != self._seen:
-            self._seen = seen
+        if seen != self._last_live_peers:
+            self._last_live_peers = seen
             self._scheduler.post(seen)
 
     # What comes in.
 
-    def _take(self, link: Link, message: Any) -> None:
+    def _handle_message(self, link: Link, message: Any) -> None:
         self._received[type(message)].inc()
         if isinstance(message, Summary):
-            self._take_summary(link, message)
+            self._handle_summary(link, message)
         elif isinstance(message, FleetSummary):
-            self._take_fleet(link, message)
+            self._handle_fleet_summary(link, message)
         elif isinstance(message, HallSummary):
-            self._take_hall(link, message)
+            self._handle_hall_summary(link, message)
         elif isinstance(message, RolloutUpdate):
-            self._take_rollout_update(link, message)
+            self._handle_rollout_update(link, message)
         elif isinstance(message, CrashUpdate):
             self._scheduler.post(CrashUpdateReceived(message))
             self._relay(link, message)
@@ -255,52 +257,52 @@
             self.cache_outbox.take(link, message)
         elif isinstance(message, Members):
             members = [to_member(record) for record in message.members]
-            self._learn(members, link)
+            self._add_members(members, link)
         elif not self._sync.take(link, message):
             name = type(message).__name__
             raise PeerError(f"{name} at this point", step="talk", peer=link.peer.name)
 
-    def _take_summary(self, link: Link, summary: Summary) -> None:
+    def _handle_summary(self, link: Link, summary: Summary) -> None:
         peer = link.peer
         if not self.table.is_in_group(peer.hall):
             # Its relay speaks for it.
             return
         self._listener.note_word(peer.name, self._read_clock())
-        self._sync.compare(link, summary)
+        self._sync.request_missing(link, summary)
         if self.table.is_large and not self.roles.is_relay_candidate:
             # The relay speaks for it, too.
             return
         self._scheduler.post(
             PeerSummaryReceived(peer.name, peer.hall, peer.incarnation, summary)
         )
-        self.summaries.take_host(summary)
+        self.summaries.add_host(summary)
         if summary.has_surged and self.roles.is_relay():
-            self.early.note_burst()
+            self.urgent_updates.note_burst()
 
-    def _take_fleet(self, link: Link, update: FleetSummary) -> None:
+    def _handle_fleet_summary(self, link: Link, update: FleetSummary) -> None:
         peer, own = link.peer, self.table.own
         if not self.table.is_in_group(peer.hall):
             return
         now_seconds = self._read_clock()
         relays = self.table.relays(own.hall, now_seconds)
-        word = self._listener.take(peer.name, update, relays, now_seconds)
-        if word is None:
+        report = self._listener.take(peer.name, update, relays, now_seconds)
+        if report is None:
             return
-        self._sync.compare(link, update.summary)
-        if word.asked_at_seconds is not None:
-            self._sync.take_ages(update, word.asked_at_seconds)
+        self._sync.request_missing(link, update.summary)
+        if report.asked_at_seconds is not None:
+            self._sync.apply_ages(update, report.asked_at_seconds)
         if not self.roles.is_relay_candidate:
             # What the relay added up is as old as this host's own part of it.
             age_seconds = 0.0
-            if word.asked_at_seconds is not None:
-                age_seconds = now_seconds - word.asked_at_seconds
+            if report.asked_at_seconds is not None:
+                age_seconds = now_seconds - report.asked_at_seconds
             self._scheduler.post(
                 PeerSummaryReceived(
-                    FLEET, "", own.incarnation, word.summary, age_seconds
+                    FLEET, "", own.incarnation, report.summary, age_seconds
                 )
             )
 
-    def _take_hall(self, link: Link, update: HallSummary) -> None:
+    def _handle_hall_summary(self, link: Link, update: HallSummary) -> None:
         if self.table.is_in_group(update.hall) or not self.roles.is_relay_candidate:
             return
         name = f"hall {update.hall}"
@@ -314,17 +316,19 @@
                 self._settings.gossip_interval_seconds / 2.0,
             )
         )
-        self._sync.compare(link, update.summary)
-        self.summaries.take_hall(update.summary)
+        self._sync.request_missing(link, update.summary)
+        self.summaries.add_hall(update.summary)
         if update.summary.has_surged and self.roles.is_relay():
-            self.early.note_remote_burst()
+            self.urgent_updates.note_remote_burst()
 
-    def _take_rollout_update(self, link: Link, update: RolloutUpdate) -> None:
+    def _handle_rollout_update(self, link: Link, update: RolloutUpdate) -> None:
         if update.holder == self.table.own.name:
             return
         now_seconds = self._read_clock()
-        self._steward.lease.note_heard(update.holder, update.lease_version, now_seconds)
-        for event in steward_events(update, now_seconds):
+        self._rollout_controller.lease.note_heard(
+            update.holder, update.lease_version, now_seconds
+        )
+        for event in rollout_events(update, now_seconds):
             self._scheduler.post(event)
         self._relay(link, update)
 
@@ -336,7 +340,8 @@
         self._links.broadcast(
             message,
             lambda peer: (
-                peer.name != link.peer.name and (is_own or self.roles.is_of_group(peer))
+                peer.name != link.peer.name
+                and (is_own or self.roles.is_in_own_group(peer))
             ),
         )
 
@@ -349,16 +354,16 @@
         factor = max(1.0, len(self.table.group()) / FULL_RATE_GROUP_COUNT)
         return self._settings.gossip_interval_seconds * factor**2
 
-    async def _tell_again(self) -> None:
+    async def _publish_summaries(self) -> None:
         count = 0
         while True:
             count += 1
-            self._look_at_roles()
-            self._note_neighbours()
+            self._update_roles()
+            self._post_live_peers()
             self.summaries.publish_own()
             if self.roles.is_relay():
                 self.summaries.publish_fleet()
-                if count % TELLINGS_PER_HALL_SUM == 0:
+                if count % SUMMARIES_PER_HALL_SUMMARY == 0:
                     self.summaries.publish_hall()
             changed = self._configuration.changed
             with move_on_at_grid(self._interval_seconds):
@@ -367,20 +372,22 @@
     async def _broadcast_rollout(self) -> None:
         """Repeat what the steward has to say, while this host is it."""
         while True:
-            if self._steward.is_holder:
+            if self._rollout_controller.is_holder:
                 self.broadcast_rollout()
-            await sleep_on_grid(STEWARD_INTERVAL_SECONDS)
+            await sleep_on_grid(ROLLOUT_INTERVAL_SECONDS)
 
     def broadcast_rollout(self) -> None:
         """Tell all hosts of loads, weights and lease now."""
         update = self._rollout_update()
         is_relay = self.roles.is_relay()
-        self._links.broadcast(update, lambda peer: is_relay or self.roles.is_told(peer))
+        self._links.broadcast(
+            update, lambda peer: is_relay or self.roles.is_recipient(peer)
+        )
 
     def _rollout_update(self) -> RolloutUpdate:
         return rollout_update(
             self.table.own.name,
-            self._steward,
+            self._rollout_controller,
             self._scheduler.targets(),
             self._scheduler.named_weights(),
             self._read_clock(),
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -31,21 +31,21 @@
 DIAL_TIMEOUT_SECONDS = 1.0
 
 #: Time between two looks at which peers are to be dialled, unless members change.
-LOOK_SECONDS = 1.0
+RECONCILE_INTERVAL_SECONDS = 1.0
 
 #: Time between two looks at which links are silent and which have nothing to say, as a
 #: part of the silence after which a peer counts as gone: two such words may be lost.
 KEEP_ALIVE_RATIO = 1 / 3
 
 #: Said on a link that has nothing else to say.
-NOTHING_NEW = Members([])
+KEEP_ALIVE = Members([])
 
 #: Links that may wait to be accepted: a whole fleet dials its seeds at once, and what
 #: finds no place asks again after seconds.
 BACKLOG_COUNT = 1024
 
 #: Links accepted at once, peers and strangers together.
-MAX_ACCEPTED = 512
+MAX_ACCEPTED_COUNT = 512
 
 log = PartLogger("peers")
 
@@ -62,11 +62,11 @@
     #: Sends what is encoded; returns false where the peer is too slow.
     _send: Callable[[bytes], bool]
     #: Last times at which bytes came in, and at which a message went out.
-    heard_at_seconds: float
-    told_at_seconds: float
+    received_at_seconds: float
+    sent_at_seconds: float
     #: Cancelled to give the link up.
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
-    _was_silent: bool = False
+    _was_unresponsive: bool = False
 
     @classmethod
     def open(
@@ -78,23 +78,23 @@
         """Return a link that has just been opened."""
         return cls(peer, send, now_seconds, now_seconds)
 
-    def note_heard(self, now_seconds: float) -> None:
+    def mark_received(self, now_seconds: float) -> None:
         """Note that something came in."""
-        self.heard_at_seconds = now_seconds
+        self.received_at_seconds = now_seconds
 
-    def note_told(self, now_seconds: float) -> None:
+    def mark_sent(self, now_seconds: float) -> None:
         """Note that something went out."""
-        self.told_at_seconds = now_seconds
+        self.sent_at_seconds = now_seconds
 
-    def is_silent(self, now_seconds: float, max_seconds: float) -> bool:
+    def is_unresponsive(self, now_seconds: float, max_seconds: float) -> bool:
         """Return whether nothing came for too long, at this look and the one before.
 
         After a pause of this process the first look may come before what has arrived
         meanwhile is read.
         """
-        was_silent = self._was_silent
-        self._was_silent = now_seconds - self.heard_at_seconds > max_seconds
-        return was_silent and self._was_silent
+        was_unresponsive = self._was_unresponsive
+        self._was_unresponsive = now_seconds - self.received_at_seconds > max_seconds
+        return was_unresponsive and self._was_unresponsive
 
     def put(self, message: Any) -> None:
         """Send a message in its turn, or drop it if the peer is too slow."""
@@ -132,11 +132,11 @@
         self._accepted_count = 0
         self._changed = anyio.Event()
         #: Called with each link that opens, before anything comes over it.
-        self.note_opened: Callable[[Link], None] = _ignore_link
+        self.on_opened: Callable[[Link], None] = _ignore_link
         #: Called with each message and the link that it came over.
-        self.take: Callable[[Link, Any], None] = _ignore_message
+        self.on_message: Callable[[Link, Any], None] = _ignore_message
         #: Called with the name of a wanted member that could not be reached.
-        self.note_unreachable: Callable[[str], None] = _ignore_name
+        self.on_unreachable: Callable[[str], None] = _ignore_name
 
     @property
     def links(self) -> list[Link]:
@@ -170,14 +170,14 @@
                 backlog=BACKLOG_COUNT,
             )
             stack.callback(server.close)
-            tasks.start_soon(self.keep_links)
+            tasks.start_soon(self.monitor_links)
             while True:
                 self._changed = anyio.Event()
-                self._look(tasks)
-                with move_on_at_grid(LOOK_SECONDS):
+                self._reconcile(tasks)
+                with move_on_at_grid(RECONCILE_INTERVAL_SECONDS):
                     await self._changed.wait()
 
-    async def keep_links(self) -> None:
+    async def monitor_links(self) -> None:
         """Look after all links, again and again until cancelled.
 
         An open connection may be dead without an end or a reset: its link hid the peer
@@ -187,23 +187,23 @@
             await sleep_on_grid(self._keep_alive_seconds)
             now_seconds = self._read_clock()
             for link in self._links:
-                self.keep_link(link, now_seconds)
+                self.check_link(link, now_seconds)
 
-    def keep_link(self, link: Link, now_seconds: float) -> None:
+    def check_link(self, link: Link, now_seconds: float) -> None:
         """Give up a link that fell silent, or say something on one that is quiet."""
-        if link.is_silent(now_seconds, self._settings.dead_after_seconds):
-            silent_seconds = round(now_seconds - link.heard_at_seconds, 1)
+        if link.is_unresponsive(now_seconds, self._settings.dead_after_seconds):
+            silent_seconds = round(now_seconds - link.received_at_seconds, 1)
             peer = link.peer.name
             log.problem("link given up", peer=peer, silent_seconds=silent_seconds)
             link.scope.cancel()
-        elif now_seconds - link.told_at_seconds > self._keep_alive_seconds / 2:
-            link.put(NOTHING_NEW)
+        elif now_seconds - link.sent_at_seconds > self._keep_alive_seconds / 2:
+            link.put(KEEP_ALIVE)
 
-    def look_again(self) -> None:
+    def schedule_reconcile(self) -> None:
         """Look now at which peers are wanted, since that may have changed."""
         self._changed.set()
 
-    def _look(self, tasks: TaskGroup) -> None:
+    def _reconcile(self, tasks: TaskGroup) -> None:
         """Dial what is wanted and not dialled, and let go of what is not wanted."""
         wanted = {member.address: member.name for member in self._list_wanted()}
         linked = {link.peer.address for link in self._links}
@@ -212,25 +212,25 @@
             addresses.setdefault(seed, "")
         for address in addresses.keys() - self._dialled.keys() - linked:
             scope = self._dialled[address] = anyio.CancelScope()
-            tasks.start_soon(self._dial_again, address, addresses[address], scope)
+            tasks.start_soon(self._keep_dialing, address, addresses[address], scope)
         for address in self._dialled.keys() - addresses.keys():
             self._dialled.pop(address).cancel()
 
-    async def _dial_again(
+    async def _keep_dialing(
         self, address: str, name: str, scope: anyio.CancelScope
     ) -> None:
         pause_seconds = REDIAL_SECONDS
         with scope:
             while True:
-                is_met = False
+                is_complete = False
                 try:
                     await self._dial(address)
-                    is_met = True
+                    is_complete = True
                 except (PeerError, OSError, TimeoutError, ValueError):
                     # Silence is noticed by the membership; here it only counts.
                     if name:
-                        self.note_unreachable(name)
-                if is_met:
+                        self.on_unreachable(name)
+                if is_complete:
                     pause_seconds = REDIAL_SECONDS
                 await anyio.sleep(pause_seconds)
                 pause_seconds = min(MAX_REDIAL_SECONDS, pause_seconds * REDIAL_FACTOR)
@@ -240,36 +240,36 @@
             stream = await PeerStream.connect(
                 address, self._settings.max_message_bytes, self._metrics
             )
-        await self._converse(stream)
+        await self._run_link(stream)
 
     async def _accept(self, stream: PeerStream) -> None:
-        if self._accepted_count >= MAX_ACCEPTED:
+        if self._accepted_count >= MAX_ACCEPTED_COUNT:
             stream.close()
             return
         self._accepted_count += 1
         try:
-            await self._converse(stream)
+            await self._run_link(stream)
         except PeerError as error:
             log.info("link from peer ended", error=str(error))
         finally:
             self._accepted_count -= 1
 
-    async def _converse(self, stream: PeerStream) -> None:
+    async def _run_link(self, stream: PeerStream) -> None:
         with closing(stream):
-            peer = await stream.shake_hands(self._own, self._settings.secret)
+            peer = await stream.handshake(self._own, self._settings.secret)
             if peer.name == self._own.name:
                 # A seed may be this host itself; keep the line so as not to redial.
                 await anyio.sleep_forever()
             link = Link.open(peer, self._read_clock(), stream.put)
             self._links.append(link)
             # Bytes count, not messages: a long one takes seconds over a slow way.
-            stream.note_bytes = lambda: link.note_heard(self._read_clock())
-            stream.note_sent = lambda: link.note_told(self._read_clock())
+            stream.note_bytes = lambda: link.mark_received(self._read_clock())
+            stream.note_sent = lambda: link.mark_sent(self._read_clock())
             log.info("peer linked", peer=peer.name, hall=peer.hall)
             try:
                 with link.scope:
-                    self.note_opened(link)
-                    await stream.deliver(lambda message: self.take(link, message))
+                    self.on_opened(link)
+                    await stream.deliver(lambda message: self.on_message(link, message))
             finally:
                 self._links.remove(link)
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_member_updates.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_member_updates.py
@@ -14,7 +14,7 @@
 
 #: Time for which members are batched: a few round trips between halls, and little of
 #: what a starting host waits for.
-GATHER_SECONDS = 0.05
+BATCH_SECONDS = 0.05
 
 
 class MemberUpdates:
@@ -37,10 +37,10 @@
         while True:
             await self._has_update.wait()
             self._has_update = anyio.Event()
-            await anyio.sleep(GATHER_SECONDS)
-            self.tell()
+            await anyio.sleep(BATCH_SECONDS)
+            self.flush()
 
-    def tell(self) -> None:
+    def flush(self) -> None:
         """Broadcast the batch, except to a peer that alone sent all of it."""
         members, self._members = self._members, {}
         sources, self._sources = self._sources, set()
--- a/packages/rampwick-router/src/rampwick_router/peers/_messages.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_messages.py
@@ -24,10 +24,10 @@
     WeightsTarget,
 )
 
-from ..control import StewardTask
+from ..control import RolloutController
 
 #: Who told this host of targets, as its log says it.
-STEWARD_SOURCE = "the steward says so"
+CONTROLLER_SOURCE = "the steward says so"
 
 
 def to_record(member: Member) -> MemberRecord:
@@ -63,7 +63,7 @@
 
 def rollout_update(
     holder: str,
-    steward: StewardTask,
+    rollout_controller: RolloutController,
     targets: Sequence[WeightsTarget],
     named: Sequence[NamedWeights],
     now_seconds: float,
@@ -76,15 +76,15 @@
             load.weights_version,
             max(0.0, load.until_seconds - now_seconds),
         )
-        for load in steward.loads()
+        for load in rollout_controller.loads()
     ]
     weights = [
-        RunnerWeights(shown.upstream, shown.incarnation, shown.weights_version)
-        for shown in steward.weights_shown()
+        RunnerWeights(observed.upstream, observed.incarnation, observed.weights_version)
+        for observed in rollout_controller.observed_weights()
     ]
     return RolloutUpdate(
         holder=holder,
-        lease_version=steward.lease.version,
+        lease_version=rollout_controller.lease.version,
         targets=list(targets),
         loads=loads,
         weights=weights,
@@ -92,11 +92,11 @@
     )
 
 
-def steward_events(update: RolloutUpdate, now_seconds: float) -> Iterator[Event]:
+def rollout_events(update: RolloutUpdate, now_seconds: float) -> Iterator[Event]:
     """Yield what the scheduler learns from a leader's update."""
     if update.targets:
         named = tuple(update.named)
-        yield TargetsRead(tuple(update.targets), STEWARD_SOURCE, named=named)
+        yield TargetsRead(tuple(update.targets), CONTROLLER_SOURCE, named=named)
     for load in update.loads:
         yield LoadOrdered(
             load.upstream,
@@ -104,16 +104,16 @@
             load.weights_version,
             now_seconds + load.remaining_seconds,
         )
-    for shown in update.weights:
+    for observed in update.weights:
         yield WeightsSeen(
-            shown.upstream,
-            shown.incarnation,
-            shown.weights_version,
+            observed.upstream,
+            observed.incarnation,
+            observed.weights_version,
             is_own_report=False,
         )
 
 
-def to_cache_event_update(gathered: Iterable[CacheSeen]) -> CacheEventUpdate:
+def to_cache_event_update(events: Iterable[CacheSeen]) -> CacheEventUpdate:
     """Return cache events as peers are told of them."""
     return CacheEventUpdate(
         [
@@ -125,7 +125,7 @@
                     for item in seen.changes
                 ],
             )
-            for seen in gathered
+            for seen in events
         ]
     )
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -15,7 +15,7 @@
 
 #: Time from a host's start in which members count as there that it has not heard: a
 #: herd's loading is spread over a second, and relays tell of it four times a second.
-UNHEARD_SECONDS = 3.0
+ASSUMED_ALIVE_SECONDS = 3.0
 
 
 @attrs.frozen(repr=False)
@@ -56,7 +56,7 @@
         return self.table.is_relay_candidate(self._read_clock())
 
     @property
-    def hears_nobody(self) -> bool:
+    def has_no_live_peers(self) -> bool:
         """Whether no word of any peer has come for a while."""
         return not self._scheduler.live_names(self._read_clock())
 
@@ -74,7 +74,7 @@
         }
 
     @property
-    def staying_names(self) -> set[str]:
+    def serving_names(self) -> set[str]:
         """Names of those of them that are not leaving."""
         if self.table.is_large:
             near = self.neighbours()
@@ -89,14 +89,14 @@
             return self.listener.neighbours(now_seconds)
         views = self._scheduler.peer_views(now_seconds)
         own_hall = self.table.own.hall
-        mates = [view for view in views if view.hall == own_hall]
+        hall_peers = [view for view in views if view.hall == own_hall]
         return Neighbours(
-            frozenset(view.name for view in mates),
-            frozenset(view.name for view in mates if not view.summary.is_leaving),
+            frozenset(view.name for view in hall_peers),
+            frozenset(view.name for view in hall_peers if not view.summary.is_leaving),
             frozenset(view.hall for view in views),
         )
 
-    def neighbours_at_work(self) -> Neighbours:
+    def cache_reading_peers(self) -> Neighbours:
         """Return among whom the reading of caches is shared.
 
         In the first moments of a large fleet those count that are known and not heard
@@ -105,10 +105,10 @@
         """
         near = self.neighbours()
         age_seconds = self._read_clock() - self._began_seconds
-        if near.halls or not self.table.is_large or age_seconds > UNHEARD_SECONDS:
+        if near.halls or not self.table.is_large or age_seconds > ASSUMED_ALIVE_SECONDS:
             return near
         members = [member for member in self.table if member != self.table.own]
-        names = {member.name for member in members if self.is_of_group(member)}
+        names = {member.name for member in members if self.is_in_own_group(member)}
         halls = {member.hall for member in members}
         return Neighbours(frozenset(names), frozenset(names), frozenset(halls))
 
@@ -120,15 +120,15 @@
         """Return whether this host speaks for its hall now."""
         return self.table.is_relay(self.live_names)
 
-    def is_of_group(self, peer: Member) -> bool:
+    def is_in_own_group(self, peer: Member) -> bool:
         """Return whether a peer is of this host's group."""
         return self.table.is_in_group(peer.hall)
 
-    def is_of_another(self, peer: Member) -> bool:
+    def is_in_other_group(self, peer: Member) -> bool:
         """Return whether a peer is of another group."""
         return not self.table.is_in_group(peer.hall)
 
-    def is_told(self, peer: Member) -> bool:
+    def is_recipient(self, peer: Member) -> bool:
         """Return whether a peer is to hear this host itself."""
         if not self.table.is_large:
             return True
--- a/packages/rampwick-router/src/rampwick_router/peers/_stream.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_stream.py
@@ -71,7 +71,7 @@
         self._transport: asyncio.Transport | None = None
         self._received = bytearray()
         self._has_update = anyio.Event()
-        self._take: Callable[[Any], None] | None = None
+        self._on_message: Callable[[Any], None] | None = None
         #: Why the stream has ended; none while it goes on.
         self._failure: Exception | None = None
         self.peer = ""
@@ -113,13 +113,13 @@
             return
         self._received += data
         self.note_bytes()
-        if self._take is None:
+        if self._on_message is None:
             if len(self._received) > MAX_UNREAD_BYTES:
                 self._reading().pause_reading()
             self._has_update.set()
             return
         try:
-            self._hand_on(self._take)
+            self._deliver_received(self._on_message)
         except Exception as error:
             # Whoever waits for the end raises it.
             self._end(error)
@@ -159,15 +159,15 @@
     async def receive(self) -> Any:
         """Return the next message of a greeting."""
         while True:
-            message = self._next(MAX_HANDSHAKE_BYTES)
+            message = self._next_message(MAX_HANDSHAKE_BYTES)
             if message is not None:
                 return message
             await self._wait()
 
-    async def deliver(self, take: Callable[[Any], None]) -> None:
+    async def deliver(self, on_message: Callable[[Any], None]) -> None:
         """Hand each message to a function until the stream ends, then raise why."""
-        self._take = take
-        self._hand_on(take)
+        self._on_message = on_message
+        self._deliver_received(on_message)
         if self._failure is None:
             self._reading().resume_reading()
         while True:
@@ -188,14 +188,14 @@
         assert self._transport is not None
         return self._transport
 
-    def _hand_on(self, take: Callable[[Any], None]) -> None:
+    def _deliver_received(self, on_message: Callable[[Any], None]) -> None:
         while self._failure is None:
-            message = self._next(self._max_message_bytes)
+            message = self._next_message(self._max_message_bytes)
             if message is None:
                 return
-            take(message)
+            on_message(message)
 
-    def _next(self, limit_bytes: int) -> Any:
+    def _next_message(self, limit_bytes: int) -> Any:
         """Return the next message and forget its bytes; none where it is not whole."""
         if len(self._received) < LENGTH_BYTES:
             return None
@@ -229,14 +229,14 @@
         if self._transport is not None:
             self._transport.abort()
 
-    async def shake_hands(self, own: Member, secret: str) -> Member:
+    async def handshake(self, own: Member, secret: str) -> Member:
         """Prove each side's knowledge of the secret; return who the other is."""
         with anyio.move_on_after(HANDSHAKE_SECONDS):
-            return await self._shake_hands(own, secret)
+            return await self._run_handshake(own, secret)
         raise PeerError("handshake took too long", step="shake hands", peer=self.peer)
 
-    async def _shake_hands(self, own: Member, secret: str) -> Member:
-        mine = Hello(
+    async def _run_handshake(self, own: Member, secret: str) -> Member:
+        local = Hello(
             protocol_version=PROTOCOL_VERSION,
             host=own.name,
             hall=own.hall,
@@ -245,24 +245,24 @@
             peer_address=own.address,
             link_megabits_per_second=own.link_megabits_per_second,
         )
-        await self.send(mine)
-        theirs = self._expect(await self.receive(), Hello)
-        if theirs.protocol_version != PROTOCOL_VERSION:
-            raise self._refused(f"protocol version {theirs.protocol_version}")
-        if len(theirs.nonce) != NONCE_BYTES or theirs.nonce == mine.nonce:
+        await self.send(local)
+        remote = self._expect(await self.receive(), Hello)
+        if remote.protocol_version != PROTOCOL_VERSION:
+            raise self._refused(f"protocol version {remote.protocol_version}")
+        if len(remote.nonce) != NONCE_BYTES or remote.nonce == local.nonce:
             raise self._refused("bad nonce")
-        await self.send(Proof(digest=_prove(secret, mine, theirs)))
+        await self.send(Proof(digest=_prove(secret, local, remote)))
         proof = self._expect(await self.receive(), Proof)
-        if not hmac.compare_digest(proof.digest, _prove(secret, theirs, mine)):
+        if not hmac.compare_digest(proof.digest, _prove(secret, remote, local)):
             raise self._refused("wrong secret")
-        self.peer = theirs.host
-        self._count_as("hall" if theirs.hall == own.hall else "across")
+        self.peer = remote.host
+        self._count_as("hall" if remote.hall == own.hall else "across")
         return Member(
-            theirs.host,
-            theirs.hall,
-            theirs.peer_address,
-            theirs.incarnation,
-            theirs.link_megabits_per_second,
+            remote.host,
+            remote.hall,
+            remote.peer_address,
+            remote.incarnation,
+            remote.link_megabits_per_second,
         )
 
     def _expect(self, message: Any, cls: type) -> Any:
@@ -277,9 +277,9 @@
         return PeerError(f"connection closed: {message}", step=STEP, peer=self.peer)
 
 
-def _prove(secret: str, prover: Hello, asker: Hello) -> bytes:
+def _prove(secret: str, prover: Hello, verifier: Hello) -> bytes:
     # The prover's name, hall and incarnation are part of the proof, and the roles
     # differ, so that no side can hand the other's proof back.
-    parts = (prover.host, prover.hall, str(prover.incarnation), asker.host)
-    text = "\0".join(parts).encode() + prover.nonce + asker.nonce
+    parts = (prover.host, prover.hall, str(prover.incarnation), verifier.host)
+    text = "\0".join(parts).encode() + prover.nonce + verifier.nonce
     return hmac.digest(secret.encode(), text, hashlib.sha256)
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -26,7 +26,7 @@
 #: Silence of a hall, some two and a half of its relay's tellings, after which it counts
 #: neither as heard nor as sending under limits: hosts that are cut off keep to their
 #: part before both sides fill the same room.
-LATE_HALL_SECONDS = 1.25
+HALL_TIMEOUT_SECONDS = 1.25
 
 
 class SummaryPublisher:
@@ -56,12 +56,12 @@
         #: Whether peers are told that this host takes no new requests.
         self.is_leaving = False
 
-    def take_host(self, summary: Summary) -> None:
+    def add_host(self, summary: Summary) -> None:
         """Add the summary of a host of this hall."""
         self._hall_digest.take(summary)
         self._fleet_digest.take(summary)
 
-    def take_hall(self, summary: Summary) -> None:
+    def add_hall(self, summary: Summary) -> None:
         """Add the summary of another hall."""
         self._fleet_digest.take(summary)
 
@@ -86,23 +86,23 @@
         )
         self._own = summary
         self._roles.listener.note_told(summary, self._read_clock())
-        self._links.broadcast(summary, self._roles.is_told)
-        self.take_host(summary)
+        self._links.broadcast(summary, self._roles.is_recipient)
+        self.add_host(summary)
 
     def publish_fleet(self) -> None:
         """Send this hall's hosts the aggregate of the whole fleet."""
         own = self._roles.table.own
         now_seconds = self._read_clock()
         views = self._scheduler.peer_views(now_seconds)
-        said = [
+        summaries = [
             without_limits(view.summary)
             if view.hall != own.hall
-            and now_seconds - view.heard_at_seconds > LATE_HALL_SECONDS
+            and now_seconds - view.heard_at_seconds > HALL_TIMEOUT_SECONDS
             else view.summary
             for view in views
         ]
-        summary = self._fleet_digest.merge(self._with_own(said), self._sequence)
-        told = FleetSummary(
+        summary = self._fleet_digest.merge(self._with_own(summaries), self._sequence)
+        message = FleetSummary(
             own.incarnation,
             self._sync.with_own_versions(summary),
             [
@@ -120,26 +120,26 @@
             self._scheduler.targets(),
             self._scheduler.named_weights(),
         )
-        self._links.broadcast(told, self._roles.is_of_group)
+        self._links.broadcast(message, self._roles.is_in_own_group)
 
-    def is_hall_surge(self) -> bool:
+    def is_hall_burst(self) -> bool:
         """Return whether demand in this hall is far above what was published."""
-        return self._surges.has_grown(sum_limits(self._hall_said()))
+        return self._surges.has_grown(sum_limits(self._hall_summaries()))
 
     def publish_hall(self, *, has_surged: bool = False) -> None:
         """Send other halls the aggregate of this one."""
         own = self._roles.table.own
-        summary = self._hall_digest.merge(self._hall_said(), self._sequence)
+        summary = self._hall_digest.merge(self._hall_summaries(), self._sequence)
         self._surges.note_told(summary.limits)
         summary = attrs.evolve(summary, has_surged=has_surged)
-        told = HallSummary(own.hall, own.name, own.incarnation, summary)
-        self._links.broadcast(told, self._roles.is_of_another)
+        message = HallSummary(own.hall, own.name, own.incarnation, summary)
+        self._links.broadcast(message, self._roles.is_in_other_group)
 
-    def _hall_said(self) -> list[Summary]:
+    def _hall_summaries(self) -> list[Summary]:
         views = self._scheduler.peer_views(self._read_clock())
         own_hall = self._roles.table.own.hall
-        said = (view.summary for view in views if view.hall == own_hall)
-        return self._with_own(said)
+        summaries = (view.summary for view in views if view.hall == own_hall)
+        return self._with_own(summaries)
 
     def _with_own(self, summaries: Iterable[Summary]) -> list[Summary]:
         return [*summaries, self._own] if self._own is not None else list(summaries)
--- a/packages/rampwick-router/src/rampwick_router/peers/_sync.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_sync.py
@@ -42,16 +42,16 @@
 CHANGES_PER_REPLY = 64
 
 #: Versions of the host list kept to tell differences to.
-KEPT_LISTS = 32
+MAX_RETAINED_LISTS = 32
 
 #: Questions remembered until they are answered.
-KEPT_QUESTIONS = 64
+MAX_PENDING_REQUESTS = 64
 
 #: Who told this host of targets, as its log says it.
 READER_SOURCE = "a reader says so"
 
 #: Told instead of an age that is not known.
-LONG_AGO_SECONDS = 1e6
+MAX_REPORTED_AGE_SECONDS = 1e6
 
 log = PartLogger("peers")
 
@@ -66,7 +66,7 @@
     _scheduler: SchedulerTask
     _read_clock: Callable[[], float]
     _lists: dict[int, HostList] = attrs.field(factory=dict)
-    _asked_at: dict[int, float] = attrs.field(factory=dict)
+    _requested_at: dict[int, float] = attrs.field(factory=dict)
     _sequence: int = 0
     #: When a question was answered last.
     answered_at_seconds: float = -math.inf
@@ -75,7 +75,7 @@
         """Take a message of this kind; return whether it is one."""
         if isinstance(message, ChangesRequest):
             known = TreeVersion(message.after_revision, message.store_era)
-            self._answer_changes(link, known)
+            self._reply_changes(link, known)
         elif isinstance(message, ChangesReply):
             if self._follower.offer_changes(message.changes, "peer", message.store_era):
                 self._configuration.announce()
@@ -83,15 +83,15 @@
             if self._follower.offer_tree(message.tree, "peer"):
                 self._configuration.announce()
         elif isinstance(message, HostListRequest):
-            self._answer_hosts(link, message.after_version)
+            self._reply_hosts(link, message.after_version)
         elif isinstance(message, HostListReply):
             self._hosts.offer(message.host_list)
         elif isinstance(message, HostListChanges):
             self._patch_hosts(link, message)
         elif isinstance(message, ConfirmRequest):
-            link.put(self._confirmation(message.sequence))
+            link.put(self._confirm_reply(message.sequence))
         elif isinstance(message, ConfirmReply):
-            self._take_confirmation(link, message)
+            self._handle_confirm_reply(link, message)
         else:
             return False
         return True
@@ -100,8 +100,8 @@
         """Return the ages of the configuration and of the host list, to be told."""
         now_seconds = self._read_clock()
         return (
-            _tellable(self._configuration.age_seconds(now_seconds)),
-            _tellable(self._hosts.age_seconds(now_seconds)),
+            _clamp_age(self._configuration.age_seconds(now_seconds)),
+            _clamp_age(self._hosts.age_seconds(now_seconds)),
         )
 
     def with_own_versions(self, summary: Summary) -> Summary:
@@ -113,10 +113,10 @@
             store_era=self._follower.version.store_era,
         )
 
-    def take_ages(self, fleet: FleetSummary, asked_at_seconds: float) -> None:
+    def apply_ages(self, fleet: FleetSummary, requested_at_seconds: float) -> None:
         """Take the ages that a relay tells, counted from a word that it had heard."""
         self._confirm(
-            asked_at_seconds,
+            requested_at_seconds,
             TreeVersion(fleet.summary.revision, fleet.summary.store_era),
             fleet.revision_age_seconds,
             fleet.summary.host_list_version,
@@ -124,20 +124,20 @@
             TargetsRead(tuple(fleet.targets), READER_SOURCE, named=tuple(fleet.named)),
         )
 
-    def compare(self, link: Link, summary: Summary) -> None:
+    def request_missing(self, link: Link, summary: Summary) -> None:
         """Ask a peer for what it knows and this host does not."""
         version = TreeVersion(summary.revision, summary.store_era)
-        self._ask_for_newer(link, version, summary.host_list_version)
+        self._request_newer(link, version, summary.host_list_version)
 
-    def ask_ages(self, link: Link) -> None:
+    def request_ages(self, link: Link) -> None:
         """Ask a peer how old its knowledge is."""
         self._sequence += 1
-        self._asked_at[self._sequence] = self._read_clock()
-        while len(self._asked_at) > KEPT_QUESTIONS:
-            del self._asked_at[next(iter(self._asked_at))]
+        self._requested_at[self._sequence] = self._read_clock()
+        while len(self._requested_at) > MAX_PENDING_REQUESTS:
+            del self._requested_at[next(iter(self._requested_at))]
         link.put(ConfirmRequest(self._sequence))
 
-    def _ask_for_newer(
+    def _request_newer(
         self, link: Link, version: TreeVersion, list_version: int
     ) -> None:
         known = self._follower.head_version
@@ -146,7 +146,7 @@
         if list_version > self._hosts.version:
             link.put(HostListRequest(self._hosts.version))
 
-    def _answer_changes(self, link: Link, known: TreeVersion) -> None:
+    def _reply_changes(self, link: Link, known: TreeVersion) -> None:
         changes = self._follower.changes_after(known)
         if changes is None:
             link.put(TreeReply(self._follower.view.tree))
@@ -154,12 +154,12 @@
             store_era = self._follower.head_version.store_era
             link.put(ChangesReply(changes[:CHANGES_PER_REPLY], store_era))
 
-    def _answer_hosts(self, link: Link, after_version: int) -> None:
+    def _reply_hosts(self, link: Link, after_version: int) -> None:
         current = self._hosts.host_list
         if self._hosts.version <= after_version:
             return
         self._lists[self._hosts.version] = current
-        while len(self._lists) > KEPT_LISTS:
+        while len(self._lists) > MAX_RETAINED_LISTS:
             del self._lists[next(iter(self._lists))]
         known = self._lists.get(after_version)
         if known is None:
@@ -175,7 +175,7 @@
             # Another list came between: the whole one settles it.
             link.put(HostListRequest(-1))
 
-    def _confirmation(self, sequence: int) -> ConfirmReply:
+    def _confirm_reply(self, sequence: int) -> ConfirmReply:
         revision_age_seconds, host_list_age_seconds = self.own_ages()
         return ConfirmReply(
             sequence=sequence,
@@ -188,14 +188,14 @@
             store_era=self._follower.version.store_era,
         )
 
-    def _take_confirmation(self, link: Link, reply: ConfirmReply) -> None:
-        asked_at_seconds = self._asked_at.pop(reply.sequence, None)
-        if asked_at_seconds is None:
+    def _handle_confirm_reply(self, link: Link, reply: ConfirmReply) -> None:
+        requested_at_seconds = self._requested_at.pop(reply.sequence, None)
+        if requested_at_seconds is None:
             return
         version = TreeVersion(reply.revision, reply.store_era)
-        self._ask_for_newer(link, version, reply.host_list_version)
+        self._request_newer(link, version, reply.host_list_version)
         self._confirm(
-            asked_at_seconds,
+            requested_at_seconds,
             version,
             reply.revision_age_seconds,
             reply.host_list_version,
@@ -205,22 +205,22 @@
 
     def _confirm(
         self,
-        asked_at_seconds: float,
+        requested_at_seconds: float,
         version: TreeVersion,
         revision_age_seconds: float,
         list_version: int,
         list_age_seconds: float,
-        told: TargetsRead,
+        targets_read: TargetsRead,
     ) -> None:
         self.answered_at_seconds = self._read_clock()
         is_same = version.revision > 0 and version.is_same(self._follower.version)
         if is_same and self._follower.is_newest_in_force:
-            self._configuration.confirm(asked_at_seconds - revision_age_seconds)
+            self._configuration.confirm(requested_at_seconds - revision_age_seconds)
         if list_version == self._hosts.version:
-            self._hosts.confirm(asked_at_seconds - list_age_seconds)
-        if told.targets:
-            self._scheduler.post(told)
+            self._hosts.confirm(requested_at_seconds - list_age_seconds)
+        if targets_read.targets:
+            self._scheduler.post(targets_read)
 
 
-def _tellable(age_seconds: float) -> float:
-    return max(0.0, min(LONG_AGO_SECONDS, age_seconds))
+def _clamp_age(age_seconds: float) -> float:
+    return max(0.0, min(MAX_REPORTED_AGE_SECONDS, age_seconds))
--- a/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
@@ -125,7 +125,7 @@
         self._summaries.publish_own(has_surged=is_own)
         if not self._roles.is_relay():
             return
-        is_own = is_own and self._summaries.is_hall_surge()
+        is_own = is_own and self._summaries.is_hall_burst()
         if is_own or is_elsewhere:
             self._summaries.publish_fleet()
         if is_own:
@@ -139,7 +139,7 @@
     def _broadcast(self, update: Update) -> None:
         is_relay = self._roles.is_relay()
         self._links.broadcast(
-            update, lambda peer: is_relay or self._roles.is_told(peer)
+            update, lambda peer: is_relay or self._roles.is_recipient(peer)
         )
 
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
@@ -11,8 +11,8 @@
     ChannelPool as ChannelPool,
 )
 from ._client import (
-    UpstreamAnswer as UpstreamAnswer,
     UpstreamClient as UpstreamClient,
+    UpstreamResponse as UpstreamResponse,
     UpstreamStream as UpstreamStream,
 )
 from ._control import (
@@ -22,13 +22,13 @@
 )
 from ._sse import (
     DONE as DONE,
-    OrderKeeper as OrderKeeper,
+    SequenceFilter as SequenceFilter,
     StreamEvent as StreamEvent,
     format_event as format_event,
 )
 from ._stalls import (
-    Listening as Listening,
-    SilenceWatch as SilenceWatch,
+    ReadMonitor as ReadMonitor,
+    StallDetector as StallDetector,
 )
 from ._tasks import (
     CancelTask as CancelTask,
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -30,47 +30,47 @@
 from ._control import call_upstream
 
 #: Longest wait of one question, and what its answer may take beyond.
-WAIT_SECONDS = 1.0
-ANSWER_SECONDS = 0.5
+POLL_WAIT_SECONDS = 1.0
+RESPONSE_MARGIN_SECONDS = 0.5
 
 #: Time between two questions to one cache. Events come in all the time, so that a
 #: question seldom waits, and each one has its price; placements that hosts tell each
 #: other fill the time between.
-PERIOD_SECONDS = 0.7
+POLL_INTERVAL_SECONDS = 0.7
 
 #: Events in one answer from which the next question follows at once. Caches tell a few
 #: hundred at a time, the oldest first: at one answer a period a host that has just
 #: started would have all saved again before it knows what a cache holds.
-MANY_EVENTS_COUNT = 200
+FULL_RESPONSE_EVENTS_COUNT = 200
 
 #: Time from a host's start in which it reads the caches of its own hall only: the
 #: others' readers tell it theirs as soon as they are linked, at a part of the bytes.
-ALONE_AFTER_SECONDS = 1.0
+OWN_HALL_ONLY_SECONDS = 1.0
 
 #: Caches asked at once for what they told before this host listened: their answers are
 #: as long as they may be, and a weak link has requests to carry beside them.
-HISTORIES_AT_ONCE = 4
+MAX_CONCURRENT_BACKLOGS = 4
 
 #: Entries that went before a reader had caught up of which peers are told: what went in
 #: the second or two in which a reader before it was missing.
-TOLD_LOSSES_COUNT = 100
+MAX_REPORTED_EVICTIONS = 100
 
 #: Wait after a question that failed.
 FAILURE_PAUSE_SECONDS = 1.0
 
 #: Time between two looks at which caches this host is to read.
-ROLE_SECONDS = 1.0
+SCAN_INTERVAL_SECONDS = 1.0
 
 #: The same in the first moments of a host, until it knows which caches there are: until
 #: it has read them it takes each prompt for unknown and each runner for full.
-FIRST_ROLE_SECONDS = 0.02
-FIRST_MOMENTS_SECONDS = 3.0
+STARTUP_SCAN_SECONDS = 0.02
+STARTUP_SECONDS = 3.0
 
 log = PartLogger("cache")
 
 
 @attrs.frozen(repr=False)
-class Source(Shown):
+class CacheSource(Shown):
     """A cache whose events are read."""
 
     name: str
@@ -81,7 +81,7 @@
 
 
 @attrs.define(repr=False)
-class History(Shown):
+class EventBacklog(Shown):
     """What a cache told before this host had caught up with it, for peers.
 
     Engines remember thousands of events and hold some dozens of entries. Told event by
@@ -104,22 +104,22 @@
         """Return what is kept, and what went last; begin anew."""
         tokens_by_label, self._tokens = self._tokens, {}
         return [
-            CacheChanges(label, tuple(told), tuple(told.values()))
+            CacheChanges(label, tuple(reported), tuple(reported.values()))
             for label, known in tokens_by_label.items()
-            if (told := _without_old_losses(known))
+            if (reported := _without_old_evictions(known))
         ]
 
 
 @attrs.define(repr=False)
-class Reading(Shown):
+class ReadState(Shown):
     """Where the reading of one cache stands."""
 
     epoch: int | None = None
     since: int = 0
     #: Whether the last question was answered.
-    is_heard: bool = True
+    is_responding: bool = True
     #: What peers have not been told yet of the time before; none once they were.
-    history: History | None = attrs.field(factory=History)
+    backlog: EventBacklog | None = attrs.field(factory=EventBacklog)
 
 
 class CacheReaderTask:
@@ -133,7 +133,7 @@
         dialect: CacheDialect,
         salts: SaltBook,
         notify_peers: Callable[[CacheSeen], None],
-        list_neighbours: Callable[[], Neighbours],
+        list_peers: Callable[[], Neighbours],
     ) -> None:
         self._own = own
         self._scheduler = scheduler
@@ -141,14 +141,14 @@
         self._dialect = dialect
         self._salts = salts
         self._notify_peers = notify_peers
-        self._list_neighbours = list_neighbours
-        self._scopes: dict[Source, anyio.CancelScope] = {}
-        self._histories = anyio.CapacityLimiter(HISTORIES_AT_ONCE)
+        self._list_peers = list_peers
+        self._scopes: dict[CacheSource, anyio.CancelScope] = {}
+        self._backlog_slots = anyio.CapacityLimiter(MAX_CONCURRENT_BACKLOGS)
         self._began_seconds: float | None = None
         #: Whether any cache is known, read here or elsewhere.
-        self._knows_any = False
+        self._has_caches = False
         #: Caches that told all that they had, or did not answer.
-        self._caught_up: set[Source] = set()
+        self._caught_up: set[CacheSource] = set()
 
     async def run(self) -> None:
         """Read until cancelled."""
@@ -166,7 +166,7 @@
     @property
     def is_caught_up(self) -> bool:
         """Whether the caches that are read here are known, and what they hold."""
-        return self._knows_any and self._scopes.keys() <= self._caught_up
+        return self._has_caches and self._scopes.keys() <= self._caught_up
 
     def _age_seconds(self, now_seconds: float) -> float:
         """Return the time since this host first looked for caches."""
@@ -176,19 +176,21 @@
 
     def _pause_seconds(self, scheduler: Scheduler, now_seconds: float) -> float:
         """Return the time until the next look."""
-        is_first = self._age_seconds(now_seconds) < FIRST_MOMENTS_SECONDS
-        if is_first and not self._knows_any:
-            return FIRST_ROLE_SECONDS
-        return ROLE_SECONDS
+        is_first = self._age_seconds(now_seconds) < STARTUP_SECONDS
+        if is_first and not self._has_caches:
+            return STARTUP_SCAN_SECONDS
+        return SCAN_INTERVAL_SECONDS
 
     def read_names(self) -> set[str]:
         """Return the names of the caches that this host reads."""
         return {source.name for source in self._scopes}
 
-    def _list_sources(self, scheduler: Scheduler, now_seconds: float) -> set[Source]:
+    def _list_sources(
+        self, scheduler: Scheduler, now_seconds: float
+    ) -> set[CacheSource]:
         imports = scheduler.pool.imports
         sources = {
-            Source(
+            CacheSource(
                 upstream.name,
                 upstream.entry.hall,
                 upstream.entry.address,
@@ -198,101 +200,107 @@
             if upstream.is_runner and imports.service(upstream.entry.group) is not None
         }
         sources.update(
-            Source(store.name, store.hall, store.address) for store in imports.stores()
+            CacheSource(store.name, store.hall, store.address)
+            for store in imports.stores()
         )
         self._salts.prepare(_list_scopes(scheduler), _list_versions(scheduler))
-        self._knows_any = bool(sources)
-        near = self._list_neighbours()
-        if not near.halls and self._age_seconds(now_seconds) < ALONE_AFTER_SECONDS:
+        self._has_caches = bool(sources)
+        live_peers = self._list_peers()
+        if (
+            not live_peers.halls
+            and self._age_seconds(now_seconds) < OWN_HALL_ONLY_SECONDS
+        ):
             sources = {item for item in sources if item.hall == self._own.hall}
         return {
             source
             for source in sources
-            if is_cache_reader(self._own, source.name, source.hall, near)
+            if is_cache_reader(self._own, source.name, source.hall, live_peers)
         }
 
-    async def _follow(self, source: Source, scope: anyio.CancelScope) -> None:
-        reading = Reading()
+    async def _follow(self, source: CacheSource, scope: anyio.CancelScope) -> None:
+        state = ReadState()
         with scope:
             while True:
                 try:
-                    if await self._ask_in_turn(source, reading):
+                    if await self._poll_limited(source, state):
                         continue
                 except (AttemptError, DataError) as error:
-                    self._note_silence(source, reading, str(error))
-                    self._note_caught_up(source, reading)
+                    self._note_failure(source, state, str(error))
+                    self._note_caught_up(source, state)
                     await anyio.sleep(FAILURE_PAUSE_SECONDS)
-                self._note_caught_up(source, reading)
-                await sleep_on_grid(PERIOD_SECONDS)
+                self._note_caught_up(source, state)
+                await sleep_on_grid(POLL_INTERVAL_SECONDS)
 
-    async def _ask_in_turn(self, source: Source, reading: Reading) -> bool:
+    async def _poll_limited(self, source: CacheSource, state: ReadState) -> bool:
         """Ask for the next events; for those of the time before, a few at once."""
-        if reading.history is None:
-            return await self._ask(source, reading)
-        async with self._histories:
-            return await self._ask(source, reading)
+        if state.backlog is None:
+            return await self._poll(source, state)
+        async with self._backlog_slots:
+            return await self._poll(source, state)
 
-    async def _ask(self, source: Source, reading: Reading) -> bool:
+    async def _poll(self, source: CacheSource, state: ReadState) -> bool:
         """Ask for the next events; return whether there are likely more already."""
-        request = self._dialect.events(source.address, reading.since, WAIT_SECONDS)
+        request = self._dialect.events(source.address, state.since, POLL_WAIT_SECONDS)
         # Named apart from requests, so that a waiting call holds none of theirs up.
         head, body = await call_upstream(
             self._channels,
             f"{source.name} events",
             source.address,
             request,
-            WAIT_SECONDS + ANSWER_SECONDS,
+            POLL_WAIT_SECONDS + RESPONSE_MARGIN_SECONDS,
         )
         events = self._dialect.read_events(head, body)
-        if not reading.is_heard:
-            reading.is_heard = True
+        if not state.is_responding:
+            state.is_responding = True
             log.info("cache tells again", cache=source.name, epoch=events.epoch)
-        before = reading.since
-        is_new = reading.epoch not in (None, events.epoch)
-        reading.epoch = events.epoch
-        if is_new and events.next_number < reading.since:
+        before = state.since
+        is_new = state.epoch not in (None, events.epoch)
+        state.epoch = events.epoch
+        if is_new and events.next_number < state.since:
             # Numbers began anew, too: the answer may have left the first ones out.
-            reading.since = 0
+            state.since = 0
             events = attrs.evolve(events, events=[])
         else:
-            reading.since = events.next_number
+            state.since = events.next_number
         is_reset = is_new and not source.incarnation
-        self._pass_on(source, events, is_reset, reading.history)
-        return len(events.events) >= MANY_EVENTS_COUNT and reading.since > before
+        self._publish(source, events, is_reset, state.backlog)
+        return len(events.events) >= FULL_RESPONSE_EVENTS_COUNT and state.since > before
 
-    def _note_caught_up(self, source: Source, reading: Reading) -> None:
+    def _note_caught_up(self, source: CacheSource, state: ReadState) -> None:
         """Tell peers what came of all events up to now, at the first time."""
         self._caught_up.add(source)
-        if reading.history is None:
+        if state.backlog is None:
             return
-        changes = reading.history.take()
-        reading.history = None
+        changes = state.backlog.take()
+        state.backlog = None
         if changes:
             self._notify_peers(CacheSeen(source.name, tuple(changes)))
 
-    def _note_silence(self, source: Source, reading: Reading, error: str) -> None:
-        if reading.is_heard:
+    def _note_failure(self, source: CacheSource, state: ReadState, error: str) -> None:
+        if state.is_responding:
             log.problem("cache does not tell", cache=source.name, error=error)
-        reading.is_heard = False
+        state.is_responding = False
 
-    def _pass_on(
+    def _publish(
         self,
-        source: Source,
+        source: CacheSource,
         events: CacheEvents,
         is_reset: bool,
-        history: History | None,
+        backlog: EventBacklog | None,
     ) -> None:
         changes = self._translate(source, events)
         if not changes and not is_reset:
             return
         seen = CacheSeen(source.name, tuple(changes), is_reset)
         self._scheduler.post(seen)
-        if history is not None and not is_reset:
-            history.add(changes)
+        if backlog is not None and not is_reset:
+            backlog.add(changes)
         else:
             self._notify_peers(seen)
 
-    def _translate(self, source: Source, events: CacheEvents) -> list[CacheChanges]:
+    def _translate(
+        self, source: CacheSource, events: CacheEvents
+    ) -> list[CacheChanges]:
         by_version: dict[int, dict[bytes, int]] = {}
         for event in events.events:
             meaning = self._salts.find(event.salt)
@@ -306,14 +314,14 @@
         ]
 
 
-def _without_old_losses(known: dict[bytes, int]) -> dict[bytes, int]:
+def _without_old_evictions(known: dict[bytes, int]) -> dict[bytes, int]:
     """Return the entries that are kept, and those of the others that went last."""
-    lost = [prefix for prefix, tokens in known.items() if not tokens]
-    old = set(lost[:-TOLD_LOSSES_COUNT])
+    evicted = [prefix for prefix, tokens in known.items() if not tokens]
+    old = set(evicted[:-MAX_REPORTED_EVICTIONS])
     return {prefix: tokens for prefix, tokens in known.items() if prefix not in old}
 
 
-def _label(source: Source, version: int) -> str:
+def _label(source: CacheSource, version: int) -> str:
     if source.incarnation:
         return life_label(Life(source.incarnation, version))
     return life_label(kept_life(version))
--- a/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
@@ -29,11 +29,11 @@
 
 #: Rest after which a connection is closed where the upstream names no bound; common
 #: servers keep idle connections for at least five seconds.
-DEFAULT_REST_SECONDS = 4.0
+DEFAULT_IDLE_SECONDS = 4.0
 
 #: Part of the upstream's own bound that is used: the rest is for the way there, and
 #: for the one that closes a little early.
-REST_RATIO = 0.85
+IDLE_LIMIT_RATIO = 0.85
 
 #: Largest head of an answer.
 MAX_HEAD_BYTES = 65536
@@ -61,8 +61,8 @@
     _socket: TcpSocket
     _connection: h11.Connection = attrs.field(init=False)
     #: How long it may rest; the upstream's answers may change it.
-    max_rest_seconds: float = DEFAULT_REST_SECONDS
-    rested_since_seconds: float = 0.0
+    max_rest_seconds: float = DEFAULT_IDLE_SECONDS
+    idle_since_seconds: float = 0.0
     requests_count: int = 0
     #: Whether bytes of the present request have been handed to the socket.
     has_sent: bool = False
@@ -145,17 +145,17 @@
         if (connection.our_state, connection.their_state) != (h11.DONE, h11.DONE):
             return False
         connection.start_next_cycle()
-        self._socket.rest()
+        self._socket.unwatch()
         return not self._socket.is_readable()
 
-    def note_rest_bound(self, seconds: float) -> None:
+    def set_idle_limit(self, seconds: float) -> None:
         """Take the upstream's own bound on how long the connection may rest."""
-        self.max_rest_seconds = seconds * REST_RATIO
+        self.max_rest_seconds = seconds * IDLE_LIMIT_RATIO
 
-    def may_rest_on(self, now_seconds: float) -> bool:
+    def may_stay_idle(self, now_seconds: float) -> bool:
         """Return whether a resting connection may still be used."""
-        rested_seconds = now_seconds - self.rested_since_seconds
-        return rested_seconds < self.max_rest_seconds and not self._socket.is_readable()
+        idle_seconds = now_seconds - self.idle_since_seconds
+        return idle_seconds < self.max_rest_seconds and not self._socket.is_readable()
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -183,7 +183,7 @@
 class _UpstreamChannels(Shown):
     """Connections to one upstream in one life."""
 
-    resting: list[Channel] = attrs.field(factory=list)
+    idle: list[Channel] = attrs.field(factory=list)
     open_count: int = 0
 
 
@@ -205,7 +205,7 @@
 
     async def __aexit__(self, *details: object) -> None:
         for channels in self._by_upstream.values():
-            for channel in channels.resting:
+            for channel in channels.idle:
                 channel.close()
         self._by_upstream.clear()
 
@@ -224,26 +224,26 @@
         which stops whatever the upstream still does for it.
         """
         channels = self._by_upstream.setdefault(upstream, _UpstreamChannels())
-        channel = self._take_resting(channels)
+        channel = self._take_idle(channels)
         if channel is None:
             channel = await self._open(channels, upstream, address, max_count, reason)
-        is_whole = False
+        is_complete = False
         try:
             yield channel
-            is_whole = channel.is_reusable()
+            is_complete = channel.is_reusable()
         finally:
-            if is_whole and channel.max_rest_seconds > 0.0:
-                channel.rested_since_seconds = self._read_clock()
-                channels.resting.append(channel)
+            if is_complete and channel.max_rest_seconds > 0.0:
+                channel.idle_since_seconds = self._read_clock()
+                channels.idle.append(channel)
             else:
                 channels.open_count -= 1
                 channel.close()
 
-    def _take_resting(self, channels: _UpstreamChannels) -> Channel | None:
+    def _take_idle(self, channels: _UpstreamChannels) -> Channel | None:
         # The one that rested least goes first, so that the others can expire.
-        while channels.resting:
-            channel = channels.resting.pop()
-            if channel.may_rest_on(self._read_clock()):
+        while channels.idle:
+            channel = channels.idle.pop()
+            if channel.may_stay_idle(self._read_clock()):
                 return channel
             channels.open_count -= 1
             channel.close()
@@ -280,16 +280,16 @@
         while True:
             await sleep_on_grid(SWEEP_SECONDS)
             for upstream, channels in list(self._by_upstream.items()):
-                self._sweep_one(channels)
+                self._close_expired(channels)
                 if not channels.open_count:
                     self._by_upstream.pop(upstream, None)
 
-    def _sweep_one(self, channels: _UpstreamChannels) -> None:
+    def _close_expired(self, channels: _UpstreamChannels) -> None:
         now_seconds = self._read_clock()
-        resting, channels.resting = channels.resting, []
-        spent = [item for item in resting if not item.may_rest_on(now_seconds)]
-        channels.resting += [item for item in resting if item not in spent]
-        for channel in spent:
+        idle, channels.idle = channels.idle, []
+        expired = [item for item in idle if not item.may_stay_idle(now_seconds)]
+        channels.idle += [item for item in idle if item not in expired]
+        for channel in expired:
             channels.open_count -= 1
             channel.close()
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -73,29 +73,33 @@
         peer: str,
         headers: RawHeaders = (),
         body: bytes = b"",
-    ) -> AsyncIterator["UpstreamAnswer"]:
+    ) -> AsyncIterator["UpstreamResponse"]:
         """Send a request and yield its answer; errors are AttemptError."""
         length = str(len(body)).encode()
-        sent = [(b"host", address.encode()), *headers, (b"content-length", length)]
+        request_headers = [
+            (b"host", address.encode()),
+            *headers,
+            (b"content-length", length),
+        ]
         async with self._channels.borrow(peer, address) as channel:
-            await channel.send(method, target, sent, body)
-            with self._silence(step, peer):
+            await channel.send(method, target, request_headers, body)
+            with self._read_timeout(step, peer):
                 head = await channel.receive_head()
-            yield UpstreamAnswer(head, self._pieces(channel, step, peer))
+            yield UpstreamResponse(head, self._pieces(channel, step, peer))
 
     async def _pieces(
         self, channel: Channel, step: str, peer: str
     ) -> AsyncIterator[bytes]:
         pieces = channel.receive_pieces()
         while True:
-            with self._silence(step, peer):
+            with self._read_timeout(step, peer):
                 piece = await anext(pieces, None)
             if piece is None:
                 return
             yield piece
 
-    def _silence(self, step: str, peer: str) -> "_SilenceBound":
-        return _SilenceBound(self._silence_timeout_seconds, step, peer)
+    def _read_timeout(self, step: str, peer: str) -> "_ReadTimeout":
+        return _ReadTimeout(self._silence_timeout_seconds, step, peer)
 
     @asynccontextmanager
     async def start_stream(
@@ -110,8 +114,8 @@
             peer=dispatch.upstream,
             headers=[(b"x-request-id", dispatch.attempt_id.encode()), JSON],
             body=content,
-        ) as answer:
-            yield UpstreamStream(answer, dispatch.upstream, self._max_event_bytes)
+        ) as response:
+            yield UpstreamStream(response, dispatch.upstream, self._max_event_bytes)
 
     @asynccontextmanager
     async def resume_stream(
@@ -128,8 +132,8 @@
         target = f"/v1/streams/{attempt_id}?position={position}&shape={shape}"
         async with self.request(
             "GET", address, target, step="resume stream", peer=upstream
-        ) as answer:
-            yield UpstreamStream(answer, upstream, self._max_event_bytes)
+        ) as response:
+            yield UpstreamStream(response, upstream, self._max_event_bytes)
 
     async def cancel(self, address: str, upstream: str, attempt_id: str) -> None:
         """Stop an attempt that nobody waits for any more."""
@@ -172,7 +176,7 @@
         )
 
 
-class _SilenceBound:
+class _ReadTimeout:
     """A wait for an upstream that becomes an AttemptError when it lasts too long."""
 
     def __init__(self, seconds: float, step: str, peer: str) -> None:
@@ -195,7 +199,7 @@
 
 
 @attrs.frozen(repr=False)
-class UpstreamAnswer(Shown):
+class UpstreamResponse(Shown):
     """An answer under way."""
 
     head: AnswerHead
@@ -219,12 +223,12 @@
     """An answer under way."""
 
     def __init__(
-        self, answer: UpstreamAnswer, upstream: str, max_event_bytes: int
+        self, response: UpstreamResponse, upstream: str, max_event_bytes: int
     ) -> None:
-        self._status = answer.status
-        self.head = answer.head
-        self._headers = answer.texts()
-        self._pieces = answer.pieces
+        self._status = response.status
+        self.head = response.head
+        self._headers = response.texts()
+        self._pieces = response.pieces
         self._upstream = upstream
         self._max_event_bytes = max_event_bytes
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/_sse.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_sse.py
@@ -35,13 +35,13 @@
     def __init__(self, max_event_bytes: int, peer: str) -> None:
         self._max_event_bytes = max_event_bytes
         self._peer = peer
-        self._rest = b""
+        self._buffered = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events that these bytes complete."""
-        buffer = self._rest + data.replace(b"\r\n", b"\n")
-        *blocks, self._rest = buffer.split(EVENT_END)
-        if len(self._rest) > self._max_event_bytes:
+        buffer = self._buffered + data.replace(b"\r\n", b"\n")
+        *blocks, self._buffered = buffer.split(EVENT_END)
+        if len(self._buffered) > self._max_event_bytes:
             raise self._error(f"event larger than {self._max_event_bytes} bytes")
         return [self._parse(block) for block in blocks if block]
 
@@ -64,7 +64,7 @@
         return AttemptError(message, outcome=Outcome.BROKEN, step=STEP, peer=self._peer)
 
 
-class OrderKeeper:
+class SequenceFilter:
     """Lets each position pass once and in order."""
 
     def __init__(self, next_position: int, peer: str) -> None:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
@@ -13,62 +13,62 @@
 from rampwick_schema import Shown
 
 #: Time between two looks: small against the bounds in use.
-LOOK_SECONDS = 0.2
+CHECK_INTERVAL_SECONDS = 0.2
 
 
 @attrs.define(eq=False, repr=False)
-class Listening(Shown):
+class ReadMonitor(Shown):
     """An answer under way; its reader notes when it waits and when it does not."""
 
-    bound_seconds: float
+    timeout_seconds: float
     #: Since when the reader has been waiting for a piece; nothing while it is not.
     waiting_since_seconds: float | None = None
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
-    is_silent: bool = False
+    has_stalled: bool = False
 
 
-class SilenceWatch:
+class StallDetector:
     """Breaks off the reading of answers whose upstreams say nothing for too long."""
 
     def __init__(self, read_clock: Callable[[], float]) -> None:
         self._read_clock = read_clock
-        self._open: set[Listening] = set()
-        self._has_any = anyio.Event()
+        self._active: set[ReadMonitor] = set()
+        self._has_reads = anyio.Event()
 
     @contextmanager
-    def listen(self, bound_seconds: float) -> Iterator[Listening]:
+    def monitor(self, timeout_seconds: float) -> Iterator[ReadMonitor]:
         """Watch an answer for the length of the context.
 
         Silence ends the context early, without an error, and sets ``is_silent``.
         """
-        listening = Listening(bound_seconds)
-        self._open.add(listening)
-        self._has_any.set()
+        read = ReadMonitor(timeout_seconds)
+        self._active.add(read)
+        self._has_reads.set()
         try:
-            with listening.scope:
-                yield listening
+            with read.scope:
+                yield read
         finally:
-            self._open.discard(listening)
+            self._active.discard(read)
 
-    def note_waiting(self, listening: Listening) -> None:
+    def note_waiting(self, read: ReadMonitor) -> None:
         """Note that the reader waits for the next piece from now on."""
-        listening.waiting_since_seconds = self._read_clock()
+        read.waiting_since_seconds = self._read_clock()
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            if not self._open:
-                self._has_any = anyio.Event()
-                await self._has_any.wait()
-            await anyio.sleep(LOOK_SECONDS)
-            self.look(self._read_clock())
+            if not self._active:
+                self._has_reads = anyio.Event()
+                await self._has_reads.wait()
+            await anyio.sleep(CHECK_INTERVAL_SECONDS)
+            self.check(self._read_clock())
 
-    def look(self, now_seconds: float) -> None:
+    def check(self, now_seconds: float) -> None:
         """Break off what has been silent for too long."""
-        for listening in list(self._open):
-            since_seconds = listening.waiting_since_seconds
+        for read in list(self._active):
+            since_seconds = read.waiting_since_seconds
             if since_seconds is None:
                 continue
-            if now_seconds - since_seconds > listening.bound_seconds:
-                listening.is_silent = True
-                listening.scope.cancel()
+            if now_seconds - since_seconds > read.timeout_seconds:
+                read.has_stalled = True
+                read.scope.cancel()
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
@@ -12,7 +12,7 @@
 from ._control import UpstreamControl
 
 #: Time between two looks at which upstreams are to be probed; a new doubt comes first.
-LOOK_INTERVAL_SECONDS = 1.0
+MAX_PROBE_WAIT_SECONDS = 1.0
 
 log = PartLogger("upstreams")
 
@@ -41,7 +41,7 @@
                         now_seconds
                     )
                 )
-                with move_on_at_grid(min(pause_seconds, LOOK_INTERVAL_SECONDS)):
+                with move_on_at_grid(min(pause_seconds, MAX_PROBE_WAIT_SECONDS)):
                     await has_doubt.wait()
 
     async def _probe(self, entry: HostEntry) -> None:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
@@ -64,7 +64,7 @@
                 # Woken for bytes that an earlier read has taken already.
                 continue
 
-    def rest(self) -> None:
+    def unwatch(self) -> None:
         """Watch for bytes no more, since nobody is going to ask for them."""
         if self._is_watched:
             self._is_watched = False
@@ -99,7 +99,7 @@
     def close(self) -> None:
         """Close the connection; what the peer still sends is lost."""
         if not self._is_closed:
-            self.rest()
+            self.unwatch()
             self._is_closed = True
             self._raw.close()
 
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -105,21 +105,21 @@
 
     def test_in_a_small_fleet_everybody_is_told(self):
         mail, links = self.fleet("h1", per_hall=3)
-        mail.tell(seen("a", {b"x" * 8: 5}))
-        mail._hand_on()
+        mail.publish(seen("a", {b"x" * 8: 5}))
+        mail._flush()
         self.assertEqual({"h0", "h2", "k0", "k1", "k2"}, set(links.sent))
 
     def test_in_a_large_fleet_only_the_relay_is_told(self):
         mail, links = self.fleet("h5", per_hall=10)
-        mail.tell(seen("a", {b"x" * 8: 5}))
-        mail._hand_on()
+        mail.publish(seen("a", {b"x" * 8: 5}))
+        mail._flush()
         self.assertEqual({"h0"}, set(links.sent))
 
     def test_the_relay_tells_its_hall_and_the_other_halls(self):
         mail, links = self.fleet("h0", per_hall=10)
         peer = FakeLink(links.link_to("h5"))
         mail.take(peer, to_cache_event_update([seen("a", {b"x" * 8: 5})]))
-        mail._hand_on()
+        mail._flush()
         self.assertEqual(1, len(self.posted))
         self.assertEqual(19, len(links.sent))
 
@@ -129,14 +129,14 @@
             FakeLink(links.link_to("k0")),
             to_cache_event_update([seen("a", {b"x" * 8: 5})]),
         )
-        mail._hand_on()
+        mail._flush()
         self.assertEqual({f"h{number}" for number in range(1, 10)}, set(links.sent))
 
     def test_without_a_link_to_the_relay_the_hall_is_told(self):
         mail, links = self.fleet("h5", per_hall=10)
         links.peers = [peer for peer in links.peers if peer.name != "h0"]
-        mail.tell(seen("a", {b"x" * 8: 5}))
-        mail._hand_on()
+        mail.publish(seen("a", {b"x" * 8: 5}))
+        mail._flush()
         self.assertEqual(8, len(links.sent))
 
 
--- a/tests/test_first_moments.py
+++ b/tests/test_first_moments.py
@@ -8,12 +8,12 @@
 
 from rampwick_policy import Member, SaltBook, Scheduler, is_cache_reader
 from rampwick_router._scheduler_task import SchedulerTask
-from rampwick_router.peers._roles import UNHEARD_SECONDS, Roles
+from rampwick_router.peers._roles import ASSUMED_ALIVE_SECONDS, Roles
 from rampwick_router.upstream._cache_reader import (
-    HISTORIES_AT_ONCE,
+    MAX_CONCURRENT_BACKLOGS,
     CacheReaderTask,
-    Reading,
-    Source,
+    CacheSource,
+    ReadState,
 )
 from rampwick_schema import parse_settings
 
@@ -55,7 +55,7 @@
             clock = SimpleNamespace(now=100.0)
             roles = self.roles(member, clock)
             clock.now += after_seconds
-            near = roles.neighbours_at_work()
+            near = roles.cache_reading_peers()
             for name, hall in CACHES:
                 if is_cache_reader(member, name, hall, near):
                     by_cache[name] += 1
@@ -69,7 +69,7 @@
         self.assertLessEqual(max(by_host.values()), 6)
 
     def test_one_that_hears_nobody_for_long_reads_for_itself(self):
-        by_cache, _ = self.readers(after_seconds=UNHEARD_SECONDS + 0.1)
+        by_cache, _ = self.readers(after_seconds=ASSUMED_ALIVE_SECONDS + 0.1)
         self.assertEqual({90}, set(by_cache.values()))
 
     def test_a_few_histories_are_asked_for_at_once(self):
@@ -92,12 +92,12 @@
                 open_count["all"] += 1
                 return False
 
-            reader._ask = ask
+            reader._poll = ask
             async with anyio.create_task_group() as tasks:
                 for name, hall in CACHES:
-                    source = Source(name, hall, f"{name}:1", name)
-                    tasks.start_soon(reader._ask_in_turn, source, Reading())
+                    source = CacheSource(name, hall, f"{name}:1", name)
+                    tasks.start_soon(reader._poll_limited, source, ReadState())
 
         anyio.run(main)
-        self.assertEqual(HISTORIES_AT_ONCE, open_count["most"])
+        self.assertEqual(MAX_CONCURRENT_BACKLOGS, open_count["most"])
         self.assertEqual(len(CACHES), open_count["all"])
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -131,7 +131,7 @@
     async def dial(self, host, secret, name="entry-9"):
         stream = await PeerStream.connect(host.addresses.peer, 10_000, Metrics())
         identity = Member(name, "trnava", "127.0.0.1:1", 1)
-        return stream, await stream.shake_hands(identity, secret)
+        return stream, await stream.handshake(identity, secret)
 
     def test_stranger_without_the_secret_is_not_heard(self):
         async def scenario(bench):
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -24,7 +24,7 @@
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.control._configuration import ConfigurationTask
 from rampwick_router.control._host_lists import HostListTask
-from rampwick_router.control._reader_role import ReadingRole
+from rampwick_router.control._reader_role import ReaderRole
 from rampwick_router.peers._sync import PeerSync
 from rampwick_schema import (
     HostEntry,
@@ -110,7 +110,7 @@
         host = Host()
         host.configuration.confirm(host.now_seconds)
         host.hosts.confirm(host.now_seconds)
-        return ReadingRole(
+        return ReaderRole(
             table,
             lambda: live - {table.own.name},
             lambda: live - {table.own.name},
@@ -156,7 +156,7 @@
             table = MemberTable(member)
             if knows_others:
                 table.learn(members)
-            role = ReadingRole(
+            role = ReaderRole(
                 table,
                 set,
                 set,
@@ -198,7 +198,7 @@
                 record = LeaseRecord("h0", "w", 10.0)
                 lease.note_written(record, 7, write_began_seconds=NOW_SECONDS)
             link = Wire(peer=Member("h1", "h", "h1:1"))
-            daemon._gossip._note_opened(link)
+            daemon._gossip._on_link_opened(link)
             return [type(message) for message in link.messages]
 
         return anyio.run(main)
@@ -294,7 +294,7 @@
 
     def tell(self, teller, asker):
         question, answer = Wire(), Wire()
-        asker.sync.ask_ages(question)
+        asker.sync.request_ages(question)
         teller.sync.take(answer, question.messages[0])
         asker.sync.take(question, answer.messages[0])
 
@@ -406,7 +406,7 @@
         reader, asker = Host(), Host()
         reader.hear(WeightsTarget("m", 3))
         question, answer = Wire(), Wire()
-        asker.sync.ask_ages(question)
+        asker.sync.request_ages(question)
         reader.sync.take(answer, question.messages[0])
         asker.sync.take(question, answer.messages[0])
         self.assertEqual([WeightsTarget("m", 3)], asker.scheduler.targets())
@@ -437,7 +437,7 @@
         reader.hear(WeightsTarget("m", 2))
         asker.hear(WeightsTarget("m", 3))
         question, answer = Wire(), Wire()
-        asker.sync.ask_ages(question)
+        asker.sync.request_ages(question)
         reader.sync.take(answer, question.messages[0])
         asker.sync.take(question, answer.messages[0])
         self.assertEqual([WeightsTarget("m", 3)], asker.scheduler.targets())
--- a/tests/test_restored_trees.py
+++ b/tests/test_restored_trees.py
@@ -76,10 +76,10 @@
             self.clock.now,
             store_version=join_version(era, store),
         )
-        self.source._take(state)
+        self.source._apply_state(state)
 
     def pass_held(self):
-        self.source._take(self.source._last_state)
+        self.source._apply_state(self.source._last_state)
 
     @property
     def age_seconds(self):
@@ -188,7 +188,7 @@
             host = Host(SimpleNamespace(now=0.0))
             host.read(0, 40, 50, make_tree(22))
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(host.source._take_held)
+                tasks.start_soon(host.source._apply_held)
                 await anyio.lowlevel.checkpoint()
                 host.read(1, 30, 45, make_tree(18))
                 host.clock.now = COPY_HOLD_SECONDS
@@ -252,10 +252,10 @@
             summary = Summary(
                 1, version.revision, -1, False, [], [], [], store_era=version.store_era
             )
-            host.sync.compare(Link(host, peer), summary)
+            host.sync.request_missing(Link(host, peer), summary)
 
     def ask(self):
-        self.other.sync.ask_ages(Link(self.other, self.one))
+        self.other.sync.request_ages(Link(self.other, self.one))
 
     @property
     def revisions(self):
@@ -292,7 +292,7 @@
         sent = []
         link = SimpleNamespace(put=sent.append)
         self.one.sync.take(link, ConfirmRequest(1))
-        self.other.sync._asked_at[1] = self.clock.now
+        self.other.sync._requested_at[1] = self.clock.now
         self.other.sync.take(SimpleNamespace(put=sent.append), sent[0])
         self.assertGreater(self.other.age_seconds, 5.0)
         self.assertIsInstance(sent[1], ChangesRequest)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -288,7 +288,7 @@
         news = MemberUpdates(Links())
         for member in members:
             news.add([member], member.name)
-        news.tell()
+        news.flush()
         return len(told)
 
     def test_messages_grow_with_links_and_not_with_links_times_hosts(self):
@@ -304,6 +304,6 @@
 
         news = MemberUpdates(Links())
         news.add([Member("c", "hall", "c:1")], "a")
-        news.tell()
-        news.tell()
+        news.flush()
+        news.flush()
         self.assertEqual(["b"], told)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -16,7 +16,7 @@
     TreeInForce,
     TreeView,
 )
-from rampwick_router.upstream._stalls import SilenceWatch
+from rampwick_router.upstream._stalls import StallDetector
 from rampwick_schema import (
     HostEntry,
     HostList,
@@ -32,21 +32,21 @@
     def setUp(self):
         super().setUp()
         self.now_seconds = 10.0
-        self.watch = SilenceWatch(lambda: self.now_seconds)
+        self.detector = StallDetector(lambda: self.now_seconds)
 
-    def read(self, *steps, bound_seconds=1.0):
+    def read(self, *steps, timeout_seconds=1.0):
         """Return whether reading was broken off; each step is waiting and time."""
 
         async def main():
-            with self.watch.listen(bound_seconds) as listening:
+            with self.detector.monitor(timeout_seconds) as monitored:
                 for is_waiting, seconds in steps:
-                    listening.waiting_since_seconds = None
+                    monitored.waiting_since_seconds = None
                     if is_waiting:
-                        self.watch.note_waiting(listening)
+                        self.detector.note_waiting(monitored)
                     self.now_seconds += seconds
-                    self.watch.look(self.now_seconds)
+                    self.detector.check(self.now_seconds)
                     await anyio.sleep(0)
-            return listening.is_silent
+            return monitored.has_stalled
 
         return anyio.run(main)
 
@@ -60,11 +60,11 @@
         self.assertFalse(self.read((True, 0.9), (False, 30.0), (True, 0.9)))
 
     def test_without_a_bound_nothing_is_broken_off(self):
-        self.assertFalse(self.read((True, 1e6), bound_seconds=float("inf")))
+        self.assertFalse(self.read((True, 1e6), timeout_seconds=float("inf")))
 
     def test_what_has_ended_is_looked_at_no_more(self):
         self.read((True, 0.1))
-        self.assertEqual(set(), self.watch._open)
+        self.assertEqual(set(), self.detector._active)
 
 
 class SilentHallTest(TestCase):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -51,9 +51,9 @@
 from rampwick_router._errors import AttemptError
 from rampwick_router._metrics import Metrics
 from rampwick_router._scheduler_task import SchedulerTask
-from rampwick_router.control._lease_manager import LeaseKeeper
-from rampwick_router.control._rollout_controller import StewardTask
-from rampwick_router.control._target_sources import WatchedTargets
+from rampwick_router.control._lease_manager import LeaseManager
+from rampwick_router.control._rollout_controller import RolloutController
+from rampwick_router.control._target_sources import WatchedTargetSource
 from rampwick_router.peers._links import Link, PeerLinks
 from rampwick_schema import HostEntry, HostList, WeightsTarget, parse_settings
 from rampwick_standin import address_of, bind_loopback
@@ -123,7 +123,7 @@
     def test_a_version_is_known_in_time_though_the_watch_hears_nothing(self):
         store = DeafStore()
         scheduler = SchedulerTask(Scheduler(read_settings("e")), store.read_clock)
-        targets = WatchedTargets(
+        targets = WatchedTargetSource(
             store,
             ReadsVersions(),
             scheduler,
@@ -205,7 +205,7 @@
         return self.now_seconds
 
     def is_now(self, link):
-        return link.heard_at_seconds == self.now_seconds
+        return link.received_at_seconds == self.now_seconds
 
 
 class SilentLinkTest(ScenarioCase):
@@ -255,7 +255,7 @@
                 for _ in range(30):
                     clock.now_seconds += 1.0
                     for side, link in zip((one, two), links, strict=True):
-                        side.keep_link(link, clock.now_seconds)
+                        side.check_link(link, clock.now_seconds)
                     await until(lambda: all(clock.is_now(link) for link in links))
                 self.assertEqual(links, [one.links[0], two.links[0]])
                 tasks.cancel_scope.cancel()
@@ -275,7 +275,7 @@
             clock.read,
         )
         # The test looks at the links itself, in stepped time.
-        links.keep_links = anyio.sleep_forever
+        links.monitor_links = anyio.sleep_forever
         tasks.start_soon(links.run, listener)
         return links
 
@@ -287,9 +287,9 @@
         async def main():
             link = Link.open(Member("p", "h", "p:1"), 100.0)
             found = []
-            for now_seconds, heard_at_seconds in times:
-                link.heard_at_seconds = heard_at_seconds
-                found.append(link.is_silent(now_seconds, 3.0))
+            for now_seconds, received_at_seconds in times:
+                link.received_at_seconds = received_at_seconds
+                found.append(link.is_unresponsive(now_seconds, 3.0))
             return found
 
         return anyio.run(main)
@@ -362,10 +362,10 @@
         store = SteppedStore()
         settings = read_settings("a")
         scheduler = SchedulerTask(Scheduler(settings), store.read_clock)
-        steward = StewardTask(
+        steward = RolloutController(
             store, settings, scheduler, None, store.read_clock, NoJitter()
         )
-        targets = WatchedTargets(
+        targets = WatchedTargetSource(
             store,
             ReadsVersions(),
             scheduler,
@@ -449,7 +449,7 @@
             api = SlowAnswers()
             lease = LeaseWatcher("a", 10.0, 5.0)
             store = LeaseStore(api, "leases/l")
-            keeper = LeaseKeeper(store, lease, lambda: 0.0, clock.read)
+            keeper = LeaseManager(store, lease, lambda: 0.0, clock.read)
             await keeper.keep(is_candidate=True)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(keeper.fencing_number, 6.0)
@@ -515,7 +515,7 @@
     def make(self, name, api):
         settings = read_settings(name)
         scheduler = SchedulerTask(Scheduler(settings), lambda: self.now_seconds)
-        return StewardTask(
+        return RolloutController(
             api,
             settings,
             scheduler,
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -38,11 +38,11 @@
 from rampwick_router.peers._directory import PeerDirectory
 from rampwick_router.peers._messages import cache_events
 from rampwick_router.upstream._cache_reader import (
-    FIRST_ROLE_SECONDS,
-    ROLE_SECONDS,
-    TOLD_LOSSES_COUNT,
+    MAX_REPORTED_EVICTIONS,
+    SCAN_INTERVAL_SECONDS,
+    STARTUP_SCAN_SECONDS,
     CacheReaderTask,
-    Source,
+    CacheSource,
 )
 from rampwick_schema import (
     HostEntry,
@@ -124,7 +124,7 @@
                 lambda: True,
                 random.Random(1),
             )
-            directory.note_found = lambda: found.extend(
+            directory.on_records_read = lambda: found.extend(
                 member.name for member in directory.members()
             )
             async with anyio.create_task_group() as tasks:
@@ -147,12 +147,12 @@
                 lambda: True,
                 random.Random(1),
             )
-            await directory._look(is_first=False)
+            await directory._refresh(is_first=False)
             api.store = ObjectStore()
-            await directory._look(is_first=False)
+            await directory._refresh(is_first=False)
             self.assertIsNone(await api.get("peers/e"))
             api.era = 1
-            await directory._look(is_first=False)
+            await directory._refresh(is_first=False)
             return await api.get("peers/e")
 
         self.assertIsNotNone(anyio.run(main))
@@ -183,12 +183,12 @@
         table = MemberTable(Member("e", "h", "e:1"))
         table.learn(Member(f"k{n}", "h", f"k{n}:1") for n in range(hosts_count - 1))
         mail = CacheOutbox(table, None, scheduler, set)
-        mail.list_read = lambda: names
+        mail.list_read_caches = lambda: names
         return mail
 
     def test_the_caches_read_here_are_told(self):
         link = RecordingLink()
-        self.mail({"r"}).greet(link)
+        self.mail({"r"}).send_initial_state(link)
         (seen,) = cache_events(link.sent[0])
         self.assertEqual("r", seen.upstream)
         (changes,) = seen.changes
@@ -198,13 +198,13 @@
 
     def test_nothing_is_told_of_caches_that_others_read(self):
         link = RecordingLink()
-        self.mail(set()).greet(link)
-        self.mail({"other"}).greet(link)
+        self.mail(set()).send_initial_state(link)
+        self.mail({"other"}).send_initial_state(link)
         self.assertEqual([], link.sent)
 
     def test_in_a_large_fleet_the_changes_alone_are_told(self):
         link = RecordingLink()
-        self.mail({"r"}, hosts_count=30).greet(link)
+        self.mail({"r"}, hosts_count=30).send_initial_state(link)
         self.assertEqual([], link.sent)
 
     def test_of_a_store_only_its_own_word_is_told(self):
@@ -264,8 +264,8 @@
         reader = CacheReaderTask(
             own, self, None, cache, SaltBook("s"), self.told.append, Neighbours
         )
-        source = Source("r", "h", "r:1", "r")
-        reader._knows_any = True
+        source = CacheSource("r", "h", "r:1", "r")
+        reader._has_caches = True
 
         async def main():
             reader._scopes[source] = anyio.CancelScope()
@@ -353,7 +353,7 @@
         tokens = self.told_prefixes([500])
         self.assertEqual(3, sum(count > 0 for count in tokens.values()))
         lost = sum(count == 0 for count in tokens.values())
-        self.assertEqual(TOLD_LOSSES_COUNT, lost)
+        self.assertEqual(MAX_REPORTED_EVICTIONS, lost)
 
 
 class FirstRolesTest(TestCase):
@@ -387,10 +387,10 @@
         reader = CacheReaderTask(
             Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
         )
-        self.assertEqual(FIRST_ROLE_SECONDS, reader._pause_seconds(None, 10.0))
-        self.assertEqual(ROLE_SECONDS, reader._pause_seconds(None, 14.0))
+        self.assertEqual(STARTUP_SCAN_SECONDS, reader._pause_seconds(None, 10.0))
+        self.assertEqual(SCAN_INTERVAL_SECONDS, reader._pause_seconds(None, 14.0))
         reader = CacheReaderTask(
             Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
         )
-        reader._knows_any = True
-        self.assertEqual(ROLE_SECONDS, reader._pause_seconds(None, 10.0))
+        reader._has_caches = True
+        self.assertEqual(SCAN_INTERVAL_SECONDS, reader._pause_seconds(None, 10.0))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -8,7 +8,7 @@
 
 from rampwick_policy import RequestCancelled
 from rampwick_router._errors import AttemptError
-from rampwick_router.upstream._sse import EventSplitter, OrderKeeper, StreamEvent
+from rampwick_router.upstream._sse import EventSplitter, SequenceFilter, StreamEvent
 from rampwick_standin import EngineFaults
 
 from .bench import KEY, OTHER_KEY, until
@@ -61,7 +61,7 @@
             self.next_position += 1
             return True
 
-        with mock.patch.object(OrderKeeper, "admit", admit_all):
+        with mock.patch.object(SequenceFilter, "admit", admit_all):
             seen = self.repeat_an_event()
         self.assertNotEqual([], check_answers(seen, LENGTH))
 
@@ -329,7 +329,7 @@
             self.assertEqual("peer", error.peer)
 
     def test_gap_is_an_error(self):
-        keeper = OrderKeeper(0, "peer")
+        keeper = SequenceFilter(0, "peer")
         self.assertTrue(keeper.admit(StreamEvent(0, b"")))
         self.assertFalse(keeper.admit(StreamEvent(0, b"")))
         self.assertRaises(AttemptError, keeper.admit, StreamEvent(2, b""))
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from rampwick_policy import Member, PeerView
-from rampwick_router.peers._summaries import LATE_HALL_SECONDS, SummaryPublisher
+from rampwick_router.peers._summaries import HALL_TIMEOUT_SECONDS, SummaryPublisher
 from rampwick_schema import LimitUsage, Summary, UpstreamUsage
 
 OWN = Member("h1", "a", "h1:1", 7)
@@ -44,7 +44,7 @@
             targets=lambda: [],
             named_weights=lambda: [],
         )
-        roles = SimpleNamespace(table=SimpleNamespace(own=OWN), is_of_group=None)
+        roles = SimpleNamespace(table=SimpleNamespace(own=OWN), is_in_own_group=None)
         sync = SimpleNamespace(
             with_own_versions=lambda item: item, own_ages=lambda: (0.0, 0.0)
         )
@@ -54,12 +54,12 @@
         return sent[0].summary
 
     def test_one_that_spoke_of_late_counts(self):
-        told = self.told(LATE_HALL_SECONDS - 0.1)
+        told = self.told(HALL_TIMEOUT_SECONDS - 0.1)
         self.assertEqual([LimitUsage("/w", 1100)], told.limits)
         self.assertEqual(21, told.hosts_count)
 
     def test_one_that_is_late_counts_no_more(self):
-        told = self.told(LATE_HALL_SECONDS + 0.1)
+        told = self.told(HALL_TIMEOUT_SECONDS + 0.1)
         self.assertEqual([LimitUsage("/w", 100)], told.limits)
         self.assertEqual(2, told.hosts_count)
         # What it has under way at runners is not forgotten so soon.
--- a/tests/test_tcp_socket.py
+++ b/tests/test_tcp_socket.py
@@ -64,7 +64,7 @@
         async def scenario(reader, far):
             far.send(b"one")
             await reader.receive()
-            reader.rest()
+            reader.unwatch()
             self.assertFalse(self.is_watched(reader))
             self.assertFalse(reader.is_readable())
             far.send(b"late")
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -24,12 +24,12 @@
 class RecordingTeller:
     """Stands for the summaries of one host."""
 
-    def __init__(self, is_hall_surge):
+    def __init__(self, is_hall_burst):
         self.told = []
-        self._is_hall_surge = is_hall_surge
+        self._is_hall_burst = is_hall_burst
 
-    def is_hall_surge(self):
-        return self._is_hall_surge
+    def is_hall_burst(self):
+        return self._is_hall_burst
 
     def publish_own(self, *, has_surged=False):
         self.told.append(("own", has_surged))
@@ -42,8 +42,8 @@
 
 
 class SurgeTest(TestCase):
-    def tell(self, *notes, is_relay, is_hall_surge=True):
-        teller = RecordingTeller(is_hall_surge)
+    def tell(self, *notes, is_relay, is_hall_burst=True):
+        teller = RecordingTeller(is_hall_burst)
         roles = SimpleNamespace(is_relay=lambda: is_relay)
         news = UrgentUpdates((), teller, None, roles, None)
         for note in notes:
@@ -60,10 +60,10 @@
         self.assertEqual([("own", True), ("fleet", False), ("hall", True)], told)
 
     def test_a_relay_keeps_back_what_changes_nothing_for_its_hall(self):
-        told = self.tell("note_burst", is_relay=True, is_hall_surge=False)
+        told = self.tell("note_burst", is_relay=True, is_hall_burst=False)
         self.assertEqual([("own", True)], told)
         both = self.tell(
-            "note_burst", "note_remote_burst", is_relay=True, is_hall_surge=False
+            "note_burst", "note_remote_burst", is_relay=True, is_hall_burst=False
         )
         self.assertEqual([("own", True), ("fleet", False)], both)
 
@@ -122,7 +122,7 @@
             sent.extend(peer.name for peer in peers if is_for(peer))
 
         roles = SimpleNamespace(
-            is_relay=lambda: is_relay, is_told=lambda peer: peer.name in told_names
+            is_relay=lambda: is_relay, is_recipient=lambda peer: peer.name in told_names
         )
         links = SimpleNamespace(broadcast=send)
         news = UrgentUpdates((), None, links, roles, None)
