--- a/packages/rampwick-router/src/rampwick_router/peers/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/__init__.py
@@ -1,9 +1,9 @@
-"""Messages between hosts: links, summaries, updates from the platform.
+"""Host-to-host communication: connections, summaries and urgent updates.
 
-It owns the streams between hosts and the records by which hosts find each other. Peers'
-messages become events for the scheduler and updates for
-:mod:`~rampwick_router.control`, whose knowledge it passes on. It knows nothing of
-callers.
+This package owns the connections between hosts and the records in the store by which
+hosts discover each other. It turns messages from peers into scheduler events and into
+updates for :mod:`~rampwick_router.control`, and forwards configuration, host lists and
+targets to peers. It does not depend on the code that serves callers.
 """
 
 from ._directory import PeerDirectory as PeerDirectory
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -1,8 +1,9 @@
 """Distribution of cache events between hosts.
 
-In a small fleet each host sends all others what it has read. In a large one it sends it
-to its hall's relay, which batches what its hall read and what other halls sent, so that
-each host receives a few messages a second however many caches there are.
+In a small fleet each host sends the events it has read to all other hosts. In a large
+fleet it sends them to the relay of its hall, which batches the events of its hall with
+those from other halls. Each host then receives a few messages per second regardless of
+the number of caches.
 """
 
 from collections.abc import Callable
@@ -16,8 +17,8 @@
 from ._links import Link, PeerLinks
 from ._messages import cache_events, to_cache_event_update
 
-#: Time for which events are batched: well below the time for which placements, which
-#: hosts exchange at once, stay valid.
+#: Batching interval for events. It is well below the validity period of placements,
+#: which hosts exchange immediately.
 BATCH_SECONDS = 0.4
 
 
@@ -35,18 +36,19 @@
         self._links = links
         self._scheduler = scheduler
         self._list_live = list_live
-        #: What was read in this host's hall.
+        #: Events read by hosts of this hall.
         self._from_own_hall = CacheBox()
-        #: What other halls sent.
+        #: Events received from other halls.
         self._from_other_halls = CacheBox()
         self._has_update = anyio.Event()
-        #: Says which caches this host reads.
+        #: Returns the names of the caches that this host reads.
         self.list_read_caches: Callable[[], set[str]] = set
 
     def send_initial_state(self, link: Link) -> None:
-        """Send a newly linked peer what the caches read here hold.
+        """Send a newly connected peer the contents of the caches read here.
 
-        Not in a large fleet, where relays would send each host the state of all caches.
+        This is skipped in a large fleet, where each relay would otherwise send the
+        state of all caches to each host.
         """
         names = self.list_read_caches()
         if self._table.is_large or not names:
@@ -61,19 +63,20 @@
         """Send batches until cancelled."""
         while True:
             await self._has_update.wait()
-            # The first events after an idle time are sent at once, as by a host that
-            # has just read its first cache; the rest is batched.
+            # The first events after an idle period are sent immediately, so that a host
+            # that has just read its first cache does not wait. Later events are
+            # batched.
             self._has_update = anyio.Event()
             self._flush()
             await anyio.sleep(BATCH_SECONDS)
 
     def publish(self, seen: CacheSeen) -> None:
-        """Add events that this host has read."""
+        """Queue events that this host has read."""
         self._from_own_hall.add(seen)
         self._has_update.set()
 
-    def take(self, link: Link, message: CacheEventUpdate) -> None:
-        """Apply events that a peer sent; a relay forwards them."""
+    def receive(self, link: Link, message: CacheEventUpdate) -> None:
+        """Apply events received from a peer; a relay also forwards them."""
         is_relay = self._table.is_relay(self._list_live())
         is_own_hall = self._table.is_in_group(link.peer.hall)
         box = self._from_own_hall if is_own_hall else self._from_other_halls
@@ -96,7 +99,7 @@
         self._send(here, self._is_in_own_group if relay is None else _is_named(relay))
 
     def _relay(self, live: set[str]) -> str | None:
-        """Return the hall's relay in a large fleet, if there is a link to it."""
+        """Return the hall's relay in a large fleet, if it is connected."""
         if not self._table.is_large:
             return None
         first = next(iter(self._table.first_of_group(live)), None)
--- a/packages/rampwick-router/src/rampwick_router/peers/_directory.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_directory.py
@@ -1,4 +1,4 @@
-"""Records in the store by which hosts find each other if no seed answers."""
+"""Discovery of peers through records in the store, if no seed responds."""
 
 import random
 import secrets
@@ -18,20 +18,20 @@
 
 from .._logs import PartLogger
 
-#: Prefix of the records.
+#: Key prefix of the records.
 PEERS_PREFIX = "peers/"
 
-#: Time between two looks of a host that hears nobody at where others are.
+#: Time between two reads of the records by a host that receives from no peer.
 DISCOVERY_INTERVAL_SECONDS = 2.0
 
 log = PartLogger("peers")
 
 
 class PeerDirectory:
-    """Records in the store by which hosts find each other if no seed answers.
+    """Peer records in the store.
 
-    The hosts that read the platform keep a record there; one that hears nobody reads
-    them, and keeps one, too.
+    Hosts that read the platform maintain a record each. A host that receives from no
+    peer reads the records, and maintains one as well.
     """
 
     def __init__(
@@ -48,18 +48,19 @@
         self._is_reader = is_reader
         self._draw = draw
         self._members: list[Member] = []
-        #: Called when the records have been read.
+        #: Called after the records have been read.
         self.on_records_read: Callable[[], None] = _do_nothing
-        #: Era of the store that has the own record; none while it has none.
+        #: Store era in which this host's record was written; none until it is written.
         self._recorded_era: int | None = None
 
     def members(self) -> list[Member]:
-        """Return the other hosts that have a record."""
+        """Return the hosts that have a record."""
         return self._members
 
     async def run(self) -> None:
-        """Keep the own record and look for others while needed, until cancelled."""
-        # Where all hosts come back at once, the seeds may be the last ones to listen.
+        """Maintain this host's record and read those of others, until cancelled."""
+        # Read at once, not only after the first interval: if all hosts restart
+        # together, the seeds may be the last ones to listen.
         await self._refresh(is_first=True)
         while True:
             seconds = DISCOVERY_INTERVAL_SECONDS * self._draw.uniform(0.7, 1.3)
@@ -68,7 +69,7 @@
 
     async def _refresh(self, is_first: bool) -> None:
         try:
-            # A store that was restored from a copy may lack the record.
+            # A store that was restored from a backup may lack the record.
             has_record = self._recorded_era == self._api.era
             if self._is_reader() and not has_record and not is_first:
                 await self._write_record()
@@ -76,7 +77,7 @@
                 await self._read_records()
                 self.on_records_read()
         except (PlatformError, DataError) as error:
-            log.problem("directory out of reach", error=str(error))
+            log.problem("peer records unavailable", error=str(error))
 
     async def _read_records(self) -> None:
         listing = await self._api.list_objects(PEERS_PREFIX)
--- a/packages/rampwick-router/src/rampwick_router/peers/_freshness.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_freshness.py
@@ -1,4 +1,4 @@
-"""Asking readers of the platform how old their knowledge is."""
+"""Polling of platform readers for the age of their data."""
 
 from collections.abc import Callable
 
@@ -8,15 +8,18 @@
 from ._roles import Roles
 from ._sync import PeerSync
 
-#: Time between two questions about the ages of a reader's knowledge.
+#: Time between two polls of a reader.
 POLL_INTERVAL_SECONDS = 0.6
 
-#: Time without an answer after which the next reader in rank is asked.
+#: Time without a reply after which the next reader in rank is polled.
 READER_TIMEOUT_SECONDS = 1.5
 
 
 class FreshnessPoller:
-    """Keeps the ages of what this host was told, unless it reads itself."""
+    """Keeps the age of this host's configuration and host list up to date.
+
+    A host that does not read the platform itself polls a host that does.
+    """
 
     def __init__(
         self,
@@ -31,9 +34,9 @@
         self._read_clock = read_clock
 
     async def run(self) -> None:
-        """Ask a reader for the ages of its knowledge, unless this host is one.
+        """Poll a reader periodically, unless this host is one.
 
-        In a large fleet the relay tells them unasked.
+        In a large fleet the relay sends the ages with its summaries instead.
         """
         while True:
             await sleep_on_grid(POLL_INTERVAL_SECONDS)
@@ -56,7 +59,7 @@
         return linked[1] if is_unresponsive and len(linked) > 1 else linked[0]
 
     def query_reader(self) -> bool:
-        """Ask a reader now, if one is linked; return whether one is."""
+        """Poll a reader now; return whether one is connected."""
         link = None if self._roles.is_reader() else self._reader_link()
         if link is not None:
             self._sync.request_ages(link)
@@ -64,5 +67,5 @@
 
     @property
     def answered_at_seconds(self) -> float:
-        """When a reader last said how old its knowledge is."""
+        """When a reader last reported the age of its data."""
         return self._sync.answered_at_seconds
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -1,8 +1,9 @@
-"""What hosts tell each other, and when.
+"""Gossip between hosts.
 
-In a small fleet every host tells every other a summary at each interval; it is the
-heartbeat, too. In a large one each tells its hall's relays, and the first of these
-tells its hall what the whole fleet says.
+In a small fleet every host sends a summary to every other host at each interval; the
+summary is also the heartbeat. In a large fleet each host sends its summary to the
+relays of its hall, and the first of these sends an aggregate of the whole fleet to its
+hall.
 """
 
 import socket
@@ -57,29 +58,30 @@
 from ._sync import PeerSync
 from ._urgent_updates import UrgentUpdates
 
-#: Hosts of a small fleet up to which summaries go at the interval of the settings. In
-#: a larger one the interval grows with the square of the size: each host hears fewer
-#: messages a second, and each tells of a smaller part of the load.
+#: Number of hosts in a small fleet up to which summaries are sent at the configured
+#: interval. Above it the interval grows with the square of the size, which bounds the
+#: messages per second that each host receives; a longer interval is acceptable because
+#: each host carries a smaller part of the load.
 FULL_RATE_GROUP_COUNT = 9
 
-#: Tellings of a hall's sum to its own hosts for each one to the other halls.
+#: Number of fleet summaries for each summary that is sent to other halls.
 SUMMARIES_PER_HALL_SUMMARY = 2
 
-#: Time between two broadcasts of the leader's update where nothing changes.
+#: Time between two broadcasts of the rollout update while nothing changes.
 ROLLOUT_INTERVAL_SECONDS = 0.5
 
-#: Time after the start for which seeds are dialled whatever else is known, and hosts
-#: count that are known and not heard yet.
+#: Time after the start during which seeds are dialled whatever else is known, and
+#: members count that are known but not yet seen alive.
 SEEDING_SECONDS = 2.0
 
-#: Name under which the scheduler knows what a relay tells of all other hosts.
+#: Name under which the scheduler records a relay's aggregate of all other hosts.
 FLEET = "fleet"
 
 log = PartLogger("peers")
 
 
 class GossipTask:
-    """Sends peers what this host knows, and takes what they send."""
+    """Sends updates to peers and processes the updates they send."""
 
     def __init__(
         self,
@@ -98,7 +100,7 @@
         self._read_clock = read_clock
         self._hosts = hosts
         self._rollout_controller = rollout_controller
-        #: Records in the store by which lonely hosts find others.
+        #: Peer discovery through the store, for hosts that receive from no peer.
         self.directory: PeerDirectory | None = None
         self.roles = Roles(own, scheduler, read_clock)
         self.table = self.roles.table
@@ -136,20 +138,21 @@
             self.roles,
             read_clock,
         )
-        #: Counters of messages by their class, each looked up once.
+        #: Message counters by class. Each is looked up only once.
         self._received = _Counters(metrics)
         self.cache_outbox = CacheOutbox(
             self.table, self._links, scheduler, lambda: self.roles.live_names
         )
-        #: Whether the fleet is large, and whether this host is one of its relays.
+        #: Whether the fleet was large, and whether this host was a relay candidate,
+        #: when the role was last checked.
         self._last_role = (False, False)
         self._last_live_peers = NeighboursSeen(Neighbours(), is_leaving=False)
         self._began_seconds = read_clock()
-        #: Addresses known from the settings.
+        #: Seed addresses from the settings.
         self.seeds = frozenset(settings.peers.seeds)
 
     async def run(self, listener: socket.socket) -> None:
-        """Link, tell and listen until cancelled."""
+        """Connect, publish and receive until cancelled."""
         if not self._settings.secret:
             return
         async with anyio.create_task_group() as tasks:
@@ -164,7 +167,7 @@
     # Members and roles.
 
     def reconcile_links(self) -> None:
-        """Dial at once whoever has become known."""
+        """Dial newly discovered peers now."""
         self._links.schedule_reconcile()
 
     def _list_wanted(self) -> list[Member]:
@@ -192,8 +195,8 @@
         for message in self.urgent_updates.initial_states(self._read_clock()):
             link.put(message)
         if self._rollout_controller.is_holder:
-            # A host that has just started sent prompts to a runner that was about to
-            # load, until the next telling half a second later.
+            # Without this, a newly started host sent prompts to a runner that was about
+            # to load, until the next rollout broadcast half a second later.
             link.put(self._rollout_update())
         self._add_members([link.peer], link)
 
@@ -201,18 +204,18 @@
         added = self.table.learn(members)
         if added:
             if self._is_starting:
-                # Later those count that were heard: some that are known have left.
+                # Later only members seen alive count: some known members have left.
                 self._scheduler.note_members(len(list(self.table)))
             self._links.schedule_reconcile()
             self._member_updates.add(added, link.peer.name)
 
     def _update_roles(self) -> None:
-        """Pass over a relay that fell silent; begin anew where the own role changes."""
+        """Replace an unresponsive relay; drop peer views when the own role changes."""
         now_seconds = self._read_clock()
         if self.table.is_large:
             relays = self.table.relays(self.table.own.hall, now_seconds)
             if self._listener.is_silent(relays, now_seconds):
-                log.problem("relay is silent", peer=relays[0].name)
+                log.problem("relay unresponsive", peer=relays[0].name)
                 self.table.note_unreachable(relays[0].name, now_seconds)
                 self._links.schedule_reconcile()
         role = (self.table.is_large, self.roles.is_relay_candidate)
@@ -221,18 +224,22 @@
         self._last_role = role
         self._links.schedule_reconcile()
         log.info("role changed", is_large=role[0], is_relay_candidate=role[1])
-        # Whoever spoke for others before would be counted beside them.
+        # Drop the views of all peers: an aggregate received in the former role would be
+        # counted in addition to the hosts that it covers.
         for view in self._scheduler.peer_views(now_seconds):
             self._scheduler.post(PeerGone(view.name))
 
     def _post_live_peers(self) -> None:
-        """Tell the scheduler whom this host hears, by which senders are chosen."""
+        """Notify the scheduler of the live peers.
+
+        They determine which hosts send to which upstream.
+        """
         seen = NeighboursSeen(self.roles.neighbours(), self.summaries.is_leaving)
         if seen != self._last_live_peers:
             self._last_live_peers = seen
             self._scheduler.post(seen)
 
-    # What comes in.
+    # Incoming messages.
 
     def _handle_message(self, link: Link, message: Any) -> None:
         self._received[type(message)].inc()
@@ -254,23 +261,25 @@
             self._scheduler.post(LeavingUpdateReceived(message))
             self._relay(link, message)
         elif isinstance(message, CacheEventUpdate):
-            self.cache_outbox.take(link, message)
+            self.cache_outbox.receive(link, message)
         elif isinstance(message, Members):
             members = [to_member(record) for record in message.members]
             self._add_members(members, link)
-        elif not self._sync.take(link, message):
+        elif not self._sync.handle(link, message):
             name = type(message).__name__
-            raise PeerError(f"{name} at this point", step="talk", peer=link.peer.name)
+            raise PeerError(
+                f"unexpected {name}", step="talk to peer", peer=link.peer.name
+            )
 
     def _handle_summary(self, link: Link, summary: Summary) -> None:
         peer = link.peer
         if not self.table.is_in_group(peer.hall):
-            # Its relay speaks for it.
+            # Covered by the summary of its relay.
             return
         self._listener.note_word(peer.name, self._read_clock())
         self._sync.request_missing(link, summary)
         if self.table.is_large and not self.roles.is_relay_candidate:
-            # The relay speaks for it, too.
+            # Covered by the relay's fleet summary.
             return
         self._scheduler.post(
             PeerSummaryReceived(peer.name, peer.hall, peer.incarnation, summary)
@@ -292,7 +301,8 @@
         if report.asked_at_seconds is not None:
             self._sync.apply_ages(update, report.asked_at_seconds)
         if not self.roles.is_relay_candidate:
-            # What the relay added up is as old as this host's own part of it.
+            # The relay's aggregate is as old as the newest summary of this host that it
+            # includes.
             age_seconds = 0.0
             if report.asked_at_seconds is not None:
                 age_seconds = now_seconds - report.asked_at_seconds
@@ -312,7 +322,8 @@
                 update.hall,
                 update.incarnation,
                 update.summary,
-                # Its hosts told their relay at any time within the interval before.
+                # Hosts report to their relay at any time within the preceding interval;
+                # use the mean age.
                 self._settings.gossip_interval_seconds / 2.0,
             )
         )
@@ -333,7 +344,7 @@
         self._relay(link, update)
 
     def _relay(self, link: Link, message: Any) -> None:
-        """Pass a message on to those who did not get it, if that is this host's."""
+        """Forward a message to the other peers, if this host is a relay."""
         if not self.roles.is_relay():
             return
         is_own = self.table.is_in_group(link.peer.hall)
@@ -345,7 +356,7 @@
             ),
         )
 
-    # What goes out.
+    # Outgoing messages.
 
     @property
     def _interval_seconds(self) -> float:
@@ -370,14 +381,14 @@
                 await changed.wait()
 
     async def _broadcast_rollout(self) -> None:
-        """Repeat what the steward has to say, while this host is it."""
+        """Broadcast the rollout update periodically while this host holds the lease."""
         while True:
             if self._rollout_controller.is_holder:
                 self.broadcast_rollout()
             await sleep_on_grid(ROLLOUT_INTERVAL_SECONDS)
 
     def broadcast_rollout(self) -> None:
-        """Tell all hosts of loads, weights and lease now."""
+        """Broadcast loads, weights and lease to all hosts now."""
         update = self._rollout_update()
         is_relay = self.roles.is_relay()
         self._links.broadcast(
@@ -395,7 +406,7 @@
 
 
 class _Counters(dict[type, Any]):
-    """Counters of messages from other hosts by the class of the message."""
+    """Counters of messages from peers by message class."""
 
     def __init__(self, metrics: Metrics) -> None:
         super().__init__()
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -1,7 +1,8 @@
-"""Links between this host and its peers: dialled, accepted, proved, kept.
+"""Connections between this host and its peers.
 
-A link carries messages both ways; any fault costs that link only. What the messages
-mean is for others: they are handed to one callback.
+Establishes outgoing connections, accepts incoming ones, runs the handshake and monitors
+both kinds. A link carries messages in both directions; an error closes only the link on
+which it occurs. Messages are passed to a callback and not interpreted here.
 """
 
 import asyncio
@@ -23,28 +24,29 @@
 from .._metrics import Metrics
 from ._stream import PeerStream
 
-#: Waits before a peer is dialled again: the first, the factor, the longest.
+#: Backoff before a peer is dialled again: initial delay, factor, maximum.
 REDIAL_SECONDS = 0.25
 REDIAL_FACTOR = 1.6
 MAX_REDIAL_SECONDS = 2.0
 
 DIAL_TIMEOUT_SECONDS = 1.0
 
-#: Time between two looks at which peers are to be dialled, unless members change.
+#: Time between two reconciliations of wanted and existing connections, unless
+#: membership changes earlier.
 RECONCILE_INTERVAL_SECONDS = 1.0
 
-#: Time between two looks at which links are silent and which have nothing to say, as a
-#: part of the silence after which a peer counts as gone: two such words may be lost.
+#: Time between two checks for unresponsive and idle links, as a fraction of the time
+#: after which a peer counts as dead: two consecutive keep-alives may be lost.
 KEEP_ALIVE_RATIO = 1 / 3
 
-#: Said on a link that has nothing else to say.
+#: Sent on a link that has nothing else to send.
 KEEP_ALIVE = Members([])
 
-#: Links that may wait to be accepted: a whole fleet dials its seeds at once, and what
-#: finds no place asks again after seconds.
+#: Listen backlog. A whole fleet dials its seeds at the same time, and a connection that
+#: does not fit in the backlog is only retried after seconds.
 BACKLOG_COUNT = 1024
 
-#: Links accepted at once, peers and strangers together.
+#: Maximum number of accepted connections, authenticated or not.
 MAX_ACCEPTED_COUNT = 512
 
 log = PartLogger("peers")
@@ -56,15 +58,15 @@
 
 @attrs.define(eq=False, repr=False)
 class Link(Shown):
-    """One link to a peer that has proved itself."""
+    """A link to an authenticated peer."""
 
     peer: Member
-    #: Sends what is encoded; returns false where the peer is too slow.
+    #: Sends an encoded message; returns false if the peer is too slow.
     _send: Callable[[bytes], bool]
-    #: Last times at which bytes came in, and at which a message went out.
+    #: Times at which bytes were last received, and a message was last sent.
     received_at_seconds: float
     sent_at_seconds: float
-    #: Cancelled to give the link up.
+    #: Cancelled to close the link.
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
     _was_unresponsive: bool = False
 
@@ -79,37 +81,38 @@
         return cls(peer, send, now_seconds, now_seconds)
 
     def mark_received(self, now_seconds: float) -> None:
-        """Note that something came in."""
+        """Record that bytes were received."""
         self.received_at_seconds = now_seconds
 
     def mark_sent(self, now_seconds: float) -> None:
-        """Note that something went out."""
+        """Record that a message was sent."""
         self.sent_at_seconds = now_seconds
 
     def is_unresponsive(self, now_seconds: float, max_seconds: float) -> bool:
-        """Return whether nothing came for too long, at this look and the one before.
+        """Return whether nothing was received for too long at two consecutive checks.
 
-        After a pause of this process the first look may come before what has arrived
-        meanwhile is read.
+        A single check is not enough: after a pause of this process, the first check may
+        run before the bytes that arrived during the pause are read.
         """
         was_unresponsive = self._was_unresponsive
         self._was_unresponsive = now_seconds - self.received_at_seconds > max_seconds
         return was_unresponsive and self._was_unresponsive
 
     def put(self, message: Any) -> None:
-        """Send a message in its turn, or drop it if the peer is too slow."""
+        """Send a message, or drop it if the peer is too slow."""
         self.put_encoded(encode_message(message))
 
     def put_encoded(self, data: bytes) -> None:
         """Send a message that was encoded once for several peers.
 
-        One that a slow peer does not get is said by a later message of its kind.
+        A message that is dropped for a slow peer is superseded by a later message of
+        the same kind.
         """
         self._send(data)
 
 
 class PeerLinks:
-    """Owns all links of this host."""
+    """All links of this host."""
 
     def __init__(
         self,
@@ -131,16 +134,16 @@
         self._dialled: dict[str, anyio.CancelScope] = {}
         self._accepted_count = 0
         self._changed = anyio.Event()
-        #: Called with each link that opens, before anything comes over it.
+        #: Called with each link that opens, before any message is received on it.
         self.on_opened: Callable[[Link], None] = _ignore_link
-        #: Called with each message and the link that it came over.
+        #: Called with each message and the link on which it was received.
         self.on_message: Callable[[Link, Any], None] = _ignore_message
         #: Called with the name of a wanted member that could not be reached.
         self.on_unreachable: Callable[[str], None] = _ignore_name
 
     @property
     def links(self) -> list[Link]:
-        """One link to each peer."""
+        """One link for each peer."""
         return list({link.peer.name: link for link in self._links}.values())
 
     def link_to(self, name: str) -> Link | None:
@@ -148,7 +151,7 @@
         return next((link for link in self._links if link.peer.name == name), None)
 
     def broadcast(self, message: Any, is_for: Callable[[Member], bool]) -> None:
-        """Send a message to all linked peers that it is for."""
+        """Send a message to all connected peers that ``is_for`` selects."""
         links = [link for link in self.links if is_for(link.peer)]
         if not links:
             return
@@ -178,10 +181,11 @@
                     await self._changed.wait()
 
     async def monitor_links(self) -> None:
-        """Look after all links, again and again until cancelled.
+        """Check all links periodically until cancelled.
 
-        An open connection may be dead without an end or a reset: its link hid the peer
-        for the rest of a run, since a linked peer is not dialled again.
+        An open connection may be dead without a FIN or RST. Without this check its link
+        hid the peer for the rest of a run, since a peer that has a link is not dialled
+        again.
         """
         while True:
             await sleep_on_grid(self._keep_alive_seconds)
@@ -190,21 +194,23 @@
                 self.check_link(link, now_seconds)
 
     def check_link(self, link: Link, now_seconds: float) -> None:
-        """Give up a link that fell silent, or say something on one that is quiet."""
+        """Close an unresponsive link, or send a keep-alive on an idle one."""
         if link.is_unresponsive(now_seconds, self._settings.dead_after_seconds):
             silent_seconds = round(now_seconds - link.received_at_seconds, 1)
             peer = link.peer.name
-            log.problem("link given up", peer=peer, silent_seconds=silent_seconds)
+            log.problem(
+                "closing unresponsive link", peer=peer, silent_seconds=silent_seconds
+            )
             link.scope.cancel()
         elif now_seconds - link.sent_at_seconds > self._keep_alive_seconds / 2:
             link.put(KEEP_ALIVE)
 
     def schedule_reconcile(self) -> None:
-        """Look now at which peers are wanted, since that may have changed."""
+        """Reconcile now, since the set of wanted peers may have changed."""
         self._changed.set()
 
     def _reconcile(self, tasks: TaskGroup) -> None:
-        """Dial what is wanted and not dialled, and let go of what is not wanted."""
+        """Dial wanted peers that have no link; stop dialling peers no longer wanted."""
         wanted = {member.address: member.name for member in self._list_wanted()}
         linked = {link.peer.address for link in self._links}
         addresses = dict(wanted)
@@ -227,7 +233,8 @@
                     await self._dial(address)
                     is_complete = True
                 except (PeerError, OSError, TimeoutError, ValueError):
-                    # Silence is noticed by the membership; here it only counts.
+                    # The failure detector of the membership handles dead peers; this
+                    # only reports that the address did not respond.
                     if name:
                         self.on_unreachable(name)
                 if is_complete:
@@ -250,7 +257,7 @@
         try:
             await self._run_link(stream)
         except PeerError as error:
-            log.info("link from peer ended", error=str(error))
+            log.info("accepted peer connection failed", error=str(error))
         finally:
             self._accepted_count -= 1
 
@@ -258,14 +265,16 @@
         with closing(stream):
             peer = await stream.handshake(self._own, self._settings.secret)
             if peer.name == self._own.name:
-                # A seed may be this host itself; keep the line so as not to redial.
+                # A seed may be this host itself. Keep the connection open so that the
+                # seed is not dialled again.
                 await anyio.sleep_forever()
             link = Link.open(peer, self._read_clock(), stream.put)
             self._links.append(link)
-            # Bytes count, not messages: a long one takes seconds over a slow way.
+            # Any received bytes count as activity, not only whole messages: a long
+            # message takes seconds over a slow link.
             stream.note_bytes = lambda: link.mark_received(self._read_clock())
             stream.note_sent = lambda: link.mark_sent(self._read_clock())
-            log.info("peer linked", peer=peer.name, hall=peer.hall)
+            log.info("peer connected", peer=peer.name, hall=peer.hall)
             try:
                 with link.scope:
                     self.on_opened(link)
--- a/packages/rampwick-router/src/rampwick_router/peers/_member_updates.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_member_updates.py
@@ -1,7 +1,7 @@
 """Batched membership updates.
 
-When a whole fleet starts, each host learns of all others within a second. Sent one by
-one, that is a message for each host on each link.
+When a whole fleet starts, each host discovers all others within a second. Sent one by
+one, these updates would need one message per host on each link.
 """
 
 import anyio
@@ -12,13 +12,13 @@
 from ._links import PeerLinks
 from ._messages import to_record
 
-#: Time for which members are batched: a few round trips between halls, and little of
-#: what a starting host waits for.
+#: Batching interval: a few round trips between halls, and a small part of the time that
+#: a starting host waits.
 BATCH_SECONDS = 0.05
 
 
 class MemberUpdates:
-    """Broadcasts members that peers may not know yet."""
+    """Broadcasts members that peers may not have yet."""
 
     def __init__(self, links: PeerLinks) -> None:
         self._links = links
@@ -27,7 +27,7 @@
         self._has_update = anyio.Event()
 
     def add(self, members: list[Member], source: str) -> None:
-        """Add members that the peer ``source`` sent."""
+        """Queue members received from the peer ``source``."""
         self._members.update((member.name, member) for member in members)
         self._sources.add(source)
         self._has_update.set()
@@ -41,7 +41,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Broadcast the batch, except to a peer that alone sent all of it."""
+        """Broadcast the batch, except to a peer that was its only source."""
         members, self._members = self._members, {}
         sources, self._sources = self._sources, set()
         if not members:
--- a/packages/rampwick-router/src/rampwick_router/peers/_messages.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_messages.py
@@ -1,4 +1,4 @@
-"""Peers' messages as the scheduler's events and members, and the other way round."""
+"""Conversion between peer messages and scheduler events or members."""
 
 from collections.abc import Iterable, Iterator, Sequence
 
@@ -26,12 +26,12 @@
 
 from ..control import RolloutController
 
-#: Who told this host of targets, as its log says it.
-CONTROLLER_SOURCE = "the steward says so"
+#: Source of targets received from the rollout controller, for logs.
+CONTROLLER_SOURCE = "update from the rollout controller"
 
 
 def to_record(member: Member) -> MemberRecord:
-    """Return a member as peers are told of it."""
+    """Convert a member to its message form."""
     return MemberRecord(
         member.name,
         member.hall,
@@ -42,7 +42,7 @@
 
 
 def to_member(record: MemberRecord) -> Member:
-    """Return the member that a peer told of."""
+    """Convert a record from a peer to a member."""
     return Member(
         record.host,
         record.hall,
@@ -68,7 +68,7 @@
     named: Sequence[NamedWeights],
     now_seconds: float,
 ) -> RolloutUpdate:
-    """Return what the steward has to say: lease, targets, loads, weights."""
+    """Build the rollout controller's update: lease, targets, loads and weights."""
     loads = [
         RunnerLoad(
             load.upstream,
@@ -93,7 +93,7 @@
 
 
 def rollout_events(update: RolloutUpdate, now_seconds: float) -> Iterator[Event]:
-    """Yield what the scheduler learns from a leader's update."""
+    """Yield the scheduler events for an update from the rollout controller."""
     if update.targets:
         named = tuple(update.named)
         yield TargetsRead(tuple(update.targets), CONTROLLER_SOURCE, named=named)
@@ -114,7 +114,7 @@
 
 
 def to_cache_event_update(events: Iterable[CacheSeen]) -> CacheEventUpdate:
-    """Return cache events as peers are told of them."""
+    """Convert cache events to their message form."""
     return CacheEventUpdate(
         [
             CacheUpdate(
@@ -131,7 +131,7 @@
 
 
 def cache_events(message: CacheEventUpdate) -> Iterator[CacheSeen]:
-    """Yield what the scheduler learns from a peer's cache events."""
+    """Yield the scheduler events for cache events from a peer."""
     for update in message.updates:
         changes = tuple(
             CacheChanges(
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -1,7 +1,7 @@
-"""Which hosts this one hears, and the roles that follow from that.
+"""Live peers of this host, and the roles that follow from them.
 
-Roles are computed by each host for itself, from the members that it knows and hears;
-see :mod:`rampwick_policy` for the rules.
+Each host computes roles for itself, from the members that it has discovered and those
+it sees alive; see :mod:`rampwick_policy` for the rules.
 """
 
 from collections.abc import Callable
@@ -13,29 +13,31 @@
 
 from .._scheduler_task import SchedulerTask
 
-#: Time from a host's start in which members count as there that it has not heard: a
-#: herd's loading is spread over a second, and relays tell of it four times a second.
+#: Time after a host's start during which members that it has not yet received from
+#: count as alive. After a simultaneous start, loading is spread over one second, and
+#: relays publish its results four times a second.
 ASSUMED_ALIVE_SECONDS = 3.0
 
 
 @attrs.frozen(repr=False)
 class RolesView(Shown):
-    """A host's place in the fleet as it sees it."""
+    """The roles of a host, from its own view of the fleet."""
 
-    #: Whether the fleet is so large that relays speak for their halls.
+    #: Whether the fleet is large enough for relays to aggregate their halls.
     is_large: bool
-    #: Whether this host speaks for its hall, and reads the platform for others.
+    #: Whether this host is the relay of its hall, and whether it reads the platform for
+    #: other hosts.
     is_relay: bool
     is_reader: bool
-    #: Relays of this host's hall, the one that speaks first.
+    #: Relays of this host's hall; the first one is active.
     relays: list[str]
-    #: Hosts of the fleet that are known, and those that are heard.
+    #: Number of known hosts, and of those that are alive.
     members_count: int
     heard_count: int
 
 
 class Roles:
-    """Says who is there as this host sees it, and what its own place is."""
+    """Determines live peers and roles from this host's own view of the fleet."""
 
     def __init__(
         self,
@@ -47,22 +49,25 @@
         self._read_clock = read_clock
         self._began_seconds = read_clock()
         self.table = MemberTable(own)
-        #: What the relay of a large fleet's hall says of the others.
+        #: Tracks the hall relay's reports about other hosts, in a large fleet.
         self.listener = RelayListener(own)
 
     @property
     def is_relay_candidate(self) -> bool:
-        """Whether this host hears all of its hall and speaks for it, or is next to."""
+        """Whether this host is the active or the standby relay of its hall.
+
+        Such a host receives the summaries of all hosts of its hall.
+        """
         return self.table.is_relay_candidate(self._read_clock())
 
     @property
     def has_no_live_peers(self) -> bool:
-        """Whether no word of any peer has come for a while."""
+        """Whether no peer is alive."""
         return not self._scheduler.live_names(self._read_clock())
 
     @property
     def live_names(self) -> set[str]:
-        """Names of the hosts that count as alive where roles are given out."""
+        """Names of the hosts that count as alive when roles are assigned."""
         now_seconds = self._read_clock()
         if not self.table.is_large:
             return self._scheduler.live_names(now_seconds)
@@ -75,15 +80,15 @@
 
     @property
     def serving_names(self) -> set[str]:
-        """Names of those of them that are not leaving."""
+        """Names of the live hosts that are not shutting down."""
         if self.table.is_large:
-            near = self.neighbours()
-            return self.live_names - (near.heard - near.staying)
+            peers = self.neighbours()
+            return self.live_names - (peers.heard - peers.staying)
         views = self._scheduler.peer_views(self._read_clock())
         return {view.name for view in views if not view.summary.is_leaving}
 
     def neighbours(self) -> Neighbours:
-        """Return whom this host hears, by itself or through its relay."""
+        """Return the live peers, seen directly or reported by the relay."""
         now_seconds = self._read_clock()
         if self.table.is_large and not self.is_relay_candidate:
             return self.listener.neighbours(now_seconds)
@@ -97,46 +102,51 @@
         )
 
     def cache_reading_peers(self) -> Neighbours:
-        """Return among whom the reading of caches is shared.
+        """Return the peers among which the reading of caches is divided.
 
-        In the first moments of a large fleet those count that are known and not heard
-        yet. Hosts that come back together would each take themselves for alone and ask
-        all caches for their histories, and weak links would carry nothing else.
+        Shortly after the start of a large fleet, members that are known but not yet
+        seen alive count as well. Otherwise hosts that restart together would each
+        consider themselves alone and request the backlog of all caches, which saturates
+        slow links.
         """
-        near = self.neighbours()
+        peers = self.neighbours()
         age_seconds = self._read_clock() - self._began_seconds
-        if near.halls or not self.table.is_large or age_seconds > ASSUMED_ALIVE_SECONDS:
-            return near
+        if (
+            peers.halls
+            or not self.table.is_large
+            or age_seconds > ASSUMED_ALIVE_SECONDS
+        ):
+            return peers
         members = [member for member in self.table if member != self.table.own]
         names = {member.name for member in members if self.is_in_own_group(member)}
         halls = {member.hall for member in members}
         return Neighbours(frozenset(names), frozenset(names), frozenset(halls))
 
     def is_reader(self) -> bool:
-        """Return whether this host is to read the platform for its group."""
+        """Return whether this host reads the platform for its group."""
         return self.table.is_reader(self.live_names)
 
     def is_relay(self) -> bool:
-        """Return whether this host speaks for its hall now."""
+        """Return whether this host is the active relay of its hall."""
         return self.table.is_relay(self.live_names)
 
     def is_in_own_group(self, peer: Member) -> bool:
-        """Return whether a peer is of this host's group."""
+        """Return whether a peer is in this host's group."""
         return self.table.is_in_group(peer.hall)
 
     def is_in_other_group(self, peer: Member) -> bool:
-        """Return whether a peer is of another group."""
+        """Return whether a peer is in another group."""
         return not self.table.is_in_group(peer.hall)
 
     def is_recipient(self, peer: Member) -> bool:
-        """Return whether a peer is to hear this host itself."""
+        """Return whether this host sends its own updates directly to a peer."""
         if not self.table.is_large:
             return True
         relays = self.table.relays(self.table.own.hall, self._read_clock())
         return peer.name in {member.name for member in relays}
 
     def describe(self) -> RolesView:
-        """Return this host's place in the fleet, for operators."""
+        """Return the roles of this host, for operators."""
         now_seconds = self._read_clock()
         relays: list[Member] = []
         if self.table.is_large:
--- a/packages/rampwick-router/src/rampwick_router/peers/_stream.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_stream.py
@@ -1,4 +1,4 @@
-"""One stream between two rampwickd processes: frames and the mutual proof."""
+"""Message framing and mutual authentication on one peer connection."""
 
 import asyncio
 import hashlib
@@ -25,17 +25,17 @@
 
 NONCE_BYTES = 16
 
-#: Longest time for the whole handshake.
+#: Time limit for the whole handshake.
 HANDSHAKE_SECONDS = 2.0
 
-#: Largest message before the other side has proved itself.
+#: Maximum size of a message before the peer is authenticated.
 MAX_HANDSHAKE_BYTES = 1024
 
-#: Bytes of a peer that may wait while the two sides greet.
+#: Maximum number of buffered bytes during the handshake.
 MAX_UNREAD_BYTES = 4 * MAX_HANDSHAKE_BYTES
 
-#: Bytes that may wait for a slow peer before the newest messages are dropped: some
-#: seconds of what a relay tells, and few enough for a hall of slow hosts.
+#: Size of a peer's send buffer above which new messages are dropped: a few seconds of a
+#: relay's output, and small enough to hold in memory for a whole hall of slow hosts.
 MAX_UNSENT_BYTES = 131_072
 
 STEP = "talk to peer"
@@ -50,13 +50,13 @@
 
 
 class PeerStream(asyncio.Protocol):
-    """Messages over one connection; any fault costs this connection only.
+    """Messages on one connection. An error closes only this connection.
 
-    It is a protocol of the event loop's, which anyio runs on here: messages are handed
-    on in the turn of the loop in which their bytes come in, and written in the turn in
-    which they are said. A task that waits for the one and another for the other took
-    four turns a message, which was most of what a host without requests spent: a relay
-    of 20 hosts took 280 turns a second, counted over 8 s.
+    This is a protocol of the asyncio event loop, which anyio runs on here. Messages are
+    delivered in the loop iteration in which their bytes arrive, and written in the
+    iteration in which they are sent. Separate reader and writer tasks took four
+    iterations per message, which was most of the work of a host without requests: a
+    relay of 20 hosts took 280 iterations per second, counted over 8 s.
     """
 
     def __init__(
@@ -72,20 +72,20 @@
         self._received = bytearray()
         self._has_update = anyio.Event()
         self._on_message: Callable[[Any], None] | None = None
-        #: Why the stream has ended; none while it goes on.
+        #: Error that ended the stream; none while it is open.
         self._failure: Exception | None = None
         self.peer = ""
-        #: Called whenever bytes come in, and whenever some go out.
+        #: Called when bytes are received, and when a message is sent.
         self.note_bytes: Callable[[], None] = _ignore
         self.note_sent: Callable[[], None] = _ignore
-        # Until it has said who it is, a peer may be of any hall.
+        # The hall of a peer is unknown until the handshake.
         self._count_as("across")
 
     @classmethod
     async def connect(
         cls, address: str, max_message_bytes: int, metrics: Metrics
     ) -> "PeerStream":
-        """Connect to ``ip:port``; the caller bounds the time."""
+        """Connect to ``ip:port``; the caller limits the time."""
         host, _, port = address.rpartition(":")
         _, stream = await asyncio.get_running_loop().create_connection(
             lambda: cls(max_message_bytes, metrics), host, int(port)
@@ -93,22 +93,22 @@
         return stream
 
     def _count_as(self, scope: str) -> None:
-        """Look the counters up once: finding a label costs more than counting."""
+        """Cache the counters, since looking up a label costs more than counting."""
         metrics = self._metrics
         self._sent_bytes = metrics.control_bytes.labels("sent", scope)
         self._sent_messages = metrics.control_messages.labels("sent", scope)
         self._received_bytes = metrics.control_bytes.labels("received", scope)
         self._received_messages = metrics.control_messages.labels("received", scope)
 
-    # What the event loop calls.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Store the transport of the new connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._note_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the messages that are whole."""
+        """Deliver all complete messages."""
         if self._failure is not None:
             return
         self._received += data
@@ -121,27 +121,28 @@
         try:
             self._deliver_received(self._on_message)
         except Exception as error:
-            # Whoever waits for the end raises it.
+            # Raised to the caller of receive() or deliver().
             self._end(error)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note the end of the connection."""
-        message = str(error) if error else "EndOfStream"
+        """Record the end of the connection."""
+        message = str(error) if error else "end of stream"
         self._end(self._closed(message))
 
-    # Messages in and out.
+    # Sending and receiving messages.
 
     def put(self, data: bytes) -> bool:
-        """Send a message that is encoded; return false where the peer is too slow.
+        """Send an encoded message; return false if the peer is too slow.
 
-        One that no peer would take ends the stream, and whoever waits for its end says
-        so; whoever tells many peers goes on.
+        A message above the size limit ends the stream, and the error is raised to the
+        caller that waits for the end of the stream. A caller that broadcasts to many
+        peers is not interrupted.
         """
         transport = self._transport
         if transport is None or self._failure is not None:
             return False
         if len(data) - LENGTH_BYTES > self._max_message_bytes:
-            message = f"message of {len(data)} bytes is too long"
+            message = f"message of {len(data)} bytes exceeds the limit"
             self._end(PeerError(message, step=STEP, peer=self.peer))
             return False
         if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -153,11 +154,11 @@
         return True
 
     async def send(self, message: Any) -> None:
-        """Send a message of a greeting."""
+        """Send a handshake message."""
         self.put(encode_message(message))
 
     async def receive(self) -> Any:
-        """Return the next message of a greeting."""
+        """Return the next handshake message."""
         while True:
             message = self._next_message(MAX_HANDSHAKE_BYTES)
             if message is not None:
@@ -165,7 +166,7 @@
             await self._wait()
 
     async def deliver(self, on_message: Callable[[Any], None]) -> None:
-        """Hand each message to a function until the stream ends, then raise why."""
+        """Pass each message to a function until the stream ends; raise the reason."""
         self._on_message = on_message
         self._deliver_received(on_message)
         if self._failure is None:
@@ -174,15 +175,15 @@
             await self._wait()
 
     async def _wait(self) -> None:
-        """Wait for bytes, or raise why none will come."""
+        """Wait for bytes, or raise the error that ended the stream."""
         if self._failure is not None:
             raise self._failure
         self._has_update = anyio.Event()
         await self._has_update.wait()
 
     def close(self) -> None:
-        """Give the connection up, with what has not gone out."""
-        self._end(self._closed("given up"))
+        """Close the connection and discard unsent data."""
+        self._end(self._closed("closed by this host"))
 
     def _reading(self) -> asyncio.ReadTransport:
         assert self._transport is not None
@@ -196,13 +197,13 @@
             on_message(message)
 
     def _next_message(self, limit_bytes: int) -> Any:
-        """Return the next message and forget its bytes; none where it is not whole."""
+        """Remove and return the next message; none if it is not complete."""
         if len(self._received) < LENGTH_BYTES:
             return None
         length = int.from_bytes(self._received[:LENGTH_BYTES], "big")
         if length > limit_bytes:
             raise PeerError(
-                f"message of {length} bytes, allowed are {limit_bytes}",
+                f"message of {length} bytes exceeds the limit of {limit_bytes}",
                 step=STEP,
                 peer=self.peer,
             )
@@ -230,10 +231,10 @@
             self._transport.abort()
 
     async def handshake(self, own: Member, secret: str) -> Member:
-        """Prove each side's knowledge of the secret; return who the other is."""
+        """Authenticate both sides by the shared secret; return the peer."""
         with anyio.move_on_after(HANDSHAKE_SECONDS):
             return await self._run_handshake(own, secret)
-        raise PeerError("handshake took too long", step="shake hands", peer=self.peer)
+        raise PeerError("handshake timed out", step="handshake", peer=self.peer)
 
     async def _run_handshake(self, own: Member, secret: str) -> Member:
         local = Hello(
@@ -248,9 +249,11 @@
         await self.send(local)
         remote = self._expect(await self.receive(), Hello)
         if remote.protocol_version != PROTOCOL_VERSION:
-            raise self._refused(f"protocol version {remote.protocol_version}")
+            raise self._refused(
+                f"unsupported protocol version {remote.protocol_version}"
+            )
         if len(remote.nonce) != NONCE_BYTES or remote.nonce == local.nonce:
-            raise self._refused("bad nonce")
+            raise self._refused("invalid or reflected nonce")
         await self.send(Proof(digest=_prove(secret, local, remote)))
         proof = self._expect(await self.receive(), Proof)
         if not hmac.compare_digest(proof.digest, _prove(secret, remote, local)):
@@ -267,19 +270,21 @@
 
     def _expect(self, message: Any, cls: type) -> Any:
         if not isinstance(message, cls):
-            raise self._refused(f"{type(message).__name__} instead of {cls.__name__}")
+            raise self._refused(
+                f"received {type(message).__name__}, expected {cls.__name__}"
+            )
         return message
 
     def _refused(self, message: str) -> PeerError:
-        return PeerError(message, step="shake hands", peer=self.peer)
+        return PeerError(message, step="handshake", peer=self.peer)
 
     def _closed(self, message: str) -> PeerError:
         return PeerError(f"connection closed: {message}", step=STEP, peer=self.peer)
 
 
 def _prove(secret: str, prover: Hello, verifier: Hello) -> bytes:
-    # The prover's name, hall and incarnation are part of the proof, and the roles
-    # differ, so that no side can hand the other's proof back.
+    # The digest covers the identity of the prover and depends on the direction, so that
+    # a proof cannot be reflected to its sender.
     parts = (prover.host, prover.hall, str(prover.incarnation), verifier.host)
     text = "\0".join(parts).encode() + prover.nonce + verifier.nonce
     return hmac.digest(secret.encode(), text, hashlib.sha256)
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -1,8 +1,9 @@
 """Publication of summaries of this host, its hall and the whole fleet.
 
-In a small fleet each host sends every other a summary of its own. In a large one it
-sends it to its hall's relays; the first of them aggregates its hall for the other
-halls, and all halls for its own.
+In a small fleet each host sends its own summary to every other host. In a large fleet
+it sends the summary to the relays of its hall. The first of these relays sends an
+aggregate of its hall to the other halls, and an aggregate of the whole fleet to its own
+hall.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,14 +24,15 @@
 from ._roles import Roles
 from ._sync import PeerSync
 
-#: Silence of a hall, some two and a half of its relay's tellings, after which it counts
-#: neither as heard nor as sending under limits: hosts that are cut off keep to their
-#: part before both sides fill the same room.
+#: Time without a summary after which another hall no longer counts as alive or as using
+#: shared limits: about two and a half publication intervals of its relay. Hosts that
+#: are cut off must fall back to their own share of a limit before both sides of a
+#: partition use the same capacity.
 HALL_TIMEOUT_SECONDS = 1.25
 
 
 class SummaryPublisher:
-    """Builds summaries and sends each to its audience."""
+    """Builds summaries and sends each to its recipients."""
 
     def __init__(
         self,
@@ -47,28 +49,28 @@
         self._roles = roles
         self._sync = sync
         self._read_clock = read_clock
-        #: What this hall's hosts say for other halls, and all hosts for this hall.
-        self._hall_digest = SummaryDigest()
-        self._fleet_digest = SummaryDigest()
+        #: Aggregates of this hall, for other halls, and of the fleet, for this hall.
+        self._hall_aggregator = SummaryDigest()
+        self._fleet_aggregator = SummaryDigest()
         self._surges = SurgeGate()
         self._own: Summary | None = None
         self._sequence = 0
-        #: Whether peers are told that this host takes no new requests.
+        #: Whether summaries announce that this host accepts no new requests.
         self.is_leaving = False
 
     def add_host(self, summary: Summary) -> None:
         """Add the summary of a host of this hall."""
-        self._hall_digest.take(summary)
-        self._fleet_digest.take(summary)
+        self._hall_aggregator.take(summary)
+        self._fleet_aggregator.take(summary)
 
     def add_hall(self, summary: Summary) -> None:
         """Add the summary of another hall."""
-        self._fleet_digest.take(summary)
+        self._fleet_aggregator.take(summary)
 
     def publish_own(self, *, has_surged: bool = False) -> None:
         """Send this host's summary to every peer that needs it.
 
-        ``has_surged`` has relays forward it at once.
+        ``has_surged`` makes relays forward it immediately.
         """
         self._sequence += 1
         summary = self._scheduler.look(
@@ -90,7 +92,7 @@
         self.add_host(summary)
 
     def publish_fleet(self) -> None:
-        """Send this hall's hosts the aggregate of the whole fleet."""
+        """Send the hosts of this hall the aggregate of the whole fleet."""
         own = self._roles.table.own
         now_seconds = self._read_clock()
         views = self._scheduler.peer_views(now_seconds)
@@ -101,7 +103,9 @@
             else view.summary
             for view in views
         ]
-        summary = self._fleet_digest.merge(self._with_own(summaries), self._sequence)
+        summary = self._fleet_aggregator.merge(
+            self._with_own(summaries), self._sequence
+        )
         message = FleetSummary(
             own.incarnation,
             self._sync.with_own_versions(summary),
@@ -123,13 +127,13 @@
         self._links.broadcast(message, self._roles.is_in_own_group)
 
     def is_hall_burst(self) -> bool:
-        """Return whether demand in this hall is far above what was published."""
+        """Return whether demand in this hall is far above the last published value."""
         return self._surges.has_grown(sum_limits(self._hall_summaries()))
 
     def publish_hall(self, *, has_surged: bool = False) -> None:
-        """Send other halls the aggregate of this one."""
+        """Send other halls the aggregate of this hall."""
         own = self._roles.table.own
-        summary = self._hall_digest.merge(self._hall_summaries(), self._sequence)
+        summary = self._hall_aggregator.merge(self._hall_summaries(), self._sequence)
         self._surges.note_told(summary.limits)
         summary = attrs.evolve(summary, has_surged=has_surged)
         message = HallSummary(own.hall, own.name, own.incarnation, summary)
--- a/packages/rampwick-router/src/rampwick_router/peers/_sync.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_sync.py
@@ -1,8 +1,8 @@
-"""What readers of the platform know, between peers: differences where they suffice.
+"""Synchronization of configuration and host lists between peers.
 
-A host that does not read the platform asks one that does how old its knowledge is.
-The reply's ages count from when the question was sent, so that a late reply never
-makes old knowledge look fresh.
+Differences are sent where possible, whole states otherwise. A host that does not read
+the platform polls a host that does for the age of its data. The ages in a reply count
+from the time of the request, so that a late reply never makes old data look fresh.
 """
 
 import math
@@ -38,19 +38,19 @@
 from ..control import ConfigurationTask, HostListTask
 from ._links import Link
 
-#: Changes in one reply; the rest is asked for again.
+#: Maximum number of changes in one reply; the rest is requested again.
 CHANGES_PER_REPLY = 64
 
-#: Versions of the host list kept to tell differences to.
+#: Versions of the host list retained for computing differences.
 MAX_RETAINED_LISTS = 32
 
-#: Questions remembered until they are answered.
+#: Maximum number of requests that wait for a reply.
 MAX_PENDING_REQUESTS = 64
 
-#: Who told this host of targets, as its log says it.
-READER_SOURCE = "a reader says so"
+#: Source of targets received from a reader, for logs.
+READER_SOURCE = "report from a reader"
 
-#: Told instead of an age that is not known.
+#: Reported instead of an unknown age.
 MAX_REPORTED_AGE_SECONDS = 1e6
 
 log = PartLogger("peers")
@@ -58,7 +58,7 @@
 
 @attrs.define(repr=False)
 class PeerSync(Shown):
-    """Answers peers' questions about configuration and hosts, and asks its own."""
+    """Exchanges configuration and host lists with peers."""
 
     _follower: ConfigurationFollower
     _configuration: ConfigurationTask
@@ -68,11 +68,11 @@
     _lists: dict[int, HostList] = attrs.field(factory=dict)
     _requested_at: dict[int, float] = attrs.field(factory=dict)
     _sequence: int = 0
-    #: When a question was answered last.
+    #: Time of the last reply.
     answered_at_seconds: float = -math.inf
 
-    def take(self, link: Link, message: Any) -> bool:
-        """Take a message of this kind; return whether it is one."""
+    def handle(self, link: Link, message: Any) -> bool:
+        """Handle a synchronization message; return false for any other message."""
         if isinstance(message, ChangesRequest):
             known = TreeVersion(message.after_revision, message.store_era)
             self._reply_changes(link, known)
@@ -97,7 +97,7 @@
         return True
 
     def own_ages(self) -> tuple[float, float]:
-        """Return the ages of the configuration and of the host list, to be told."""
+        """Return the ages of the configuration and the host list, for peers."""
         now_seconds = self._read_clock()
         return (
             _clamp_age(self._configuration.age_seconds(now_seconds)),
@@ -105,7 +105,7 @@
         )
 
     def with_own_versions(self, summary: Summary) -> Summary:
-        """Return a summary of many hosts with the versions that this one can give."""
+        """Return an aggregate with the versions held by this host."""
         return attrs.evolve(
             summary,
             revision=self._follower.revision,
@@ -114,7 +114,11 @@
         )
 
     def apply_ages(self, fleet: FleetSummary, requested_at_seconds: float) -> None:
-        """Take the ages that a relay tells, counted from a word that it had heard."""
+        """Apply the ages from a relay's summary.
+
+        They count from the time at which this host sent the newest of its own summaries
+        that the relay had received.
+        """
         self._confirm(
             requested_at_seconds,
             TreeVersion(fleet.summary.revision, fleet.summary.store_era),
@@ -125,12 +129,12 @@
         )
 
     def request_missing(self, link: Link, summary: Summary) -> None:
-        """Ask a peer for what it knows and this host does not."""
+        """Request newer versions if a peer has them."""
         version = TreeVersion(summary.revision, summary.store_era)
         self._request_newer(link, version, summary.host_list_version)
 
     def request_ages(self, link: Link) -> None:
-        """Ask a peer how old its knowledge is."""
+        """Request the ages of a peer's data."""
         self._sequence += 1
         self._requested_at[self._sequence] = self._read_clock()
         while len(self._requested_at) > MAX_PENDING_REQUESTS:
@@ -172,7 +176,8 @@
         if patched is not None:
             self._hosts.offer(patched)
         elif changes.version > self._hosts.version:
-            # Another list came between: the whole one settles it.
+            # The base version of the difference is no longer current: request the whole
+            # list.
             link.put(HostListRequest(-1))
 
     def _confirm_reply(self, sequence: int) -> ConfirmReply:
--- a/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
@@ -1,7 +1,8 @@
 """Urgent updates, sent outside the regular gossip interval.
 
-Long prompts, bursts under limits, upstreams that crash, leave or name a rate: what
-hosts do until they know of these costs more than a few messages.
+They cover long prompts, bursts under limits, and upstreams that crash, shut down or set
+a request rate. Until hosts receive such an update, their wrong decisions cost more than
+the few extra messages.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,42 +16,43 @@
 from ._roles import Roles
 from ._summaries import SummaryPublisher
 
-#: Least time between two updates on long prompts: a round trip, and the handling of
-#: each by every host.
+#: Minimum time between two updates about long prompts: one round trip plus the time in
+#: which every host handles an update.
 LOAD_UPDATE_SECONDS = 0.05
 
-#: Least time between two updates on bursts: a relay adds up its hall for each.
+#: Minimum time between two updates about bursts: a relay aggregates its whole hall for
+#: each of them.
 BURST_UPDATE_SECONDS = 0.1
 
-#: Time for which updates are batched: all attempts that a crash breaks fail within
-#: milliseconds, and share one message.
+#: Batching interval: all attempts that a crash breaks fail within milliseconds of each
+#: other, and share one message.
 UPDATE_BATCH_SECONDS = 0.02
 
-#: Time between two retransmissions of one update.
+#: Time between two retransmissions of an update.
 RETRANSMIT_INTERVAL_SECONDS = 1.0
 
-#: Messages on facts that all hosts must know.
+#: Messages that all hosts must receive.
 Update = CrashUpdate | RateLimitUpdate | LeavingUpdate
 
 
 class UpdateSource(Protocol):
-    """Facts that all hosts must know."""
+    """Source of updates that all hosts must receive."""
 
     #: Called when there is an update to broadcast.
     on_update: Callable[[], None]
 
     def take_update(self, now_seconds: float) -> Update | None:
-        """Return the update on what was not broadcast yet; none if nothing is new."""
+        """Return the update with changes not yet broadcast, if any."""
 
     def take_retransmission(self, now_seconds: float) -> Update | None:
-        """Return what was broadcast of late; none if nothing was."""
+        """Return the update with recently broadcast changes, if any."""
 
     def initial_state(self, now_seconds: float) -> Update | None:
-        """Return what a host needs that has just connected; none if nothing."""
+        """Return the state that a newly connected host needs, if any."""
 
 
 class UrgentUpdates:
-    """Broadcasts at once what can't wait."""
+    """Broadcasts urgent updates immediately."""
 
     def __init__(
         self,
@@ -68,7 +70,7 @@
         self._broadcasters = [
             UpdateBroadcaster(source, self._broadcast, read_clock) for source in facts
         ]
-        #: Whether the burst to be broadcast is of this hall, and of another one.
+        #: Whether there is a burst to broadcast from this hall, and from another hall.
         self._is_own_burst = False
         self._is_remote_burst = False
 
@@ -81,14 +83,14 @@
                 tasks.start_soon(broadcaster.run)
 
     def note_load(self) -> None:
-        """Note that a runner was sent a long prompt."""
+        """Record that a runner was sent a long prompt."""
         self._has_load.set()
 
     async def _broadcast_load(self) -> None:
         """Broadcast the load that long prompts cause, in a small fleet.
 
-        All hosts that see a burst would send their prompts to the same idle runner
-        until they know of each other's.
+        Otherwise all hosts that receive a burst would send their prompts to the same
+        idle runner until they receive each other's next summary.
         """
         while True:
             await self._has_load.wait()
@@ -98,12 +100,12 @@
             await anyio.sleep(LOAD_UPDATE_SECONDS)
 
     def note_burst(self) -> None:
-        """Note that a workspace near its limit asks this hall for much more."""
+        """Record that demand of a workspace near its limit grew much in this hall."""
         self._is_own_burst = True
         self._has_burst.set()
 
     def note_remote_burst(self) -> None:
-        """Note a burst in another hall, which this hall's hosts are to know of."""
+        """Record a burst in another hall, to be forwarded to this hall."""
         self._is_remote_burst = True
         self._has_burst.set()
 
@@ -115,10 +117,11 @@
             await anyio.sleep(BURST_UPDATE_SECONDS)
 
     def broadcast_burst(self) -> None:
-        """Broadcast a burst under a limit; a relay forwards one of its whole hall.
+        """Broadcast a burst under a limit; a relay forwards a burst of its whole hall.
 
-        Until they know of a burst, hosts admit as much as before it. An update costs
-        a relay's whole hall, so one that changes nothing is not forwarded.
+        Until hosts receive the update, they admit as much as before the burst. An
+        update costs a summary of the relay's whole hall, so a relay does not forward an
+        update that changes nothing for its hall.
         """
         is_own, self._is_own_burst = self._is_own_burst, False
         is_elsewhere, self._is_remote_burst = self._is_remote_burst, False
@@ -132,7 +135,7 @@
             self._summaries.publish_hall(has_surged=True)
 
     def initial_states(self, now_seconds: float) -> list[Update]:
-        """Return the updates that a host needs that has just connected."""
+        """Return the updates that a newly connected host needs."""
         states = [item.source.initial_state(now_seconds) for item in self._broadcasters]
         return [state for state in states if state is not None]
 
@@ -159,7 +162,7 @@
         source.on_update = self.wake
 
     def wake(self) -> None:
-        """Note that there is an update to broadcast."""
+        """Record that there is an update to broadcast."""
         self._has_update.set()
 
     async def run(self) -> None:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -205,16 +205,13 @@
         )
         self._salts.prepare(_list_scopes(scheduler), _list_versions(scheduler))
         self._has_caches = bool(sources)
-        live_peers = self._list_peers()
-        if (
-            not live_peers.halls
-            and self._age_seconds(now_seconds) < OWN_HALL_ONLY_SECONDS
-        ):
+        peers = self._list_peers()
+        if not peers.halls and self._age_seconds(now_seconds) < OWN_HALL_ONLY_SECONDS:
             sources = {item for item in sources if item.hall == self._own.hall}
         return {
             source
             for source in sources
-            if is_cache_reader(self._own, source.name, source.hall, live_peers)
+            if is_cache_reader(self._own, source.name, source.hall, peers)
         }
 
     async def _follow(self, source: CacheSource, scope: anyio.CancelScope) -> None:
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -1,4 +1,4 @@
-"""Cache events on their way between hosts, and the task that owns the scheduler."""
+"""Tests of the distribution of cache events, and of event order in SchedulerTask."""
 
 import anyio
 import attrs
@@ -29,7 +29,7 @@
 
 
 def apply_to(known, events):
-    """Apply events to what a host knows: tokens by upstream, life and prefix."""
+    """Apply events to a table of tokens by upstream, label and prefix."""
     for event in events:
         if event.is_reset:
             known = {
@@ -41,18 +41,18 @@
     return known
 
 
-class BoxTest(TestCase):
+class BatchTest(TestCase):
     @given(st.lists(st.tuples(NAMES, CHANGES, st.booleans()), max_size=12))
-    def test_what_is_told_amounts_to_all_that_was_gathered(self, steps):
+    def test_a_batch_is_equivalent_to_the_events_it_combines(self, steps):
         box = CacheBox()
         events = [seen(name, kept, is_reset=reset) for name, kept, reset in steps]
         for event in events:
             box.add(event)
         before = {("a", "one/1", b"x" * 8): 100, ("b", "one/1", b"y" * 8): 100}
-        told = list(cache_events(to_cache_event_update(box.take())))
-        self.assertEqual(apply_to(dict(before), events), apply_to(dict(before), told))
+        batch = list(cache_events(to_cache_event_update(box.take())))
+        self.assertEqual(apply_to(dict(before), events), apply_to(dict(before), batch))
 
-    def test_nothing_is_told_twice(self):
+    def test_events_are_returned_once(self):
         box = CacheBox()
         box.add(seen("a", {b"x" * 8: 5}))
         self.assertEqual(1, len(box.take()))
@@ -61,7 +61,7 @@
 
 @attrs.define
 class RecordingLinks:
-    """Stands for the links of one host; notes what each peer was sent."""
+    """Fake links of one host; records the messages sent to each peer."""
 
     peers: list
     sent: dict = attrs.field(factory=dict)
@@ -77,13 +77,13 @@
 
 @attrs.frozen
 class FakeLink:
-    """Stands for a link to a peer."""
+    """A fake link to a peer."""
 
     peer: Member
 
 
-class MailTest(TestCase):
-    """Who is told: all in a small fleet, relays and their halls in a large one."""
+class RecipientsTest(TestCase):
+    """Recipients: all hosts in a small fleet, relays and their halls in a large one."""
 
     def fleet(self, own_name, per_hall):
         members = [
@@ -97,51 +97,51 @@
         links = RecordingLinks([member for member in members if member != own])
         self.posted = []
         names = {member.name for member in members} - {own_name}
-        mail = CacheOutbox(table, links, self, lambda: names)
-        return mail, links
+        outbox = CacheOutbox(table, links, self, lambda: names)
+        return outbox, links
 
     def post(self, event):
         self.posted.append(event)
 
-    def test_in_a_small_fleet_everybody_is_told(self):
-        mail, links = self.fleet("h1", per_hall=3)
-        mail.publish(seen("a", {b"x" * 8: 5}))
-        mail._flush()
+    def test_small_fleet_sends_to_all_hosts(self):
+        outbox, links = self.fleet("h1", per_hall=3)
+        outbox.publish(seen("a", {b"x" * 8: 5}))
+        outbox._flush()
         self.assertEqual({"h0", "h2", "k0", "k1", "k2"}, set(links.sent))
 
-    def test_in_a_large_fleet_only_the_relay_is_told(self):
-        mail, links = self.fleet("h5", per_hall=10)
-        mail.publish(seen("a", {b"x" * 8: 5}))
-        mail._flush()
+    def test_large_fleet_sends_to_the_relay_only(self):
+        outbox, links = self.fleet("h5", per_hall=10)
+        outbox.publish(seen("a", {b"x" * 8: 5}))
+        outbox._flush()
         self.assertEqual({"h0"}, set(links.sent))
 
-    def test_the_relay_tells_its_hall_and_the_other_halls(self):
-        mail, links = self.fleet("h0", per_hall=10)
+    def test_the_relay_forwards_to_its_hall_and_to_other_halls(self):
+        outbox, links = self.fleet("h0", per_hall=10)
         peer = FakeLink(links.link_to("h5"))
-        mail.take(peer, to_cache_event_update([seen("a", {b"x" * 8: 5})]))
-        mail._flush()
+        outbox.receive(peer, to_cache_event_update([seen("a", {b"x" * 8: 5})]))
+        outbox._flush()
         self.assertEqual(1, len(self.posted))
         self.assertEqual(19, len(links.sent))
 
-    def test_what_another_hall_told_stays_in_this_one(self):
-        mail, links = self.fleet("h0", per_hall=10)
-        mail.take(
+    def test_events_of_other_halls_are_forwarded_to_the_own_hall_only(self):
+        outbox, links = self.fleet("h0", per_hall=10)
+        outbox.receive(
             FakeLink(links.link_to("k0")),
             to_cache_event_update([seen("a", {b"x" * 8: 5})]),
         )
-        mail._flush()
+        outbox._flush()
         self.assertEqual({f"h{number}" for number in range(1, 10)}, set(links.sent))
 
-    def test_without_a_link_to_the_relay_the_hall_is_told(self):
-        mail, links = self.fleet("h5", per_hall=10)
+    def test_without_a_link_to_the_relay_the_hall_receives_events(self):
+        outbox, links = self.fleet("h5", per_hall=10)
         links.peers = [peer for peer in links.peers if peer.name != "h0"]
-        mail.publish(seen("a", {b"x" * 8: 5}))
-        mail._flush()
+        outbox.publish(seen("a", {b"x" * 8: 5}))
+        outbox._flush()
         self.assertEqual(8, len(links.sent))
 
 
 class ReentrantScheduler:
-    """Hands another event in while it handles the first."""
+    """Posts another event while it handles the first."""
 
     def __init__(self):
         self.log = []
@@ -161,7 +161,7 @@
 
 
 class SchedulerTaskTest(TestCase):
-    def test_an_event_handed_in_meanwhile_is_handled_afterwards(self):
+    def test_an_event_posted_during_handling_is_handled_afterwards(self):
         async def scenario():
             scheduler = ReentrantScheduler()
             scheduler.task = SchedulerTask(scheduler, lambda: 1.0)
@@ -175,7 +175,7 @@
         ]
         self.assertEqual(expected, anyio.run(scenario))
 
-    def test_a_question_is_answered_by_what_was_handed_in_before(self):
+    def test_a_query_reflects_events_posted_before_it(self):
         async def scenario():
             settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
             task = SchedulerTask(Scheduler(settings), lambda: 7.0)
--- a/tests/test_first_moments.py
+++ b/tests/test_first_moments.py
@@ -1,4 +1,4 @@
-"""What hosts do that come back together and have heard nobody yet."""
+"""Tests of hosts that restart simultaneously and have not received from any peer."""
 
 from collections import Counter
 from types import SimpleNamespace
@@ -25,8 +25,8 @@
 CACHES = [(f"r{number}", HALLS[number % 4]) for number in range(48)]
 
 
-class SilentFleet:
-    """A scheduler that has heard nobody."""
+class EmptyFleet:
+    """A scheduler without live peers."""
 
     def peer_views(self, now_seconds):
         return []
@@ -35,44 +35,44 @@
         return set()
 
 
-class HerdReadsCachesTest(TestCase):
-    """Symptom: after all of 90 hosts were killed, halls heard nothing for 3 s.
+class SimultaneousStartTest(TestCase):
+    """After 90 hosts were killed and restarted, halls received no updates for 3 s.
 
-    Sequence: each host that had heard nobody took itself for alone, asked all 48
-    caches for all that they remembered, and filled its link of 5 Mbit/s; so it heard
-    nobody.
+    Each host without live peers considered itself alone, requested the backlog of all
+    48 caches and saturated its link of 5 Mbit/s, so that it received nothing from
+    peers.
     """
 
     def roles(self, member, clock):
-        roles = Roles(member, SilentFleet(), lambda: clock.now)
+        roles = Roles(member, EmptyFleet(), lambda: clock.now)
         roles.table.learn(MEMBERS)
         return roles
 
     def readers(self, after_seconds):
-        """Return how many hosts read each cache, and how many each host reads."""
+        """Return the number of readers by cache, and the number of caches by host."""
         by_cache, by_host = Counter(), Counter()
         for member in MEMBERS:
             clock = SimpleNamespace(now=100.0)
             roles = self.roles(member, clock)
             clock.now += after_seconds
-            near = roles.cache_reading_peers()
+            peers = roles.cache_reading_peers()
             for name, hall in CACHES:
-                if is_cache_reader(member, name, hall, near):
+                if is_cache_reader(member, name, hall, peers):
                     by_cache[name] += 1
                     by_host[member.name] += 1
         return by_cache, by_host
 
-    def test_those_that_are_known_share_the_caches(self):
+    def test_known_members_divide_the_caches(self):
         by_cache, by_host = self.readers(after_seconds=0.5)
         self.assertEqual({1}, set(by_cache.values()))
         self.assertEqual(len(CACHES), len(by_cache))
         self.assertLessEqual(max(by_host.values()), 6)
 
-    def test_one_that_hears_nobody_for_long_reads_for_itself(self):
+    def test_a_host_without_live_peers_reads_all_caches_eventually(self):
         by_cache, _ = self.readers(after_seconds=ASSUMED_ALIVE_SECONDS + 0.1)
         self.assertEqual({90}, set(by_cache.values()))
 
-    def test_a_few_histories_are_asked_for_at_once(self):
+    def test_concurrent_backlog_requests_are_limited(self):
         open_count = Counter()
 
         async def main():
@@ -84,7 +84,7 @@
                 MEMBERS[0], scheduler, None, None, SaltBook(""), None, None
             )
 
-            async def ask(source, reading):
+            async def poll(source, reading):
                 open_count["now"] += 1
                 open_count["most"] = max(open_count["most"], open_count["now"])
                 await anyio.sleep(0)
@@ -92,7 +92,7 @@
                 open_count["all"] += 1
                 return False
 
-            reader._poll = ask
+            reader._poll = poll
             async with anyio.create_task_group() as tasks:
                 for name, hall in CACHES:
                     source = CacheSource(name, hall, f"{name}:1", name)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Streams between hosts: any bytes cost one connection only; strangers stay out."""
+"""Tests of connections between hosts: encoding, handshake and malformed input."""
 
 import anyio
 import msgpack
@@ -66,14 +66,14 @@
 class WireTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(SUMMARIES)
-    def test_messages_come_back_as_they_went(self, summary):
+    def test_messages_survive_a_round_trip(self, summary):
         data = encode_message(summary)
         self.assertEqual(len(data) - LENGTH_BYTES, int.from_bytes(data[:4], "big"))
         self.assertEqual(summary, decode_message(data[LENGTH_BYTES:]))
 
     @settings(derandomize=True, deadline=None, max_examples=500)
     @given(st.binary(max_size=300))
-    def test_any_bytes_give_a_message_or_a_message_error(self, data):
+    def test_arbitrary_bytes_decode_or_raise_message_error(self, data):
         try:
             decode_message(data, peer="stranger")
         except MessageError as error:
@@ -81,7 +81,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=500)
     @given(SUMMARIES, st.data())
-    def test_broken_messages_give_a_message_or_a_message_error(self, summary, data):
+    def test_corrupted_messages_decode_or_raise_message_error(self, summary, data):
         body = bytearray(encode_message(summary)[LENGTH_BYTES:])
         for _ in range(data.draw(st.integers(1, 4))):
             at = data.draw(st.integers(0, len(body) - 1))
@@ -91,24 +91,25 @@
         except MessageError:
             return
 
-    def test_fields_of_a_newer_peer_are_ignored(self):
-        body = msgpack.packb([2, b"digest", "something new"])
+    def test_unknown_trailing_fields_are_ignored(self):
+        body = msgpack.packb([2, b"digest", "unknown field"])
         self.assertEqual(b"digest", decode_message(body).digest)
 
-    def test_fields_that_an_older_peer_does_not_know_take_their_defaults(self):
-        """Hosts of two releases talk to each other while a fleet is upgraded.
+    def test_missing_trailing_fields_take_their_defaults(self):
+        """Hosts of two releases exchange messages during an upgrade of the fleet.
 
-        A message from the release before was no message: each link between hosts of two
-        releases ended at the first one, and was dialled and ended again.
+        Without defaults, a message from the previous release could not be decoded. Each
+        link between hosts of two releases closed at the first such message, and was
+        dialled and closed again.
         """
-        news = RolloutUpdate("h", 7, [WeightsTarget("m", 2)], [], [])
-        whole = msgpack.unpackb(encode_message(news)[LENGTH_BYTES:])
+        update = RolloutUpdate("h", 7, [WeightsTarget("m", 2)], [], [])
+        whole = msgpack.unpackb(encode_message(update)[LENGTH_BYTES:])
         self.assertEqual([], whole.pop())
-        self.assertEqual(news, decode_message(msgpack.packb(whole)))
-        # What has no default can't be missing.
+        self.assertEqual(update, decode_message(msgpack.packb(whole)))
+        # A field without a default is required.
         self.assertRaises(MessageError, decode_message, msgpack.packb(whole[:-1]))
 
-    def test_whole_numbers_stand_for_fractions_and_nothing_else_is_coerced(self):
+    def test_integers_are_accepted_as_floats_and_nothing_else_is_coerced(self):
         named = [15, "h", 7, [], [], [], [["m", 2, 1]]]
         (age,) = decode_message(msgpack.packb(named)).named
         self.assertIs(float, type(age.age_seconds))
@@ -119,7 +120,7 @@
             named[-1] = wrong
             self.assertRaises(MessageError, decode_message, msgpack.packb(named))
 
-    def test_trees_and_changes_come_back(self):
+    def test_trees_and_changes_survive_a_round_trip(self):
         tree = TreeReply(Tree(3, {"/": Node(), "/a": Node(weight=2.0)}))
         self.assertEqual(tree, decode_message(encode_message(tree)[LENGTH_BYTES:]))
         change = Change(4, "w", "a", 1.0, [NodeEdit("/a", None)])
@@ -133,7 +134,7 @@
         identity = Member(name, "trnava", "127.0.0.1:1", 1)
         return stream, await stream.handshake(identity, secret)
 
-    def test_stranger_without_the_secret_is_not_heard(self):
+    def test_peer_without_the_secret_is_rejected(self):
         async def scenario(bench):
             async with bench.run_host() as host:
                 try:
@@ -145,7 +146,7 @@
         self.assertTrue("wrong secret" in message or "closed" in message, message)
         self.assertEqual({}, peers._views)
 
-    def test_bad_messages_cost_their_connection_only(self):
+    def test_malformed_messages_close_only_their_connection(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
             async with bench.run_host() as host:
@@ -156,7 +157,7 @@
                         await raw.send(junk)
                 stream, peer = await self.dial(host, SECRET)
                 self.assertEqual("entry-1", peer.name)
-                # A second greeting has no place once the first is proved.
+                # A second Hello is not allowed after the handshake.
                 await stream.send(Hello(PROTOCOL_VERSION, "x", "y", 1, b"0" * 16))
                 with anyio.move_on_after(5):
                     try:
@@ -168,7 +169,7 @@
 
         self.assertEqual(200, self.run_scenario(scenario))
 
-    def test_hosts_hear_each_other_and_notice_silence(self):
+    def test_hosts_discover_each_other_and_detect_a_stopped_peer(self):
         async def scenario(bench):
             async with bench.run_host("entry-1") as one:
                 peers = one.daemon.scheduler._scheduler.peers
@@ -180,7 +181,7 @@
 
 
 class RecordingTransport:
-    """Takes what a stream writes; its peer takes nothing."""
+    """Records what a stream writes; its peer never reads."""
 
     def __init__(self):
         self.written = []
@@ -205,11 +206,11 @@
         self.is_paused = False
 
 
-class StreamTurnsTest(TestCase):
-    """A message costs the turn of the loop in which its bytes come, and no other.
+class StreamIterationsTest(TestCase):
+    """Messages are handled in the loop iteration in which their bytes arrive.
 
-    A task for each direction of each link made four turns a message: a relay of 20
-    hosts took 280 turns a second while nothing happened.
+    Separate tasks for each direction of each link took four iterations per message: a
+    relay of 20 hosts took 280 iterations per second while idle.
     """
 
     def play(self, scenario):
@@ -222,27 +223,27 @@
 
         anyio.run(main)
 
-    async def deliver(self, stream, taken, tasks):
-        tasks.start_soon(stream.deliver, taken.append)
+    async def deliver(self, stream, received, tasks):
+        tasks.start_soon(stream.deliver, received.append)
         await anyio.sleep(0)
 
-    def test_messages_are_handed_on_and_written_at_once(self):
+    def test_messages_are_delivered_and_written_immediately(self):
         async def scenario(stream, transport):
-            taken = []
+            received = []
             async with anyio.create_task_group() as tasks:
-                await self.deliver(stream, taken, tasks)
+                await self.deliver(stream, received, tasks)
                 data = encode_message(Members([]))
                 stream.data_received(data + data[:2])
-                self.assertEqual([Members([])], taken)
+                self.assertEqual([Members([])], received)
                 stream.data_received(data[2:])
-                self.assertEqual(2, len(taken))
+                self.assertEqual(2, len(received))
                 self.assertTrue(stream.put(data))
                 self.assertEqual([data], transport.written)
                 tasks.cancel_scope.cancel()
 
         self.play(scenario)
 
-    def test_what_a_slow_peer_does_not_take_is_dropped(self):
+    def test_messages_to_a_slow_peer_are_dropped(self):
         async def scenario(stream, transport):
             data = encode_message(Members([]))
             sent_count = sum(stream.put(data) for _ in range(MAX_UNSENT_BYTES))
@@ -251,7 +252,7 @@
 
         self.play(scenario)
 
-    def test_a_fault_in_a_message_ends_the_stream_for_whoever_waits(self):
+    def test_a_malformed_message_raises_from_deliver(self):
         ended = []
 
         async def deliver(stream):
@@ -271,7 +272,7 @@
         (error,) = ended
         self.assertIsInstance(error, PeerError)
 
-    def test_a_message_too_long_ends_its_stream_and_nothing_else(self):
+    def test_an_oversized_outgoing_message_closes_only_its_stream(self):
         async def scenario(stream, transport):
             self.assertFalse(stream.put(b"x" * 20_000))
             self.assertTrue(transport.is_aborted)
@@ -280,7 +281,7 @@
 
         self.play(scenario)
 
-    def test_a_stranger_can_not_fill_the_memory(self):
+    def test_buffering_before_the_handshake_is_bounded(self):
         async def scenario(stream, transport):
             stream.data_received(b"\0" * 100_000)
             self.assertTrue(transport.is_paused)
@@ -296,7 +297,7 @@
         )
         return str(found)
 
-    def test_errors_name_file_key_value_and_what_is_allowed(self):
+    def test_errors_name_file_key_value_and_allowed_values(self):
         cases = {
             "[retry]\nramp = 4": ("a.toml", "retry.ramp", "ramp_start_ratio"),
             "[retry]\nbudget_ratio = 7": ("budget_ratio", "7", "0.0 to 1.0"),
@@ -314,7 +315,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.text(max_size=60))
-    def test_any_text_gives_settings_or_one_line(self, text):
+    def test_arbitrary_text_parses_or_raises_a_one_line_error(self, text):
         try:
             parse_settings(text, source="x")
         except SettingsError as error:
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -295,8 +295,8 @@
     def tell(self, teller, asker):
         question, answer = Wire(), Wire()
         asker.sync.request_ages(question)
-        teller.sync.take(answer, question.messages[0])
-        asker.sync.take(question, answer.messages[0])
+        teller.sync.handle(answer, question.messages[0])
+        asker.sync.handle(question, answer.messages[0])
 
     def read(self, host, *targets, **options):
         event = TargetsRead(targets, read_at_seconds=host.now_seconds, **options)
@@ -407,8 +407,8 @@
         reader.hear(WeightsTarget("m", 3))
         question, answer = Wire(), Wire()
         asker.sync.request_ages(question)
-        reader.sync.take(answer, question.messages[0])
-        asker.sync.take(question, answer.messages[0])
+        reader.sync.handle(answer, question.messages[0])
+        asker.sync.handle(question, answer.messages[0])
         self.assertEqual([WeightsTarget("m", 3)], asker.scheduler.targets())
 
     def test_a_newer_target_is_a_line_of_the_log_with_its_source(self):
@@ -438,6 +438,6 @@
         asker.hear(WeightsTarget("m", 3))
         question, answer = Wire(), Wire()
         asker.sync.request_ages(question)
-        reader.sync.take(answer, question.messages[0])
-        asker.sync.take(question, answer.messages[0])
+        reader.sync.handle(answer, question.messages[0])
+        asker.sync.handle(question, answer.messages[0])
         self.assertEqual([WeightsTarget("m", 3)], asker.scheduler.targets())
--- a/tests/test_restored_trees.py
+++ b/tests/test_restored_trees.py
@@ -232,7 +232,7 @@
 
     def put(self, message):
         self.sent.append(message)
-        self._other.sync.take(Link(self._other, self._own), message)
+        self._other.sync.handle(Link(self._other, self._own), message)
 
 
 class RestoredPeersTest(TestCase):
@@ -291,12 +291,12 @@
         self.one.pass_held()
         sent = []
         link = SimpleNamespace(put=sent.append)
-        self.one.sync.take(link, ConfirmRequest(1))
+        self.one.sync.handle(link, ConfirmRequest(1))
         self.other.sync._requested_at[1] = self.clock.now
-        self.other.sync.take(SimpleNamespace(put=sent.append), sent[0])
+        self.other.sync.handle(SimpleNamespace(put=sent.append), sent[0])
         self.assertGreater(self.other.age_seconds, 5.0)
         self.assertIsInstance(sent[1], ChangesRequest)
-        self.one.sync.take(link, sent[1])
+        self.one.sync.handle(link, sent[1])
         self.assertIsInstance(sent[2], TreeReply)
 
     def test_changes_of_another_era_have_another_base(self):
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -1,4 +1,4 @@
-"""What a hall's relay tells its hosts of the whole fleet."""
+"""Tests of the fleet summary that a relay sends to its hall."""
 
 from types import SimpleNamespace
 
@@ -26,14 +26,14 @@
     )
 
 
-class LateHallTest(TestCase):
-    """A hall that says nothing neither sends under limits nor is there.
+class HallTimeoutTest(TestCase):
+    """A hall without recent summaries counts neither under limits nor as alive.
 
-    Its hosts may be cut off and serve on, as those here do: both sides filled the same
-    room until they noticed.
+    Its hosts may be partitioned and go on serving, as the hosts here do. Without the
+    timeout both sides used the same capacity until the partition was detected.
     """
 
-    def told(self, silent_seconds):
+    def fleet_summary(self, silent_seconds):
         views = [
             PeerView("h2", "a", 1, summary(100), 99.9),
             PeerView("hall b", "b", 1, summary(1000, 20), 100.0 - silent_seconds),
@@ -49,18 +49,18 @@
             with_own_versions=lambda item: item, own_ages=lambda: (0.0, 0.0)
         )
         links = SimpleNamespace(broadcast=lambda message, to: sent.append(message))
-        teller = SummaryPublisher(scheduler, None, links, roles, sync, lambda: 100.0)
-        teller.publish_fleet()
+        publisher = SummaryPublisher(scheduler, None, links, roles, sync, lambda: 100.0)
+        publisher.publish_fleet()
         return sent[0].summary
 
-    def test_one_that_spoke_of_late_counts(self):
-        told = self.told(HALL_TIMEOUT_SECONDS - 0.1)
-        self.assertEqual([LimitUsage("/w", 1100)], told.limits)
-        self.assertEqual(21, told.hosts_count)
+    def test_a_hall_with_a_recent_summary_counts(self):
+        found = self.fleet_summary(HALL_TIMEOUT_SECONDS - 0.1)
+        self.assertEqual([LimitUsage("/w", 1100)], found.limits)
+        self.assertEqual(21, found.hosts_count)
 
-    def test_one_that_is_late_counts_no_more(self):
-        told = self.told(HALL_TIMEOUT_SECONDS + 0.1)
-        self.assertEqual([LimitUsage("/w", 100)], told.limits)
-        self.assertEqual(2, told.hosts_count)
-        # What it has under way at runners is not forgotten so soon.
-        self.assertEqual([UpstreamUsage("r", "one/1", 4, 0)], told.upstreams)
+    def test_a_hall_without_a_recent_summary_no_longer_counts(self):
+        found = self.fleet_summary(HALL_TIMEOUT_SECONDS + 0.1)
+        self.assertEqual([LimitUsage("/w", 100)], found.limits)
+        self.assertEqual(2, found.hosts_count)
+        # Its running requests at runners still count.
+        self.assertEqual([UpstreamUsage("r", "one/1", 4, 0)], found.upstreams)
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -1,4 +1,4 @@
-"""News that does not wait for the next interval, and who gets it in which fleet."""
+"""Tests of urgent updates and their recipients by fleet size."""
 
 from types import SimpleNamespace
 
@@ -21,53 +21,53 @@
 from rampwick_schema import CrashUpdate, LimitUsage, Node, Tree, parse_settings
 
 
-class RecordingTeller:
-    """Stands for the summaries of one host."""
+class RecordingPublisher:
+    """Fake publisher that records which summaries are sent."""
 
     def __init__(self, is_hall_burst):
-        self.told = []
+        self.published = []
         self._is_hall_burst = is_hall_burst
 
     def is_hall_burst(self):
         return self._is_hall_burst
 
     def publish_own(self, *, has_surged=False):
-        self.told.append(("own", has_surged))
+        self.published.append(("own", has_surged))
 
     def publish_fleet(self):
-        self.told.append(("fleet", False))
+        self.published.append(("fleet", False))
 
     def publish_hall(self, *, has_surged=False):
-        self.told.append(("hall", has_surged))
+        self.published.append(("hall", has_surged))
 
 
-class SurgeTest(TestCase):
-    def tell(self, *notes, is_relay, is_hall_burst=True):
-        teller = RecordingTeller(is_hall_burst)
+class BurstTest(TestCase):
+    def publish(self, *notes, is_relay, is_hall_burst=True):
+        publisher = RecordingPublisher(is_hall_burst)
         roles = SimpleNamespace(is_relay=lambda: is_relay)
-        news = UrgentUpdates((), teller, None, roles, None)
+        updates = UrgentUpdates((), publisher, None, roles, None)
         for note in notes:
-            getattr(news, note)()
-        news.broadcast_burst()
-        return teller.told
-
-    def test_a_host_tells_those_that_hear_it(self):
-        told = self.tell("note_burst", is_relay=False)
-        self.assertEqual([("own", True)], told)
-
-    def test_a_relay_passes_it_on_to_its_hall_and_to_the_others(self):
-        told = self.tell("note_burst", is_relay=True)
-        self.assertEqual([("own", True), ("fleet", False), ("hall", True)], told)
-
-    def test_a_relay_keeps_back_what_changes_nothing_for_its_hall(self):
-        told = self.tell("note_burst", is_relay=True, is_hall_burst=False)
-        self.assertEqual([("own", True)], told)
-        both = self.tell(
+            getattr(updates, note)()
+        updates.broadcast_burst()
+        return publisher.published
+
+    def test_a_host_publishes_its_own_summary(self):
+        published = self.publish("note_burst", is_relay=False)
+        self.assertEqual([("own", True)], published)
+
+    def test_a_relay_forwards_a_burst_to_all_halls(self):
+        published = self.publish("note_burst", is_relay=True)
+        self.assertEqual([("own", True), ("fleet", False), ("hall", True)], published)
+
+    def test_a_relay_does_not_forward_a_burst_that_is_small_for_its_hall(self):
+        published = self.publish("note_burst", is_relay=True, is_hall_burst=False)
+        self.assertEqual([("own", True)], published)
+        both = self.publish(
             "note_burst", "note_remote_burst", is_relay=True, is_hall_burst=False
         )
         self.assertEqual([("own", True), ("fleet", False)], both)
 
-    def test_a_halls_surge_is_news_once(self):
+    def test_a_hall_burst_is_reported_once(self):
         gate = SurgeGate()
         usage = LimitUsage("/w", 0, 0, 1000)
         self.assertTrue(gate.has_grown([usage]))
@@ -75,25 +75,26 @@
         self.assertFalse(gate.has_grown([usage]))
         self.assertFalse(gate.has_grown([attrs.evolve(usage, asked_tokens=1400)]))
         self.assertTrue(gate.has_grown([attrs.evolve(usage, asked_tokens=1600)]))
-        # Of two limits, one that has not been told of is news.
+        # A limit that has not been published yet counts as grown.
         self.assertTrue(gate.has_grown([usage, attrs.evolve(usage, path="/v")]))
 
-    def test_what_another_hall_told_does_not_go_back(self):
-        told = self.tell("note_remote_burst", is_relay=True)
-        self.assertEqual([("own", False), ("fleet", False)], told)
+    def test_a_burst_of_another_hall_is_not_sent_back(self):
+        published = self.publish("note_remote_burst", is_relay=True)
+        self.assertEqual([("own", False), ("fleet", False)], published)
 
-    def test_a_surge_counts_where_a_limit_is_nearly_used_and_not_before(self):
-        surges = []
+    def test_a_burst_counts_only_when_a_limit_is_nearly_used(self):
+        bursts = []
         scheduler = Scheduler(
             parse_settings('[host]\nname = "e"\nhall = "h"\n', source="test")
         )
         clock = SimpleNamespace(now=100.0)
         task = SchedulerTask(scheduler, lambda: clock.now)
-        task.note_burst = lambda: surges.append(clock.now)
+        task.note_burst = lambda: bursts.append(clock.now)
         node = Node(is_workspace=True, tokens_per_second=100.0, burst_tokens=200.0)
         view = TreeView(Tree(1, {"/": Node(), "/w": node}))
         task.post(TreeInForce(view))
-        # All that a limit of 1,000 tokens in 8 s has room for, told at each request.
+        # Demand that the limit of 1,000 tokens in 8 s can just serve, published at each
+        # request.
         for number in range(20):
             clock.now += 1.0
             arrived = RequestArrived(
@@ -107,14 +108,14 @@
             )
             scheduler.limits.ask(arrived, clock.now)
             scheduler.limits.words(clock.now)
-        self.assertEqual([], surges)
+        self.assertEqual([], bursts)
         clock.now += 0.1
         task.post(attrs.evolve(arrived, request_id="s", named_tokens=900))
-        self.assertEqual(clock.now, surges[-1])
+        self.assertEqual(clock.now, bursts[-1])
 
 
-class EndsTest(TestCase):
-    def broadcast(self, *, is_relay, told_names):
+class CrashUpdatesTest(TestCase):
+    def broadcast(self, *, is_relay, recipients):
         peers = [Member(name, "h", f"{name}:1", 1) for name in ("a", "b", "c")]
         sent = []
 
@@ -122,27 +123,27 @@
             sent.extend(peer.name for peer in peers if is_for(peer))
 
         roles = SimpleNamespace(
-            is_relay=lambda: is_relay, is_recipient=lambda peer: peer.name in told_names
+            is_relay=lambda: is_relay, is_recipient=lambda peer: peer.name in recipients
         )
         links = SimpleNamespace(broadcast=send)
-        news = UrgentUpdates((), None, links, roles, None)
-        news._broadcast(CrashUpdate())
+        updates = UrgentUpdates((), None, links, roles, None)
+        updates._broadcast(CrashUpdate())
         return sent
 
-    def test_a_host_of_a_large_fleet_tells_its_relays(self):
-        self.assertEqual(["a"], self.broadcast(is_relay=False, told_names={"a"}))
+    def test_a_host_of_a_large_fleet_sends_to_its_relays(self):
+        self.assertEqual(["a"], self.broadcast(is_relay=False, recipients={"a"}))
 
-    def test_a_relay_tells_all_that_it_has_links_to(self):
+    def test_a_relay_sends_to_all_connected_peers(self):
         self.assertEqual(
-            ["a", "b", "c"], self.broadcast(is_relay=True, told_names=set())
+            ["a", "b", "c"], self.broadcast(is_relay=True, recipients=set())
         )
 
-    def test_each_fact_reaches_the_news(self):
+    def test_each_crash_is_included_in_updates(self):
         suspects = Suspects(NoticeBook())
         for number in range(3):
             life = LifeName("u", str(number))
             suspects.book.note_end(life, b"f" * 16, "/w", 1.0, 1.0)
         suspects.judge(2.0)
-        news = suspects.take_update(2.0)
-        self.assertEqual([3], [item.ends_count for item in news.stopped])
+        updates = suspects.take_update(2.0)
+        self.assertEqual([3], [item.ends_count for item in updates.stopped])
         self.assertEqual(3, len(suspects.initial_state(2.0).ended))
