--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -195,7 +195,7 @@
         self.configuration.source = WatchedTreeSource(
             api, reader, settings, role.wants_configuration, read_clock, draw
         )
-        self.configuration.ask_peer = self.gossip.freshness.query_reader
+        self.configuration.query_peer = self.gossip.freshness.query_reader
         self.hosts.source = WatchedHostSource(
             api, reader, role.wants_hosts, read_clock, draw
         )
--- a/packages/rampwick-router/src/rampwick_router/control/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/control/__init__.py
@@ -1,8 +1,9 @@
-"""What keeps configuration and weights: sources, ages, the lease, orders.
+"""Configuration, host lists, weights targets and the rollout controller.
 
-It owns what this host believes the platform says, and the steward's duty while this
-host holds the lease. Watches and peers feed it; orders go out through
-:mod:`~rampwick_router.upstream`. It knows nothing of callers, nor of links to peers.
+This package owns this host's view of the platform's data, and runs the rollout
+controller while this host holds the lease. Watches and peers feed it; orders are sent
+through :mod:`~rampwick_router.upstream`. It depends neither on the code that serves
+callers nor on links to peers.
 """
 
 from ._configuration import ConfigurationTask as ConfigurationTask
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration.py
@@ -1,4 +1,4 @@
-"""The task that keeps the configuration in force up to date, and knows its age."""
+"""Maintenance of the configuration in force and of its age."""
 
 import math
 from collections.abc import Callable
@@ -11,24 +11,24 @@
 from .._logs import PartLogger
 from .._scheduler_task import SchedulerTask
 
-#: Longest wait for a peer's confirmation before the platform itself is asked.
+#: Maximum wait for a confirmation by a peer before the platform is queried.
 PEER_CONFIRM_SECONDS = 0.1
 
 log = PartLogger("configuration")
 
 
 class ConfigurationSource(Protocol):
-    """Where the configuration comes from."""
+    """Source of the configuration."""
 
     async def run(self, task: "ConfigurationTask") -> None:
-        """Follow the source until cancelled; hand what is read to the task."""
+        """Follow the source until cancelled and pass what is read to the task."""
 
     async def refresh(self) -> None:
-        """Look at the source now, or raise a PlatformError."""
+        """Read the source now, or raise a PlatformError."""
 
 
 class ConfigurationTask:
-    """Keeps the follower up to date and tells others of each new revision."""
+    """Keeps the follower up to date and publishes each new revision."""
 
     def __init__(
         self,
@@ -38,26 +38,26 @@
     ) -> None:
         self.follower = follower
         self.source: ConfigurationSource | None = None
-        #: Asks a peer that reads the platform; returns whether there is one.
-        self.ask_peer: Callable[[], bool] = lambda: False
+        #: Queries a peer that reads the platform; returns whether there is one.
+        self.query_peer: Callable[[], bool] = lambda: False
         self._scheduler = scheduler
         self._read_clock = read_clock
         self._confirmed_at_seconds = -math.inf
-        #: Why the platform can't be read at present, or nothing.
+        #: Why the platform cannot be read at present; empty if it can.
         self.problem = ""
-        #: Set whenever another revision is in force, then replaced.
+        #: Set when another revision comes into force, then replaced.
         self.changed = anyio.Event()
 
     def age_seconds(self, now_seconds: float) -> float:
-        """Return the time since the configuration was surely the newest."""
+        """Return the time since the configuration was last confirmed as the newest."""
         return now_seconds - self._confirmed_at_seconds
 
     def confirm(self, at_seconds: float) -> None:
-        """Note a steady time at which the configuration in force was the newest."""
+        """Record a monotonic time at which this configuration was the newest."""
         self._confirmed_at_seconds = max(self._confirmed_at_seconds, at_seconds)
 
     def announce(self) -> None:
-        """Tell the scheduler and whoever waits that the tree is another."""
+        """Notify the scheduler and waiting tasks of a new tree."""
         log.info(
             "revision in force",
             revision=self.follower.revision,
@@ -70,11 +70,11 @@
         self.changed = anyio.Event()
 
     def note_problem(self, problem: str) -> None:
-        """Note why the platform can't be read, or by an empty text that it can."""
+        """Record why the platform cannot be read; an empty text means that it can."""
         if problem and not self.problem:
-            log.problem("platform can't be read", error=problem)
+            log.problem("platform unavailable", error=problem)
         if self.problem and not problem:
-            log.info("platform can be read again")
+            log.info("platform available again")
         self.problem = problem
 
     async def run(self) -> None:
@@ -83,12 +83,12 @@
             await self.source.run(self)
 
     async def refresh(self) -> None:
-        """Have the configuration confirmed now; a problem is noted, not raised.
+        """Confirm the configuration now; errors are recorded, not raised.
 
-        A peer that reads the platform is asked first, where this host is none.
+        If this host does not read the platform, a peer that does is queried first.
         """
         confirmed_at_seconds = self._confirmed_at_seconds
-        if self.ask_peer():
+        if self.query_peer():
             with anyio.move_on_after(PEER_CONFIRM_SECONDS):
                 while self._confirmed_at_seconds == confirmed_at_seconds:
                     await anyio.sleep(PEER_CONFIRM_SECONDS / 20)
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -1,4 +1,4 @@
-"""Where the configuration is read: rampwick's own log of changes, or one object."""
+"""Sources of the configuration: rampwick's own change log, or a single object."""
 
 import math
 import random
@@ -28,16 +28,17 @@
 from .._logs import PartLogger
 from ._configuration import ConfigurationTask
 
-#: Wait after a failed call, and before a host without a watch looks by itself.
+#: Wait after a failed call, and time between two reads by a host that does not watch.
 FAILURE_PAUSE_SECONDS = 0.5
 RELOAD_INTERVAL_SECONDS = 15.0
 
-#: How often a host without a watch sees whether it shall keep one now.
+#: Time between two checks of whether a host without a watch must start one.
 ROLE_INTERVAL_SECONDS = 0.5
 
-#: Least time between two looks that requests ask for; it doubles with each that fails
-#: up to the longest, or a large fleet would call a store that is away without pause.
-#: The readers' watches notice its return, and peers tell of it.
+#: Minimum time between two reads triggered by requests. It doubles with each failed
+#: read up to the maximum; otherwise a large fleet would call an unavailable store
+#: continuously. The watches of the readers detect when the store returns, and peers
+#: forward it.
 REFRESH_INTERVAL_SECONDS = 0.2
 MAX_REFRESH_INTERVAL_SECONDS = 1.6
 
@@ -45,7 +46,7 @@
 
 
 class TreeStoreSource:
-    """The log of changes that operators write with rampwick's own command line."""
+    """The change log that operators write with rampwick's command line."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         self._read_clock = read_clock
         self._store_version = 0
         self._restored = RestoredTrees()
-        #: Whether the log shows an older tree that is not taken yet.
+        #: Whether an older tree from the log is held back.
         self._is_held = False
 
     async def run(self, task: ConfigurationTask) -> None:
@@ -89,7 +90,7 @@
                 await anyio.sleep(FAILURE_PAUSE_SECONDS)
 
     async def refresh(self) -> None:
-        """Do nothing: an old tree only refuses what a newer one may allow."""
+        """Do nothing: an outdated tree can only refuse what a newer one may allow."""
 
     def _is_watcher(self) -> bool:
         return is_watcher(self._settings.host.name, self._list_peers().heard)
@@ -99,8 +100,9 @@
         follower = task.follower
         base = follower.view.tree if follower.revision else None
         stored = await self._store.load(base)
-        if self._is_of_another_era(stored.store_version, follower):
-            # Its log may go on from an older revision than the one in force.
+        if self._is_from_other_era(stored.store_version, follower):
+            # The log of the restored store may continue from a revision older than the
+            # one in force.
             stored = await self._store.load()
         self._store_version = stored.store_version
         task.note_problem("")
@@ -119,7 +121,7 @@
         if is_new:
             task.announce()
 
-    def _is_of_another_era(
+    def _is_from_other_era(
         self, store_version: int, follower: ConfigurationFollower
     ) -> bool:
         known_era = follower.version.store_era
@@ -131,31 +133,32 @@
         )
         task.note_problem("")
         changes = decode_changes(listing)
-        if changes and self._is_of_another_era(listing.version, task.follower):
+        if changes and self._is_from_other_era(listing.version, task.follower):
             await self._load(task)
             return
         if task.follower.offer_changes(changes, "platform", era_of(listing.version)):
             task.announce()
         if listing.version < self._store_version:
-            # An older state of the store answered; it shows nothing new.
+            # The response came from an older state of the store and contains nothing
+            # new.
             await anyio.sleep(FAILURE_PAUSE_SECONDS)
         versions = [stored.version for stored in listing.objects]
         self._store_version = max([self._store_version, *versions])
 
 
 class ConfigurationReader(Protocol):
-    """How a deployment's configuration is read from the store."""
+    """Reads a deployment's configuration from the store."""
 
     @property
     def configuration_prefix(self) -> str:
-        """Prefix under which it lies."""
+        """Key prefix of the configuration."""
 
     def read_tree(self, state: KindState) -> Tree | None:
-        """Return the tree, none if there is none, or raise a RampwickError."""
+        """Return the tree if there is one, or raise a RampwickError."""
 
 
 class WatchedTreeSource:
-    """A configuration that others write, whole, into the store."""
+    """A configuration that another system writes to the store as a whole."""
 
     def __init__(
         self,
@@ -175,7 +178,7 @@
         self._refused_version = 0
         self._restored = RestoredTrees()
         self._last_state: KindState | None = None
-        #: When a tree that is held back may be taken.
+        #: Time at which a held back tree may be applied.
         self._due_at_seconds = math.inf
         self._has_due = anyio.Event()
         self._watcher = KindWatcher(
@@ -197,7 +200,7 @@
             await self._watcher.run()
 
     async def _apply_held(self) -> None:
-        """Take trees that are held back as soon as they may be."""
+        """Apply trees that are held back as soon as this is allowed."""
         while True:
             self._has_due = anyio.Event()
             wait_seconds = max(0.0, self._due_at_seconds - self._read_clock())
@@ -207,11 +210,12 @@
                 self._apply_state(self._last_state)
 
     async def refresh(self) -> None:
-        """Read the configuration now, unless that was done a moment ago.
+        """Read the configuration now, unless it was read very recently.
 
-        Who asks while it is being read waits for that. A herd's return asks a dozen
-        times at once at each host: all but the first were told at once that nothing
-        was confirmed, 1,001 of the first requests that 90 hosts took (logs).
+        Concurrent callers wait for the read in progress. After a simultaneous restart,
+        a dozen requests at each host need the configuration at once. When only the
+        first of them waited, the others were answered as unconfirmed immediately: 1,001
+        of the first requests to 90 hosts (logs).
         """
         while self._refreshing is not None:
             await self._refreshing.wait()
@@ -229,7 +233,8 @@
             )
             self._note_problem(str(error))
         finally:
-            # Left unnoted by one whose caller went away: the next one reads.
+            # A cancelled caller leaves the refresh time unchanged, so the next one
+            # reads.
             self._refreshing.set()
             self._refreshing = None
 
@@ -238,7 +243,7 @@
 
     @property
     def _is_held(self) -> bool:
-        """Whether what the store shows is not taken yet."""
+        """Whether the state of the store is held back."""
         return math.isfinite(self._due_at_seconds)
 
     def _apply_state(self, state: KindState) -> None:
@@ -246,28 +251,29 @@
         self._refresh_interval_seconds = REFRESH_INTERVAL_SECONDS
         self._last_state = state
         follower = self._task.follower
-        is_new = is_shown = False
+        is_new = is_in_force = False
         if state.version != self._refused_version:
             try:
                 tree = self._reader.read_tree(state)
                 if tree is not None:
                     is_new = self._offer(tree, state)
                     is_same = tree.revision == follower.revision
-                    is_shown = is_same and not self._is_held
+                    is_in_force = is_same and not self._is_held
             except RampwickError as error:
-                # Refused whole; the one before stays in force.
+                # Rejected as a whole; the previous configuration stays in force.
                 self._refused_version = state.version
                 self._due_at_seconds = math.inf
-                log.problem("configuration refused", error=str(error))
-        # A newer revision that could not be put in force may have taken a key away, and
-        # so may one that the store lost as it was restored.
-        if follower.revision and is_shown and follower.is_newest_in_force:
+                log.problem("configuration rejected", error=str(error))
+        # Do not confirm while a newer revision is known that is not in force: it may
+        # have revoked a key. This includes a revision that the store lost when it was
+        # restored.
+        if follower.revision and is_in_force and follower.is_newest_in_force:
             self._task.confirm(state.confirmed_at_seconds)
         if is_new:
             self._task.announce()
 
     def _offer(self, tree: Tree, state: KindState) -> bool:
-        """Offer what the store shows; return whether it is now in force."""
+        """Offer the tree from the store; return whether it is now in force."""
         now_seconds = self._read_clock()
         follower = self._task.follower
         read = ReadTree(tree, state.version, state.store_version)
@@ -285,12 +291,12 @@
 
 
 def _log_restored(tree: Tree) -> None:
-    log.info("revision of the restored store taken", revision=tree.revision)
+    log.info("revision of restored store applied", revision=tree.revision)
 
 
 def _log_held(tree: Tree, follower: ConfigurationFollower, held_seconds: float) -> None:
     log.problem(
-        "older revision of a restored store held back",
+        "older revision of restored store held back",
         revision=tree.revision,
         in_force=follower.revision,
         held_seconds=round(held_seconds, 3),
--- a/packages/rampwick-router/src/rampwick_router/control/_host_lists.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_lists.py
@@ -1,4 +1,4 @@
-"""The task that keeps the newest list of upstreams, and knows its age."""
+"""Maintenance of the newest host list and of its age."""
 
 import math
 
@@ -13,25 +13,25 @@
 
 
 class HostListTask:
-    """Keeps the newest host list, whoever read it, and passes on each newer one."""
+    """Holds the newest host list from any source and publishes each newer one."""
 
     def __init__(self, scheduler: SchedulerTask) -> None:
         self.source: HostSource | None = None
         self._scheduler = scheduler
-        #: The newest list, for peers' addresses.
+        #: The newest list; peers' addresses are taken from it.
         self.host_list = HostList(version=0, hosts=[])
-        #: Version of that list; -1 before the first.
+        #: Version of that list; -1 before the first one.
         self.version = -1
         self._confirmed_at_seconds = -math.inf
-        #: Why the list can't be read at present, or nothing.
+        #: Why the list cannot be read at present; empty if it can.
         self.problem = ""
 
     def age_seconds(self, now_seconds: float) -> float:
-        """Return the time since the list was surely the newest."""
+        """Return the time since the list was last confirmed as the newest."""
         return now_seconds - self._confirmed_at_seconds
 
     def confirm(self, at_seconds: float) -> None:
-        """Note a steady time at which the list was the newest."""
+        """Record a monotonic time at which the list was the newest."""
         self._confirmed_at_seconds = max(self._confirmed_at_seconds, at_seconds)
 
     async def run(self) -> None:
@@ -40,15 +40,15 @@
             await self.source.run(self)
 
     def note_problem(self, problem: str) -> None:
-        """Note why the list can't be read, or by an empty text that it can."""
+        """Record why the list cannot be read; an empty text means that it can."""
         if problem and not self.problem:
-            log.problem("host list can't be read", error=problem)
+            log.problem("host list unavailable", error=problem)
         if self.problem and not problem:
-            log.info("host list can be read again")
+            log.info("host list available again")
         self.problem = problem
 
     def offer(self, host_list: HostList) -> None:
-        """Take a list if it is newer than the last."""
+        """Accept a list if it is newer than the current one."""
         if host_list.version <= self.version:
             return
         self._log_changes(host_list)
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -1,4 +1,4 @@
-"""Where the list of upstreams is read."""
+"""Sources of the host list."""
 
 import math
 import random
@@ -19,43 +19,44 @@
 
 from .._logs import PartLogger
 
-#: Wait of one watch on the upstreams: its answers confirm the list to peers, which
-#: read for themselves once what they are told is older than FALLBACK_SECONDS. With 2 s
-#: each host of a large fleet read a dozen times in 50 s.
+#: Maximum wait of one watch on the upstreams. Its responses confirm the list to peers,
+#: which read the platform themselves once their data is older than FALLBACK_SECONDS.
+#: With 2 s, each host of a large fleet read a dozen times in 50 s.
 UPSTREAMS_WAIT_SECONDS = 1.2
 
-#: Time between two watches on the upstreams: during a rollout their entries change
-#: all the time, and an entry that leaves may have new work for seconds yet.
+#: Time between two watches on the upstreams. Entries change constantly during a
+#: rollout, and an entry that is shutting down may be assigned work for some seconds
+#: more.
 WATCH_PAUSE_SECONDS = 0.3
 
 log = PartLogger("upstreams")
 
 
 class HostListConsumer(Protocol):
-    """Who is told of the host list."""
+    """Receives the host list."""
 
-    #: The newest list that is known, whoever has read it.
+    #: The newest known list from any source.
     host_list: HostList
 
     def offer(self, host_list: HostList) -> None:
-        """Take a list if it is newer than the last."""
+        """Accept a list if it is newer than the current one."""
 
     def confirm(self, at_seconds: float) -> None:
-        """Note a steady time at which the list was the newest."""
+        """Record a monotonic time at which the list was the newest."""
 
     def note_problem(self, problem: str) -> None:
-        """Note why the list can't be read, or by an empty text that it can."""
+        """Record why the list cannot be read; an empty text means that it can."""
 
 
 class HostSource(Protocol):
-    """Where the list of hosts comes from."""
+    """Source of the host list."""
 
     async def run(self, task: HostListConsumer) -> None:
-        """Hand on each list that is read, until cancelled."""
+        """Pass on each list that is read, until cancelled."""
 
 
 class PolledHostSource:
-    """Rampwick's own host list, read again and again."""
+    """Rampwick's own host list, read periodically."""
 
     def __init__(self, api: ObjectApi, interval_seconds: float) -> None:
         self._api = api
@@ -68,24 +69,24 @@
                 task.offer(await self._api.read_hosts())
                 task.note_problem("")
             except (PlatformError, DataError) as error:
-                # The last list stays good: upstreams are probed anyway.
+                # Keep the last list: upstreams are probed in any case.
                 task.note_problem(str(error))
             await anyio.sleep(self._interval_seconds)
 
 
 class UpstreamReader(Protocol):
-    """How upstreams that register themselves in the store are read."""
+    """Reads upstreams that register themselves in the store."""
 
     @property
     def upstreams_prefix(self) -> str:
-        """Prefix under which they register."""
+        """Key prefix of their entries."""
 
     def read_upstream(self, stored: StoredObject) -> HostEntry:
         """Return an upstream's entry, or raise a DataError."""
 
 
 class WatchedHostSource:
-    """Upstreams that keep an entry each in the store."""
+    """Upstreams that maintain an entry each in the store."""
 
     def __init__(
         self,
@@ -129,7 +130,9 @@
             try:
                 entries.append(self._reader.read_upstream(stored))
             except RampwickError as error:
-                log.problem("entry can't be read", entry=stored.key, error=str(error))
+                log.problem(
+                    "invalid upstream entry", entry=stored.key, error=str(error)
+                )
         self._guard.take(
             entries,
             state.version,
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
@@ -1,4 +1,4 @@
-"""Keeping the steward's lease: taking, renewing, releasing, leaving it to others."""
+"""Management of the rollout lease: acquisition, renewal and release."""
 
 import math
 from collections.abc import Callable
@@ -11,27 +11,28 @@
 
 from .._logs import PartLogger, milliseconds
 
-#: Part of the lease after which it is renewed: two renewals may fail before another
-#: host takes it.
+#: Fraction of the lease duration after which it is renewed: two renewals may fail
+#: before another host can acquire the lease.
 RENEWAL_RATIO = 1 / 3
 
-#: Time for which nothing is heard of the holder after which the lease is read: a few
-#: summaries of peers.
+#: Time without an update from the holder after which the lease is read from the store:
+#: a few summary intervals of peers.
 HOLDER_TIMEOUT_SECONDS = 1.2
 
-#: Age of its own reading of the targets up to which a holder keeps the lease: a watch
-#: on a dead connection and three listings after it that fail take 7 s.
+#: Maximum age of the holder's own read of the targets. A watch on a dead connection
+#: followed by three failed listings takes 7 s.
 MAX_TARGETS_AGE_SECONDS = 8.0
 
-#: Lengths of the lease for which a host that can't learn what is wanted leaves it to
-#: others; they notice its silence and wait the old lease out within one and a half.
-ABSTAIN_LEASES = 2.0
+#: Time for which a host without current targets does not compete for the lease, in
+#: lease durations. Within one and a half durations, other hosts detect that the holder
+#: stopped renewing and the old lease has expired.
+ABSTAIN_LEASES_COUNT = 2.0
 
 log = PartLogger("steward")
 
 
 class LeaseManager:
-    """Competes for the lease and keeps it while this host can do what it is for."""
+    """Competes for the lease and renews it while this host can perform the rollout."""
 
     def __init__(
         self,
@@ -46,10 +47,10 @@
         self._read_clock = read_clock
         self._renew_at_seconds = 0.0
         self._renewing = anyio.Lock()
-        #: Version of the lease that a silence of its holder was looked into for.
+        #: Lease version that was last read because its holder was unresponsive.
         self._read_version = 0
         self._held_since_seconds = math.inf
-        #: Until when the lease is left to hosts that know what is wanted.
+        #: Time until which this host leaves the lease to hosts with current targets.
         self._abstains_until_seconds = -math.inf
         #: Latest time at which an order that was sent may arrive.
         self._order_arrives_seconds = -math.inf
@@ -60,21 +61,21 @@
         return self.lease.is_held(self._read_clock())
 
     def update_held(self) -> bool:
-        """Look at whether the lease is held; return whether that has changed."""
+        """Check whether the lease is held; return whether that has changed."""
         was_held = math.isfinite(self._held_since_seconds)
         if self.is_held == was_held:
             return False
         self._held_since_seconds = math.inf if was_held else self._read_clock()
-        message = "lease lost" if was_held else "lease taken"
+        message = "lease lost" if was_held else "lease acquired"
         log.info(message, fencing_number=self.lease.version)
         return True
 
     def note_order(self, timeout_seconds: float) -> None:
-        """Note that an order is about to be sent; it may arrive until its time-out."""
+        """Record that an order is about to be sent; it may arrive until its timeout."""
         self._order_arrives_seconds = self._read_clock() + timeout_seconds
 
     async def keep(self, is_candidate: bool) -> None:
-        """Do what is due now: renew, take, or look for a holder that fell silent."""
+        """Renew or acquire the lease if due; otherwise check an unresponsive holder."""
         now_seconds = self._read_clock()
         if self.is_held and not self._has_fresh_targets(now_seconds):
             await self._abstain(now_seconds)
@@ -83,7 +84,7 @@
             return
         if is_due and self.lease.may_take(now_seconds):
             async with self._renewing:
-                # It may have been released while the lock was waited for.
+                # The lease may have been released while this task waited for the lock.
                 if self._may_try(is_candidate, self._read_clock()):
                     await self._write()
         elif not self.is_held:
@@ -95,29 +96,31 @@
         return is_candidate and now_seconds >= self._abstains_until_seconds
 
     def _has_fresh_targets(self, now_seconds: float) -> bool:
-        """Return whether this holder knows what is wanted, or may still learn it."""
+        """Return whether this holder's targets are current, or may still become so."""
         held_seconds = now_seconds - self._held_since_seconds
         return min(self._read_targets_age(), held_seconds) <= MAX_TARGETS_AGE_SECONDS
 
     async def _abstain(self, now_seconds: float) -> None:
-        """Leave the lease to others, who may learn what is wanted.
+        """Release the lease to hosts that may be able to read the targets.
 
-        A holder that knows of no newer weights orders nothing, and while it renews
-        nobody else may: all runners would keep old ones for as long as it lives.
+        A holder that receives no newer targets orders nothing, and while it renews no
+        other host can take over: all runners would keep old weights for as long as it
+        runs.
         """
         age_ms = milliseconds(self._read_targets_age())
-        log.problem("targets can't be read, lease let go", targets_read_age_ms=age_ms)
-        abstain_seconds = ABSTAIN_LEASES * self.lease.duration_seconds
+        log.problem("targets unavailable, releasing lease", targets_read_age_ms=age_ms)
+        abstain_seconds = ABSTAIN_LEASES_COUNT * self.lease.duration_seconds
         self._abstains_until_seconds = now_seconds + abstain_seconds
         await self._release()
 
     async def retire(self) -> None:
-        """Leave the lease to others for good, at once if this host holds it."""
+        """Stop competing for the lease, and release it if this host holds it."""
         self._abstains_until_seconds = math.inf
         await self._release()
 
     async def _release(self) -> None:
-        # A renewal under way would win, and the host hold the lease again.
+        # A renewal in progress would overwrite the release, and this host would hold
+        # the lease again.
         async with self._renewing:
             if self.is_held:
                 await self._write_release()
@@ -125,20 +128,21 @@
     async def _write_release(self) -> None:
         assert self._leases is not None
         self.lease.give_up()
-        # Two holders' orders lie as far apart as when a lease runs out.
+        # Keep the same distance between the orders of two holders as when a lease
+        # expires.
         apart_seconds = self.lease.duration_seconds - self.lease.order_window_seconds
         since_seconds = self._read_clock() - self._order_arrives_seconds
         wait_seconds = max(0.0, apart_seconds - since_seconds)
         try:
             await self._leases.release(self.lease, wait_seconds, self._read_clock)
-            log.info("lease given up", wait_seconds=wait_seconds)
+            log.info("lease released", wait_seconds=wait_seconds)
         except (PlatformError, DataError) as error:
-            log.problem("lease not given up", error=str(error))
+            log.problem("lease release failed", error=str(error))
 
     async def fencing_number(self, needed_seconds: float) -> int | None:
-        """Return the number for an order, after a renewal if it takes one.
+        """Return the fencing number for an order, renewing the lease if necessary.
 
-        None means that the lease would not outlive the order.
+        None means that the lease would expire before the order's timeout.
         """
         async with self._renewing:
             number = self.lease.fencing_number(self._read_clock(), needed_seconds)
@@ -147,7 +151,7 @@
             try:
                 await self._write()
             except (PlatformError, DataError) as error:
-                log.problem("lease not renewed, no order", error=str(error))
+                log.problem("lease renewal failed, order not sent", error=str(error))
         return self.lease.fencing_number(self._read_clock(), needed_seconds)
 
     async def _write(self) -> None:
@@ -157,10 +161,10 @@
         await self._leases.try_take(self.lease, self._read_clock)
 
     async def _check_holder(self, now_seconds: float) -> None:
-        """Read the lease once if its holder has fallen silent.
+        """Read the lease once if its holder is unresponsive.
 
-        Its last renewal may not have been heard of; the wait for the lease counts
-        from when the newest version was seen.
+        Its last renewal may not have been received. The wait until the lease can be
+        acquired counts from when the newest version was seen.
         """
         assert self._leases is not None
         silent_seconds = now_seconds - self.lease.heard_at_seconds
--- a/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
@@ -1,4 +1,4 @@
-"""Whether this host reads the platform itself, or relies on those that do."""
+"""Decision whether this host reads the platform itself or relies on readers."""
 
 from collections.abc import Callable
 
@@ -7,29 +7,31 @@
 from ._configuration import ConfigurationTask
 from ._host_lists import HostListTask
 
-#: Age of knowledge from readers after which a host reads for itself: a reader's watch
-#: and a question to it take 2.1 s together, and keys want less than 3.5 s.
+#: Age of data from readers after which a host reads the platform itself. A reader's
+#: watch and a poll of the reader take 2.1 s together, and keys require less than 3.5 s.
 FALLBACK_SECONDS = 2.3
 
-#: Link speed from which a host reads at its start without waiting for others to tell
-#: it; weaker ones wait so long, since in a large fleet they are many.
+#: Link speed from which a host reads at its start without waiting for data from peers,
+#: and the time that hosts with slower links wait. In a large fleet there are many such
+#: hosts.
 STRONG_LINK_MEGABITS_PER_SECOND = 100.0
 START_GRACE_SECONDS = 2.5
 
-#: The same for the one that ranks first of the hosts that it has come to know, as where
-#: all links are weak: a few trips between halls, in which seeds tell who there is. All
-#: hosts of such a fleet that came back waited 2.5 s for each other and refused.
+#: Wait of the host that ranks first among the known ones, for fleets in which all links
+#: are slow: a few round trips between halls, in which seeds send the member list.
+#: Without it all hosts of such a fleet waited 2.5 s for each other after a restart and
+#: refused requests.
 FIRST_GRACE_SECONDS = 0.3
 
-#: The same for one that has come to know nobody: seeds may be the last ones to listen.
+#: Wait of a host that knows no other member: seeds may be the last ones to listen.
 ALONE_GRACE_SECONDS = 1.0
 
-#: Hosts of each group, the first in rank, that compete for the steward's lease.
+#: Number of hosts of each group, by rank, that compete for the rollout lease.
 CANDIDATES_COUNT = 2
 
 
 class ReaderRole:
-    """Answers what of the platform this host is to read now."""
+    """Decides which platform data this host reads."""
 
     def __init__(
         self,
@@ -57,36 +59,37 @@
         self._began_seconds = read_clock()
 
     def is_reader(self) -> bool:
-        """Return whether this host reads for its group."""
+        """Return whether this host reads the platform for its group."""
         return self._is_past_grace() and self._table.is_reader(self._list_live())
 
     def is_disconnected(self) -> bool:
-        """Return whether this host hears nobody."""
+        """Return whether this host has no live peer."""
         return self._has_no_live_peers()
 
     def is_candidate(self) -> bool:
-        """Return whether this host may take the steward's lease.
+        """Return whether this host may acquire the rollout lease.
 
-        Hosts that leave won't take it again. While they drain they answer as ever: two
-        of them kept both places, and nobody held the lease for 10 s.
+        Hosts that are shutting down are not candidates. They stay responsive while they
+        drain: two of them occupied both candidate ranks, and no host held the lease for
+        10 s.
         """
         if not self._is_past_grace():
             return False
         return self._table.rank(self._list_serving()) < CANDIDATES_COUNT
 
     def wants_configuration(self) -> bool:
-        """Return whether this host is to read the configuration."""
+        """Return whether this host must read the configuration."""
         return self._wants(self._configuration.age_seconds(self._read_clock()))
 
     def wants_hosts(self) -> bool:
-        """Return whether this host is to read the list of upstreams."""
+        """Return whether this host must read the host list."""
         return self._wants(self._hosts.age_seconds(self._read_clock()))
 
     def wants_targets(self) -> bool:
-        """Return whether this host is to read the weights that are wanted.
+        """Return whether this host must read the weights targets.
 
-        Whoever gives the orders reads them, whatever its rank: a host may have taken
-        the lease before it heard of the others.
+        The rollout controller reads them regardless of its rank: a host may have
+        acquired the lease before it discovered the other hosts.
         """
         return self._is_rollout_controller() or self._wants(0.0)
 
@@ -105,7 +108,7 @@
         return age_seconds >= self._grace_seconds()
 
     def _grace_seconds(self) -> float:
-        """Return how long this host leaves the reading to others after its start."""
+        """Return how long this host waits for data from readers after its start."""
         known = {member.name for member in self._table}
         if len(known) == 1:
             return ALONE_GRACE_SECONDS
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -1,4 +1,4 @@
-"""The task that gives orders to runners while this host holds the region's lease."""
+"""Rollout of weights to runners, while this host holds the region's lease."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -40,20 +40,20 @@
 from ..upstream import CONTROL_TIMEOUT_SECONDS, UpstreamControl
 from ._lease_manager import LeaseManager
 
-#: Time between two looks at the plan while there is something to do, while there is
-#: not, and between two looks at the lease of a host that has no part in it.
+#: Intervals of the control loop: while there is work, while there is none, and on a
+#: host that is not a candidate.
 BUSY_INTERVAL_SECONDS = 0.05
 IDLE_INTERVAL_SECONDS = 0.25
 INACTIVE_INTERVAL_SECONDS = 1.0
 
-#: Time between announcing a load to peers and ordering it: the update takes a few trips
-#: between halls, and prompts that were sent before have begun by then.
+#: Time between announcing a load to peers and ordering it: the update takes a few round
+#: trips between halls, and prompts sent before it arrived have started by then.
 ANNOUNCE_LEAD_SECONDS = 0.15
 
-#: Random wait before a lease that is free is tried for, so that hosts don't race.
+#: Random wait before the first attempt to acquire the lease, so that hosts do not race.
 TAKE_JITTER_SECONDS = 0.4
 
-#: Time for which peers are told of weights that an own load brought.
+#: Time for which weights loaded by an order of this host are published to peers.
 OBSERVED_WEIGHTS_SECONDS = 2.0
 
 log = PartLogger("steward")
@@ -61,7 +61,7 @@
 
 @attrs.frozen(repr=False)
 class PendingLoad(Shown):
-    """A load that this host has ordered, as peers are told."""
+    """A load that this host has ordered, as published to peers."""
 
     upstream: str
     incarnation: str
@@ -71,7 +71,7 @@
 
 @attrs.frozen(repr=False)
 class ObservedWeights(Shown):
-    """Weights that a runner was seen to have after an own order."""
+    """Weights that a runner reported after an order of this host."""
 
     upstream: str
     incarnation: str
@@ -80,10 +80,11 @@
 
 
 class RolloutController:
-    """Competes for the lease and, holding it, brings weights to their targets.
+    """Competes for the lease; the holder brings runners to their target weights.
 
-    Every order is sent only if the lease outlives the order's own time-out, so that
-    two holders never order at once even where runners don't check fencing numbers.
+    An order is sent only if the lease outlives the order's own timeout, so that two
+    holders never send orders at the same time, even if runners do not check fencing
+    numbers.
     """
 
     def __init__(
@@ -117,14 +118,14 @@
         self._has_stopped = False
         self._observed: dict[str, ObservedWeights] = {}
         self._wake = anyio.Event()
-        #: Whether this host may take a lease that it does not hold.
+        #: Whether this host may acquire a lease that it does not hold.
         self.is_candidate: Callable[[], bool] = lambda: True
-        #: Called when peers shall hear of a load at once.
+        #: Called to notify peers of a load immediately.
         self.notify_peers: Callable[[], None] = _notify_nobody
 
     @property
     def lease(self) -> LeaseWatcher:
-        """What this host knows of the lease."""
+        """The lease as this host sees it."""
         return self._lease_manager.lease
 
     @property
@@ -133,18 +134,18 @@
         return self._lease_manager.is_held
 
     def wake(self) -> None:
-        """Have the plan looked at now, since there may be something to do."""
+        """Start a planning round now."""
         self._wake.set()
 
     def loads(self) -> list[PendingLoad]:
-        """Return the loads that this host has ordered and that are not over."""
+        """Return the loads ordered by this host that are not finished."""
         found = []
         for name, (version, until_seconds) in self._rollout.loads().items():
             found.append(PendingLoad(name, "", version, until_seconds))
         return found
 
     def observed_weights(self) -> list[ObservedWeights]:
-        """Return the weights that own loads have brought of late."""
+        """Return the weights recently loaded by orders of this host."""
         oldest = self._read_clock() - OBSERVED_WEIGHTS_SECONDS
         self._observed = {
             name: observed
@@ -154,13 +155,13 @@
         return list(self._observed.values())
 
     def outdated_count(self) -> int:
-        """Return the number of runners with older weights than are wanted here."""
+        """Return the number of runners with weights older than their target."""
         targets = self._scheduler.targets()
         runners = self._scheduler.look(_read_runners)
         return count_outdated(runners, targets)
 
     async def run(self) -> None:
-        """Take or renew the lease and plan, until cancelled."""
+        """Acquire or renew the lease and run the rollout, until cancelled."""
         if not self._has_platform or not self._settings.is_candidate:
             return
         await anyio.sleep(self._draw.uniform(0.0, TAKE_JITTER_SECONDS))
@@ -173,8 +174,8 @@
                     if self.is_holder:
                         is_busy = await self._run_plan(tasks)
                 except (PlatformError, DataError) as error:
-                    # The lease runs out by itself; nothing is ordered without it.
-                    log.problem("no orders now", error=str(error))
+                    # The lease expires without renewal; no order is sent without it.
+                    log.problem("rollout round failed", error=str(error))
                 with move_on_at_grid(self._pause_seconds(is_busy)):
                     await self._wake.wait()
 
@@ -186,7 +187,7 @@
         return INACTIVE_INTERVAL_SECONDS
 
     async def retire(self) -> None:
-        """Let another host take the lease at once, as this one stops."""
+        """Release the lease to another host, as this host shuts down."""
         self._has_stopped = True
         await self._lease_manager.retire()
 
@@ -195,23 +196,23 @@
             await self._lease_manager.keep(self.is_candidate())
         finally:
             if self._lease_manager.update_held():
-                # What the holder before ordered shows in the runners' reports.
+                # Orders of the previous holder show in the runners' reports.
                 self._rollout.reset()
 
     def _targets_age_seconds(self) -> float:
-        """Return how old what this host knows of the targets is, if that matters."""
+        """Return the age of the targets, or zero while a load is in progress."""
         if self._is_rolling_out():
-            # What it knows is enough to go on with.
+            # The targets known now suffice to complete the load.
             return 0.0
         return self._scheduler.targets_age_seconds()
 
     def _is_rolling_out(self) -> bool:
-        """Return whether a load is under way that may yet end as expected."""
+        """Return whether a load is in progress that may still complete as expected."""
         now_seconds = self._read_clock()
         return any(load.until_seconds > now_seconds for load in self.loads())
 
     async def _run_plan(self, tasks: TaskGroup) -> bool:
-        """Carry out what is to be done now; return whether more will follow."""
+        """Perform the steps that are due; return whether more will follow."""
         targets = self._scheduler.targets()
         if not targets:
             return False
@@ -237,7 +238,7 @@
     def _announce(
         self, planned: Sequence[tuple[HostEntry, PlannedOrder]], now_seconds: float
     ) -> None:
-        """Have all hosts stop sending to runners that are about to be told to load."""
+        """Make all hosts stop sending to runners that are about to receive an order."""
         for entry, step in planned:
             version = step.order.weights_version
             self._rollout.note_sent(entry.name, version, now_seconds)
@@ -250,7 +251,9 @@
         try:
             report = await self._control.probe(entry)
         except AttemptError as error:
-            log.problem("runner does not report", runner=entry.name, error=str(error))
+            log.problem(
+                "runner report unavailable", runner=entry.name, error=str(error)
+            )
             self._rollout.note_silence(entry.name, self._read_clock())
             self.wake()
             return
@@ -261,7 +264,7 @@
         self._scheduler.post(LoadReported(entry.name, report))
         if was_pending and entry.name not in self._rollout.loads():
             log.info(
-                "load over",
+                "load finished",
                 runner=entry.name,
                 weights_version=report.weights_version,
                 report_age_seconds=round(self._read_clock() - began_seconds, 3),
@@ -289,7 +292,7 @@
     async def _send_order(self, entry: HostEntry, planned: PlannedOrder) -> OrderResult:
         number = await self._lease_manager.fencing_number(CONTROL_TIMEOUT_SECONDS)
         if number is None:
-            log.problem("lease too short for an order", runner=entry.name)
+            log.problem("order not sent, lease expires too soon", runner=entry.name)
             return OrderResult.REFUSED
         order = attrs.evolve(planned.order, fencing_number=number)
         self._lease_manager.note_order(CONTROL_TIMEOUT_SECONDS)
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -1,4 +1,4 @@
-"""Where the weights that runners shall have are read."""
+"""Sources of the weights targets."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -20,33 +20,34 @@
 from .._logs import PartLogger
 from .._scheduler_task import SchedulerTask
 
-#: Longest wait of one watch on the targets. A watch whose connection has died hears of
-#: no version until its wait is over: with 20 s the steward learned of one 16.1 s late,
-#: and prompts began on weights replaced more than 10 s before, on four days of four.
+#: Maximum wait of one watch on the targets. A watch whose connection has died receives
+#: no version until its wait ends. With 20 s the rollout controller received a version
+#: 16.1 s late, and prompts started on weights replaced more than 10 s earlier, on four
+#: test days out of four.
 TARGETS_WAIT_SECONDS = 3.0
 
-#: Time between two reads of the targets by the host that gives orders.
+#: Time between two reads of the targets by the rollout controller.
 TARGETS_INTERVAL_SECONDS = 1.0
 
-#: Who told this host of targets, as its log says it.
-PLATFORM_SOURCE = "the platform says so"
+#: Source of targets read by this host, for logs.
+PLATFORM_SOURCE = "read from the platform"
 
 log = PartLogger("steward")
 
 
 class TargetReader(Protocol):
-    """How the weights that runners shall have are read from the store."""
+    """Reads weights targets from the store."""
 
     @property
     def targets_prefix(self) -> str:
-        """Prefix under which they are named."""
+        """Key prefix of the targets."""
 
     def read_target(self, stored: StoredObject) -> WeightsTarget:
         """Return one target, or raise a DataError."""
 
 
 class WatchedTargetSource:
-    """Targets that others name in the store, one object a model."""
+    """Targets that another system sets in the store, one object per model."""
 
     def __init__(
         self,
@@ -82,7 +83,9 @@
             try:
                 targets.append(self._reader.read_target(stored))
             except RampwickError as error:
-                log.problem("target can't be read", target=stored.key, error=str(error))
+                log.problem(
+                    "invalid weights target", target=stored.key, error=str(error)
+                )
         _post_targets(
             self._scheduler,
             targets,
@@ -93,7 +96,7 @@
 
 
 class PolledTargetSource:
-    """Targets that operators set with rampwick's own command line."""
+    """Targets that operators set with rampwick's command line."""
 
     def __init__(
         self,
@@ -110,7 +113,7 @@
         self._wake = wake
 
     async def run(self) -> None:
-        """Read the targets while this host gives orders, until cancelled."""
+        """Read the targets periodically while this host needs them, until cancelled."""
         is_after_failure = False
         while True:
             if self._is_wanted():
@@ -127,7 +130,7 @@
                     is_after_failure = False
                 except (PlatformError, DataError) as error:
                     is_after_failure = True
-                    log.problem("targets can't be read", error=str(error))
+                    log.problem("targets unavailable", error=str(error))
             await anyio.sleep(TARGETS_INTERVAL_SECONDS)
 
 
@@ -149,5 +152,5 @@
 
 
 def _log_problem(problem: str) -> None:
-    """Say that the targets can't be followed; the last ones stay good."""
-    log.problem("targets can't be followed", error=problem)
+    """Log that the targets cannot be watched; the last ones stay in effect."""
+    log.problem("target watch failed", error=problem)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""Who reads the platform, and what those who don't are told."""
+"""Tests of which hosts read the platform, and of how the others receive its data."""
 
 import contextlib
 import math
@@ -38,12 +38,12 @@
 
 from .fakes import FakeApi
 
-#: Steady time of daemons that do not run.
+#: Monotonic time of daemons that do not run.
 NOW_SECONDS = 100.0
 
 
 class Host:
-    """What of one host takes part in reading, without sockets or tasks."""
+    """The parts of a host that read and exchange data, without sockets or tasks."""
 
     def __init__(self, text='[host]\nname = "e"\nhall = "h"\n'):
         self.now_seconds = 100.0
@@ -65,13 +65,13 @@
     def read_clock(self):
         return self.now_seconds
 
-    def hear(self, *targets):
+    def receive_targets(self, *targets):
         self.scheduler.post(TargetsRead(targets))
 
 
 @attrs.define
-class Wire:
-    """Stands for a link; keeps what was put on it."""
+class RecordingLink:
+    """A fake link that records the messages sent."""
 
     messages: list = attrs.field(factory=list)
     peer: Member | None = None
@@ -81,7 +81,7 @@
 
 
 def make_daemon(member):
-    """Return a daemon that does not run, on the users' platform."""
+    """Return a daemon that does not run, with the platform's adapter."""
     text = f'[host]\nname = "{member.name}"\nhall = "{member.hall}"\n'
     settings = parse_settings(text, source="t")
     return Daemon(
@@ -97,8 +97,8 @@
     )
 
 
-class ReadingRoleTest(TestCase):
-    def role(self, is_steward):
+class ReaderRoleTest(TestCase):
+    def role(self, is_rollout_controller):
         members = [Member(f"h{number}", "h", f"h{number}:1") for number in range(6)]
         live = {member.name for member in members}
         tables = []
@@ -118,28 +118,28 @@
             lambda: host.now_seconds,
             host.configuration,
             host.hosts,
-            lambda: is_steward,
+            lambda: is_rollout_controller,
             host.read_clock,
         )
 
-    def test_a_host_that_is_told_all_reads_nothing(self):
-        role = self.role(is_steward=False)
+    def test_a_host_with_current_data_from_peers_reads_nothing(self):
+        role = self.role(is_rollout_controller=False)
         self.assertFalse(role.wants_targets())
         self.assertFalse(role.wants_configuration())
 
-    def test_the_steward_reads_the_targets_whatever_its_rank(self):
-        # Seen on a calm day: the first host to start held the lease, was not among
-        # the readers, and nobody told it of newer weights for 18 s.
-        role = self.role(is_steward=True)
+    def test_the_rollout_controller_reads_targets_regardless_of_rank(self):
+        # Without faults, the first host to start acquired the lease without being a
+        # reader, and received newer weights only after 18 s.
+        role = self.role(is_rollout_controller=True)
         self.assertTrue(role.wants_targets())
         self.assertFalse(role.wants_configuration())
 
 
-class WeakLinksTest(TestCase):
-    """A fleet whose links are all weak reads the configuration soon after its start.
+class SlowLinksTest(TestCase):
+    """A fleet in which all links are slow reads the configuration soon after its start.
 
-    Each host left the reading to hosts with strong links, of which there were none: all
-    that came back refused for 2.5 s, on a day of 18 hosts 576 tries of callers.
+    Each host left the reading to hosts with fast links, of which there were none. All
+    restarted hosts refused requests for 2.5 s: 576 attempts in a run with 18 hosts.
     """
 
     def readers(self, age_seconds, links_megabits=10.0, knows_others=True):
@@ -176,20 +176,20 @@
         self.assertEqual(3, self.readers(0.5))
         self.assertEqual(3, self.readers(2.0))
 
-    def test_all_do_in_time_if_nobody_tells_them(self):
+    def test_all_hosts_read_eventually_without_data_from_peers(self):
         self.assertEqual(18, self.readers(2.6))
 
-    def test_who_knows_nobody_waits_a_little_longer(self):
+    def test_a_host_without_known_members_waits_longer(self):
         self.assertEqual(0, self.readers(0.5, knows_others=False))
         self.assertEqual(18, self.readers(1.1, knows_others=False))
 
-    def test_strong_links_read_at_once(self):
+    def test_hosts_with_fast_links_read_immediately(self):
         self.assertEqual(18, self.readers(0.0, links_megabits=200.0))
 
 
 class NewLinkTest(TestCase):
     def messages(self, is_holder):
-        """Return what a host puts on a link that has just opened."""
+        """Return the types of the messages sent on a newly opened link."""
 
         async def main():
             daemon = make_daemon(Member("h0", "h", "h0:1"))
@@ -197,31 +197,30 @@
                 lease = daemon.steward.lease
                 record = LeaseRecord("h0", "w", 10.0)
                 lease.note_written(record, 7, write_began_seconds=NOW_SECONDS)
-            link = Wire(peer=Member("h1", "h", "h1:1"))
+            link = RecordingLink(peer=Member("h1", "h", "h1:1"))
             daemon._gossip._on_link_opened(link)
             return [type(message) for message in link.messages]
 
         return anyio.run(main)
 
-    def test_the_steward_tells_its_news_at_once(self):
+    def test_the_rollout_controller_sends_its_update_immediately(self):
         self.assertIn(RolloutUpdate, self.messages(is_holder=True))
         self.assertNotIn(RolloutUpdate, self.messages(is_holder=False))
 
 
-class LeavingCandidatesTest(TestCase):
-    """Hosts that leave take no place among those who may hold the steward's lease.
+class DrainingCandidatesTest(TestCase):
+    """Hosts that are shutting down are not candidates for the rollout lease.
 
-    Symptom: three of five runners kept old weights for 10 s while no host held the
-    lease. Sequence: the first host in rank is stopped and gives the lease up;
-    before it is gone the second one is stopped, too. Cause: both answered for
-    seconds yet, as a planned stop wants it, and so kept the only two places among
-    the candidates; neither may take the lease again. Settled by: "steward: lease
-    given up" at 7.0 s, the next "lease taken" at 17.0 s, by the first host, which
-    had started again.
+    Three of five runners kept old weights for 10 s while no host held the lease. The
+    first host in rank was stopped and released the lease, and the second was stopped
+    before the first was gone. Both stayed responsive for some seconds, as a planned
+    stop requires, and occupied the two candidate ranks, although neither may acquire
+    the lease again. The log showed the lease released at 7.0 s, and acquired at 17.0 s
+    by the first host after its restart.
     """
 
     def ranked(self):
-        """Return six members, the first in rank first."""
+        """Return six members in order of rank."""
         members = [Member(f"h{number}", "h", f"h{number}:1") for number in range(6)]
         ranked = {}
         for member in members:
@@ -231,7 +230,7 @@
         return [ranked[rank] for rank in sorted(ranked)]
 
     def is_third_candidate(self, leaving_count):
-        """Ask the third host while so many of the first ones are leaving."""
+        """Return whether the third host is a candidate while the first ones drain."""
         members = self.ranked()
         third = members[2]
 
@@ -248,20 +247,20 @@
 
         return anyio.run(main)
 
-    def test_the_third_may_take_the_lease_while_those_before_it_leave(self):
+    def test_the_third_host_is_a_candidate_while_hosts_of_higher_rank_drain(self):
         found = [self.is_third_candidate(count) for count in (0, 1, 2)]
         self.assertEqual([False, True, True], found)
 
 
 class LateStartTest(TestCase):
-    """A host that starts after weights were named knows since when they are wanted.
-
-    Symptom: prompts began on old weights 11 s after newer ones were named, where 8
-    s are allowed. Sequence: weights are named; a host is started again 4 to 5 s
-    later, hears of them and gives prompts to runners with the old ones for 6.5 s,
-    as if it had seen the naming. Cause: hosts told each other what is wanted, not
-    since when. Settled by: all eight such prompts came from hosts started after the
-    naming, 5.5 to 6.3 s after their start.
+    """A host that starts after a weights change uses the time of that change.
+
+    Prompts started on old weights 11 s after newer ones were set, where 8 s are
+    allowed. A host that restarted 4 to 5 s after the change received the new target and
+    sent prompts to runners with old weights for another 6.5 s, as if the change had
+    just happened. Hosts sent each other the targets, but not since when they apply. All
+    eight such prompts came from hosts started after the change, 5.5 to 6.3 s after
+    their start.
     """
 
     SETTINGS = """
@@ -292,53 +291,53 @@
         upstreams = host.scheduler._scheduler.upstreams
         return upstreams.is_open(upstreams.get("r"), host.now_seconds)
 
-    def tell(self, teller, asker):
-        question, answer = Wire(), Wire()
-        asker.sync.request_ages(question)
-        teller.sync.handle(answer, question.messages[0])
-        asker.sync.handle(question, answer.messages[0])
+    def sync(self, sender, receiver):
+        request, reply = RecordingLink(), RecordingLink()
+        receiver.sync.request_ages(request)
+        sender.sync.handle(reply, request.messages[0])
+        receiver.sync.handle(request, reply.messages[0])
 
     def read(self, host, *targets, **options):
         event = TargetsRead(targets, read_at_seconds=host.now_seconds, **options)
         host.scheduler.post(event)
 
-    def witness(self, *versions):
-        """Return a host that saw versions named, 6 s ago the last of them."""
-        witness = self.host()
-        self.read(witness)
+    def observer(self, *versions):
+        """Return a host that observed each version being set, the last one 6 s ago."""
+        observer = self.host()
+        self.read(observer)
         for version in versions:
-            self.read(witness, WeightsTarget("m", version))
-            witness.now_seconds += 6.0
-        return witness
+            self.read(observer, WeightsTarget("m", version))
+            observer.now_seconds += 6.0
+        return observer
 
-    def test_its_age_counts_from_the_naming_that_others_saw(self):
+    def test_age_counts_from_the_change_that_others_observed(self):
         newcomer = self.host()
-        self.tell(self.witness(2), newcomer)
+        self.sync(self.observer(2), newcomer)
         self.assertEqual([True, False], [self.is_open(newcomer, s) for s in (0.3, 0.5)])
 
-    def test_an_older_naming_counts_for_runners_that_missed_it(self):
+    def test_an_older_change_counts_for_runners_that_missed_it(self):
         newcomer = self.host()
-        self.tell(self.witness(2, 3), newcomer)
-        # Version 3 was named 6 s ago, but the runner has been outdated for 12 s.
+        self.sync(self.observer(2, 3), newcomer)
+        # Version 3 was set 6 s ago, but the runner has been outdated for 12 s.
         self.assertFalse(self.is_open(newcomer, 0.1))
 
-    def test_what_was_named_before_anybody_looked_counts_as_half_the_time_ago(self):
+    def test_a_change_of_unknown_time_is_assumed_at_half_the_allowed_age(self):
         newcomer = self.host()
         self.read(newcomer, WeightsTarget("m", 2))
         self.assertEqual([True, False], [self.is_open(newcomer, s) for s in (2.4, 0.2)])
 
-    def test_a_guess_is_not_told_and_gives_way_to_what_was_seen(self):
-        guesser, other = self.host(), self.host()
-        self.read(guesser, WeightsTarget("m", 2))
+    def test_an_assumed_time_is_not_sent_and_is_replaced_by_an_observed_one(self):
+        assuming, other = self.host(), self.host()
+        self.read(assuming, WeightsTarget("m", 2))
         self.read(other)
-        self.tell(guesser, other)
+        self.sync(assuming, other)
         self.assertEqual([True, False], [self.is_open(other, s) for s in (6.4, 0.2)])
-        seen = self.witness(2)
+        seen = self.observer(2)
         seen.now_seconds -= 5.0
-        self.tell(seen, guesser)
-        self.assertEqual([True, False], [self.is_open(guesser, s) for s in (5.4, 0.2)])
+        self.sync(seen, assuming)
+        self.assertEqual([True, False], [self.is_open(assuming, s) for s in (5.4, 0.2)])
 
-    def test_what_was_named_while_the_store_was_away_counts_from_the_last_reading(self):
+    def test_a_change_during_a_store_outage_counts_from_the_last_read(self):
         host = self.host()
         self.read(host)
         host.now_seconds += 4.0
@@ -346,8 +345,11 @@
         self.assertEqual([True, False], [self.is_open(host, s) for s in (2.4, 0.2)])
 
 
-class NamingTimeTest(TestCase):
-    """What counts as seen is told on; what is guessed is neither too old nor told."""
+class TargetChangeTimeTest(TestCase):
+    """Observed times of changes are sent to peers; assumed times are not.
+
+    Assumed times are bounded by the time since the last read or report.
+    """
 
     OLD, NEW = WeightsTarget("m", 1), WeightsTarget("m", 2)
 
@@ -355,36 +357,36 @@
         return TargetWeights(guessed_age_seconds=10.0)
 
     def state(self, weights, now_seconds):
-        """Return for how long version 1 has been outdated, and what is told of it."""
+        """Return how long version 1 is outdated, and whether the change is sent."""
         outdated_seconds = weights.outdated_seconds("m", 1, now_seconds)
-        told = [item.weights_version for item in weights.ages(now_seconds)]
-        return round(outdated_seconds, 1), 2 in told
+        reported = [item.weights_version for item in weights.ages(now_seconds)]
+        return round(outdated_seconds, 1), 2 in reported
 
-    def test_what_appears_between_two_readings_is_seen(self):
+    def test_a_change_between_two_reads_is_observed(self):
         weights = self.weights()
         weights.read([self.OLD], 100.0, 100.0)
         weights.read([self.NEW], 103.0, 103.1)
         self.assertEqual((1.0, True), self.state(weights, 104.1))
 
-    def test_what_appears_after_a_pause_is_guessed_within_the_pause(self):
+    def test_a_change_after_a_pause_is_assumed_within_the_pause(self):
         weights = self.weights()
         weights.read([self.OLD], 100.0, 100.0)
         weights.read([self.NEW], 109.0, 109.0)
         self.assertEqual((9.0, False), self.state(weights, 109.0))
 
-    def test_a_word_without_its_time_is_no_sight_of_it(self):
+    def test_a_report_without_a_time_is_no_observation(self):
         weights = self.weights()
         weights.read([self.OLD], 100.0, 100.0)
         weights.apply([self.NEW], 101.0)
         self.assertEqual((1.0, False), self.state(weights, 101.0))
 
-    def test_who_was_told_until_now_does_not_guess_beyond_that(self):
+    def test_an_assumed_time_is_limited_by_the_previous_report(self):
         weights = self.weights()
         weights.apply([self.OLD], 100.0)
         weights.apply([self.NEW], 100.5)
         self.assertEqual((4.5, False), self.state(weights, 100.5))
 
-    def test_a_last_reading_of_long_ago_is_not_the_time_of_a_naming(self):
+    def test_a_read_long_ago_is_not_the_time_of_a_change(self):
         weights = self.weights()
         weights.read([self.OLD], 100.0, 100.0)
         weights.apply([self.OLD], 160.0)
@@ -392,7 +394,7 @@
         self.assertEqual((4.7, False), self.state(weights, 160.7))
 
 
-class ToldTargetsTest(TestCase):
+class ReceivedTargetsTest(TestCase):
     @contextlib.contextmanager
     def capture_logs(self):
         lines = []
@@ -402,42 +404,43 @@
         finally:
             eliot.remove_destination(lines.append)
 
-    def test_a_readers_answer_tells_the_weights_that_are_wanted(self):
-        reader, asker = Host(), Host()
-        reader.hear(WeightsTarget("m", 3))
-        question, answer = Wire(), Wire()
-        asker.sync.request_ages(question)
-        reader.sync.handle(answer, question.messages[0])
-        asker.sync.handle(question, answer.messages[0])
-        self.assertEqual([WeightsTarget("m", 3)], asker.scheduler.targets())
+    def test_a_readers_reply_contains_the_targets(self):
+        reader, receiver = Host(), Host()
+        reader.receive_targets(WeightsTarget("m", 3))
+        request, reply = RecordingLink(), RecordingLink()
+        receiver.sync.request_ages(request)
+        reader.sync.handle(reply, request.messages[0])
+        receiver.sync.handle(request, reply.messages[0])
+        self.assertEqual([WeightsTarget("m", 3)], receiver.scheduler.targets())
 
-    def test_a_newer_target_is_a_line_of_the_log_with_its_source(self):
+    def test_a_newer_target_is_logged_once_with_its_source(self):
         host = Host()
-        # A model that no other test names: the first reader of logs gets older lines.
+        # A model that no other test uses: the first log destination receives buffered
+        # lines.
         target = WeightsTarget("logged", 3)
-        event = TargetsRead((target,), "the platform says so", read_at_seconds=99.5)
+        event = TargetsRead((target,), "read from the platform", read_at_seconds=99.5)
         with self.capture_logs() as lines:
             host.scheduler.post(event)
             host.scheduler.post(event)
         (line,) = [item for item in lines if item.get("name") == "logged"]
         self.assertEqual("beliefs: target is version", line["message"])
         self.assertEqual("version 3", line["after"])
-        self.assertEqual("the platform says so", line["reason"])
+        self.assertEqual("read from the platform", line["reason"])
 
-    def test_only_the_hosts_own_reading_has_an_age(self):
+    def test_only_the_hosts_own_reads_have_an_age(self):
         host = Host()
-        host.hear(WeightsTarget("m", 3))
+        host.receive_targets(WeightsTarget("m", 3))
         self.assertEqual(math.inf, host.scheduler.targets_age_seconds())
         host.scheduler.post(TargetsRead((), read_at_seconds=99.5))
         host.scheduler.post(TargetsRead((), read_at_seconds=99.0))
         self.assertEqual(0.5, host.scheduler.targets_age_seconds())
 
-    def test_older_weights_that_a_reader_tells_late_change_nothing(self):
-        reader, asker = Host(), Host()
-        reader.hear(WeightsTarget("m", 2))
-        asker.hear(WeightsTarget("m", 3))
-        question, answer = Wire(), Wire()
-        asker.sync.request_ages(question)
-        reader.sync.handle(answer, question.messages[0])
-        asker.sync.handle(question, answer.messages[0])
-        self.assertEqual([WeightsTarget("m", 3)], asker.scheduler.targets())
+    def test_older_targets_that_arrive_late_are_ignored(self):
+        reader, receiver = Host(), Host()
+        reader.receive_targets(WeightsTarget("m", 2))
+        receiver.receive_targets(WeightsTarget("m", 3))
+        request, reply = RecordingLink(), RecordingLink()
+        receiver.sync.request_ages(request)
+        reader.sync.handle(reply, request.messages[0])
+        receiver.sync.handle(request, reply.messages[0])
+        self.assertEqual([WeightsTarget("m", 3)], receiver.scheduler.targets())
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -1,4 +1,4 @@
-"""Rampwick's own log of changes in a store that is restored from an older copy."""
+"""Tests of the change log in a store that is restored from an older backup."""
 
 from types import SimpleNamespace
 
@@ -45,7 +45,7 @@
         anyio.run(main)
 
     async def write(self, path, base_revision=None):
-        """Have a change accepted that adds a node."""
+        """Commit a change that adds a node."""
         await self.trees.propose(
             lambda tree: [NodeEdit(path, Node())],
             author="a",
@@ -57,7 +57,7 @@
     def paths(self):
         return sorted(self.follower.view.tree.nodes)
 
-    def test_hosts_keep_what_they_have_for_a_while(self):
+    def test_hosts_keep_their_configuration_for_a_hold_time(self):
         async def scenario():
             await self.source._load(self.task)
             self.assertEqual(4, self.follower.revision)
@@ -67,7 +67,7 @@
 
         self.play(scenario)
 
-    def test_a_change_in_the_new_era_is_in_force_and_not_mixed_with_lost_ones(self):
+    def test_a_change_in_the_new_era_applies_without_lost_changes(self):
         async def scenario():
             await self.source._load(self.task)
             await self.write("/e")
@@ -81,7 +81,7 @@
 
         self.play(scenario)
 
-    def test_a_log_that_has_passed_the_old_one_is_read_from_its_beginning(self):
+    def test_a_log_longer_than_the_lost_one_is_read_from_its_beginning(self):
         async def scenario():
             for path in ("/e", "/f", "/g"):
                 await self.write(path)
@@ -90,7 +90,7 @@
 
         self.play(scenario)
 
-    def test_an_edit_from_a_lost_revision_is_refused(self):
+    def test_an_edit_based_on_a_lost_revision_is_rejected(self):
         async def scenario():
             try:
                 await self.write("/e", base_revision=4)
@@ -100,7 +100,7 @@
 
         self.play(scenario)
 
-    def test_an_edit_that_meets_the_restore_is_refused(self):
+    def test_an_edit_concurrent_with_the_restore_is_rejected(self):
         async def scenario():
             await self.store.list_objects("k/")
             self.store.stand_in.keep_copy()
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,21 +1,15 @@
-"""Connections that fall silent for good, without an end and without a reset.
-
-Symptom: prompts began on weights that had been replaced more than ten seconds before,
-and no runner was told to load the new ones.
-
-Sequence: the host that gives the orders asks the store to tell it of newer targets, and
-the connection of that question dies. New connections work. A version is named. The host
-renews its lease over a new connection, each second, and waits on the dead one.
-
-Cause: an open connection was trusted for as long as TCP reported nothing. The question
-waited for 20.5 s before its own time-out; links between hosts were never given up, so
-that nobody who knew the version could tell the holder; and a holder that knows nothing
-of what is wanted kept its lease.
-
-What settled it: with all connections silenced at 9.5 s and a version named at 13.0 s,
-three hosts that asked afresh wrote "beliefs: target is version" at 13.0 s, the holder
-at 29.1 s; until then its ten-second line had targets_read_age_ms 19990 and, for the
-rest of the run, hosts_heard_count 0. Orders followed within 0.4 s of the holder's line.
+"""Tests of connections that become unresponsive without a FIN or RST.
+
+They guard against prompts that start on weights replaced more than 10 s earlier, while
+no runner is ordered to load the new ones. All open connections of the rollout
+controller had died, and new ones worked. Its watch on the targets waited 20.5 s for its
+own timeout. Links between hosts were never closed, so no peer could send the new
+version. The holder still renewed its lease each second over a new connection.
+
+Measured with all connections dead from 9.5 s and a version set at 13.0 s: three hosts
+that used new connections logged the version at 13.0 s, the holder at 29.1 s. Until then
+its periodic log line showed targets_read_age_ms 19990 and, for the rest of the run,
+hosts_heard_count 0. Orders followed within 0.4 s of the holder's read.
 """
 
 import math
@@ -62,27 +56,27 @@
 from .case import ScenarioCase
 from .fakes import FakeApi
 
-#: Time within which the host that gives the orders is to know of a version whatever
-#: becomes of its connections. Users allow 8 s at the least until nothing begins on
-#: older weights; all runners of a small fleet load within 3 s of the first order.
+#: Time within which the rollout controller must receive a new version, whatever happens
+#: to its connections. The allowed time until no prompt starts on older weights is at
+#: least 8 s, and all runners of a small fleet load within 3 s of the first order.
 KNOWN_WITHIN_SECONDS = 4.0
 
-#: Options by which the kernel notices a silent connection.
+#: Socket options with which the kernel detects a dead connection.
 KERNEL_OPTIONS = ("TCP_KEEPIDLE", "TCP_KEEPINTVL", "TCP_KEEPCNT", "TCP_USER_TIMEOUT")
 
 SETTINGS = '[host]\nname = "{}"\nhall = "h"\n'
 
 
-class DeafStore:
-    """A store whose first watch is asked over a connection that dies at once.
+class StalledWatchStore:
+    """A store whose first watch uses a connection that dies immediately.
 
-    A version is named right after. The store counts its own time.
+    A new version is set right after. The store has its own clock.
     """
 
     def __init__(self):
         self.now_seconds = 100.0
         self.version = 1
-        self.named_at_seconds = None
+        self.set_at_seconds = None
 
     def read_clock(self):
         return self.now_seconds
@@ -95,10 +89,10 @@
         return self.listing()
 
     async def watch(self, prefix, after_version, timeout_seconds):
-        if self.named_at_seconds is None:
-            self.named_at_seconds = self.now_seconds
+        if self.set_at_seconds is None:
+            self.set_at_seconds = self.now_seconds
             self.version = 2
-            # Nothing comes; only the caller's own time-out ends the wait.
+            # Nothing arrives; only the caller's own timeout ends the wait.
             self.now_seconds += timeout_seconds + WATCH_GRACE_SECONDS
             raise AnswerLostError("ReadTimeout", step="watch objects")
         if after_version == self.version:
@@ -106,8 +100,8 @@
         return self.listing()
 
 
-class ReadsVersions:
-    """Takes the version of the object for the version of the weights."""
+class VersionReader:
+    """Uses the version of the object as the version of the weights."""
 
     targets_prefix = "targets/"
 
@@ -119,13 +113,13 @@
     return parse_settings(SETTINGS.format(name), source=name)
 
 
-class DeafWatchTest(TestCase):
-    def test_a_version_is_known_in_time_though_the_watch_hears_nothing(self):
-        store = DeafStore()
+class StalledWatchTest(TestCase):
+    def test_a_new_version_is_read_in_time_despite_a_stalled_watch(self):
+        store = StalledWatchStore()
         scheduler = SchedulerTask(Scheduler(read_settings("e")), store.read_clock)
         targets = WatchedTargetSource(
             store,
-            ReadsVersions(),
+            VersionReader(),
             scheduler,
             lambda: None,
             lambda: True,
@@ -141,13 +135,13 @@
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
-        known_after_seconds = store.now_seconds - store.named_at_seconds
-        self.assertLessEqual(known_after_seconds, KNOWN_WITHIN_SECONDS)
+        delay_seconds = store.now_seconds - store.set_at_seconds
+        self.assertLessEqual(delay_seconds, KNOWN_WITHIN_SECONDS)
 
 
 class StoreConnectionTest(TestCase):
-    def test_a_silent_connection_to_the_store_is_noticed_by_the_kernel(self):
-        """A resting connection costs nothing, so nobody else would notice."""
+    def test_the_kernel_detects_a_dead_connection_to_the_store(self):
+        """Nothing else detects a dead idle connection."""
         opened = []
 
         async def answer(stream):
@@ -168,7 +162,7 @@
             )
             async with api, anyio.create_task_group() as tasks:
                 tasks.start_soon(listener.serve, answer)
-                api._client.event_hooks["response"] = [self.look(opened)]
+                api._client.event_hooks["response"] = [self.record_options(opened)]
                 await api.get("a/b")
                 tasks.cancel_scope.cancel()
 
@@ -182,7 +176,7 @@
         self.assertGreater(options["TCP_USER_TIMEOUT"], 0)
         self.assertLessEqual(options["TCP_USER_TIMEOUT"], KNOWN_WITHIN_SECONDS * 1000)
 
-    def look(self, opened):
+    def record_options(self, opened):
         async def note(response: httpx.Response):
             raw = response.extensions["network_stream"].get_extra_info("socket")
             found = {
@@ -197,7 +191,7 @@
 
 @attrs.define
 class Clock:
-    """Time that a test steps."""
+    """A clock that a test advances."""
 
     now_seconds: float = 100.0
 
@@ -208,9 +202,9 @@
         return link.received_at_seconds == self.now_seconds
 
 
-class SilentLinkTest(ScenarioCase):
+class DeadLinkTest(ScenarioCase):
     async def run_host(self, stack, tasks, name, seeds=()):
-        """Run a daemon that peers reach through a forwarder; return both."""
+        """Run a daemon that peers reach through a proxy; return both."""
         proxy = Proxy(name, 0, 0)
         await proxy.run(tasks)
         settings = make_settings(name, "", seeds=seeds)
@@ -220,19 +214,19 @@
         proxy.target_port = int(addresses.peer.rpartition(":")[2])
         return daemon, proxy
 
-    def test_hosts_whose_links_fall_silent_hear_each_other_again(self):
+    def test_hosts_reconnect_after_their_links_die(self):
         async def scenario(bench):
             async with AsyncExitStack() as stack:
                 tasks = await stack.enter_async_context(anyio.create_task_group())
                 stack.callback(tasks.cancel_scope.cancel)
                 one, first = await self.run_host(stack, tasks, "one")
                 two, second = await self.run_host(stack, tasks, "two", (first.address,))
-                hears = [lambda: self.names(one), lambda: self.names(two)]
-                await until(lambda: all(hear() for hear in hears))
+                peers = [lambda: self.names(one), lambda: self.names(two)]
+                await until(lambda: all(names() for names in peers))
                 for proxy in (first, second):
                     proxy.strand()
-                await until(lambda: not any(hear() for hear in hears))
-                await until(lambda: all(hear() for hear in hears))
+                await until(lambda: not any(names() for names in peers))
+                await until(lambda: all(names() for names in peers))
 
         self.run_scenario(scenario)
 
@@ -240,10 +234,10 @@
         return daemon.scheduler.live_names(daemon.scheduler._read_clock())
 
 
-class QuietLinkTest(TestCase):
-    """A link over which nobody has anything to say lives on."""
+class IdleLinkTest(TestCase):
+    """A link without traffic stays open."""
 
-    def test_a_quiet_link_is_not_given_up(self):
+    def test_an_idle_link_is_not_closed(self):
         clock = Clock()
 
         async def main():
@@ -274,15 +268,15 @@
             lambda: [seed] if seed else [],
             clock.read,
         )
-        # The test looks at the links itself, in stepped time.
+        # The test checks the links itself, in simulated time.
         links.monitor_links = anyio.sleep_forever
         tasks.start_soon(links.run, listener)
         return links
 
 
-class LinkSilenceTest(TestCase):
-    def looks(self, *times):
-        """Look at a link's silence at these times; the last word came at the others."""
+class UnresponsiveLinkTest(TestCase):
+    def checks(self, *times):
+        """Check a link at these times, with the last message received at the others."""
 
         async def main():
             link = Link.open(Member("p", "h", "p:1"), 100.0)
@@ -294,39 +288,42 @@
 
         return anyio.run(main)
 
-    def test_a_link_counts_as_silent_at_the_second_look(self):
-        looks = self.looks((102.0, 100.0), (103.5, 100.0), (104.5, 100.0))
-        self.assertEqual([False, False, True], looks)
+    def test_a_link_counts_as_unresponsive_at_the_second_check(self):
+        checks = self.checks((102.0, 100.0), (103.5, 100.0), (104.5, 100.0))
+        self.assertEqual([False, False, True], checks)
 
-    def test_what_arrived_while_this_process_stood_still_is_read_first(self):
-        self.assertEqual([False, False], self.looks((130.0, 100.0), (131.0, 130.1)))
+    def test_bytes_that_arrived_during_a_process_pause_are_read_first(self):
+        self.assertEqual([False, False], self.checks((130.0, 100.0), (131.0, 130.1)))
 
 
 class NoJitter(random.Random):
-    """Draws no wait: a wait of real time would let the stepped time run ahead."""
+    """Returns the lower bound instead of a random value.
+
+    A wait in real time would let the simulated time run ahead.
+    """
 
     def uniform(self, a, b):
         return a
 
 
-class SteppedStore(FakeApi):
-    """A store whose watches wait in stepped time, and can be cut."""
+class SimulatedStore(FakeApi):
+    """A store whose watches wait in simulated time and can be interrupted."""
 
     def __init__(self):
         super().__init__()
         self.now_seconds = 100.0
         self.cut_at_seconds = math.inf
         self.is_down = False
-        self._stepped = anyio.Event()
+        self._advanced = anyio.Event()
 
     def read_clock(self):
         return self.now_seconds
 
     async def step(self, seconds=0.1):
-        """Let time pass, and everybody look at it."""
+        """Advance the time and let all tasks run."""
         self.now_seconds += seconds
-        stepped, self._stepped = self._stepped, anyio.Event()
-        stepped.set()
+        advanced, self._advanced = self._advanced, anyio.Event()
+        advanced.set()
         for _ in range(20):
             await anyio.sleep(0)
 
@@ -346,30 +343,30 @@
         self.check()
         end_seconds = self.now_seconds + timeout_seconds
         while self.now_seconds < end_seconds:
-            await self._stepped.wait()
+            await self._advanced.wait()
             if self.now_seconds >= self.cut_at_seconds:
                 self.cut_at_seconds = math.inf
                 raise AnswerLostError("cut", step="watch objects")
         return Listing(1, [])
 
 
-class SoundHolderTest(TestCase):
-    """A holder that reads the targets as it should keeps the lease through troubles."""
+class HealthyHolderTest(TestCase):
+    """A holder that can read the targets keeps the lease despite short failures."""
 
-    def play(self, trouble, seconds=40.0):
-        """Step a lone host through time; return the times at which it held nothing."""
+    def play(self, fault, seconds=40.0):
+        """Run a single host in simulated time; return the times without a holder."""
         self.patch(_kind_watcher, "FIRST_PAUSE_SECONDS", 0.0)
-        store = SteppedStore()
+        store = SimulatedStore()
         settings = read_settings("a")
         scheduler = SchedulerTask(Scheduler(settings), store.read_clock)
-        steward = RolloutController(
+        controller = RolloutController(
             store, settings, scheduler, None, store.read_clock, NoJitter()
         )
         targets = WatchedTargetSource(
             store,
-            ReadsVersions(),
+            VersionReader(),
             scheduler,
-            steward.wake,
+            controller.wake,
             lambda: True,
             store.read_clock,
             NoJitter(),
@@ -379,23 +376,23 @@
         async def main():
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(targets.run)
-                tasks.start_soon(steward.run)
-                await until(lambda: steward.is_holder)
+                tasks.start_soon(controller.run)
+                await until(lambda: controller.is_holder)
                 while store.now_seconds < 100.0 + seconds:
-                    trouble(store)
+                    fault(store)
                     await store.step()
-                    steward.wake()
-                    if not steward.is_holder:
+                    controller.wake()
+                    if not controller.is_holder:
                         vacant.append(round(store.now_seconds - 100.0, 1))
                 tasks.cancel_scope.cancel()
 
         anyio.run(main)
         return vacant
 
-    def test_in_calm(self):
+    def test_without_faults(self):
         self.assertEqual([], self.play(lambda store: None))
 
-    def test_one_watch_is_cut_whenever(self):
+    def test_one_watch_is_interrupted_at_any_time(self):
         for cut_seconds in (10.5, 11.0, 11.5, 12.0, 12.5):
             cuts = [100.0 + cut_seconds]
 
@@ -406,17 +403,18 @@
             self.assertEqual([], self.play(cut), cut_seconds)
             self.assertEqual([], cuts)
 
-    def test_the_store_is_away_for_a_while(self):
-        def away(store):
+    def test_the_store_is_temporarily_unavailable(self):
+        def outage(store):
             store.is_down = 109.5 <= store.now_seconds < 115.5
 
-        # The lease may run out meanwhile; it is taken at the next try and not let go.
-        vacant = [at for at in self.play(away) if at > 18.0]
+        # The lease may expire meanwhile. It is acquired at the next attempt and not
+        # released again.
+        vacant = [at for at in self.play(outage) if at > 18.0]
         self.assertEqual([], vacant)
 
 
-class DarkControl:
-    """Runners that answer nothing."""
+class UnresponsiveControl:
+    """Runners that do not respond."""
 
     async def probe(self, entry):
         raise AttemptError(
@@ -424,56 +422,59 @@
         )
 
 
-class SlowAnswers(FakeApi):
-    """A store whose second write takes effect and is answered when the test says so."""
+class DelayedWriteStore(FakeApi):
+    """A store that responds to its second write only when the test allows it.
+
+    The write itself takes effect immediately.
+    """
 
     def __init__(self):
         super().__init__()
-        self.answer = anyio.Event()
+        self.respond = anyio.Event()
         self.writes_count = 0
 
     async def put(self, key, value, expected_version):
         version = await super().put(key, value, expected_version)
         self.writes_count += 1
         if self.writes_count == 2:
-            await self.answer.wait()
+            await self.respond.wait()
         return version
 
 
-class RetiringTest(TestCase):
-    def test_a_renewal_under_way_does_not_win_over_the_release(self):
-        """The host held the lease again for 5 s, as it left."""
+class RetireTest(TestCase):
+    def test_a_renewal_in_progress_does_not_overwrite_the_release(self):
+        """Otherwise the host held the lease for another 5 s while it shut down."""
         clock = Clock()
 
         async def main():
-            api = SlowAnswers()
+            api = DelayedWriteStore()
             lease = LeaseWatcher("a", 10.0, 5.0)
             store = LeaseStore(api, "leases/l")
-            keeper = LeaseManager(store, lease, lambda: 0.0, clock.read)
-            await keeper.keep(is_candidate=True)
+            manager = LeaseManager(store, lease, lambda: 0.0, clock.read)
+            await manager.keep(is_candidate=True)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(keeper.fencing_number, 6.0)
+                tasks.start_soon(manager.fencing_number, 6.0)
                 await anyio.sleep(0)
-                tasks.start_soon(keeper.retire)
+                tasks.start_soon(manager.retire)
                 await anyio.sleep(0)
-                api.answer.set()
-            states = [(keeper.is_held, lease.record.holder)]
+                api.respond.set()
+            states = [(manager.is_held, lease.record.holder)]
             clock.now_seconds += 60.0
-            await keeper.keep(is_candidate=True)
-            return [*states, (keeper.is_held, lease.record.holder)]
+            await manager.keep(is_candidate=True)
+            return [*states, (manager.is_held, lease.record.holder)]
 
         self.assertEqual([(False, ""), (False, "")], anyio.run(main))
 
 
-class UninformedHolderTest(TestCase):
-    """Whoever can't learn what is wanted leaves the lease to others."""
+class StaleTargetsTest(TestCase):
+    """A host that cannot read the targets leaves the lease to others."""
 
-    def test_a_holder_that_can_not_read_the_targets_lets_the_lease_go(self):
+    def test_a_holder_that_cannot_read_the_targets_releases_the_lease(self):
         holders, _ = self.play(reading={"b"})
         self.assertEqual("a", holders[0])
         self.assertEqual("b", holders[-1])
 
-    def test_a_lost_runner_with_old_weights_is_no_reason_to_keep_it(self):
+    def test_an_unreachable_outdated_runner_does_not_keep_the_lease(self):
         entry = HostEntry(
             "r", "runner", "h", "r:1", incarnation="i", model="m", weights_version=1
         )
@@ -484,28 +485,28 @@
         holders, _ = self.play(reading={"b"}, events=events)
         self.assertEqual(("a", "b"), (holders[0], holders[-1]))
 
-    def test_a_holder_that_reads_them_keeps_it(self):
+    def test_a_holder_that_reads_the_targets_keeps_the_lease(self):
         holders, _ = self.play(reading={"a", "b"})
         self.assertEqual({"a"}, set(holders))
 
     def play(self, reading, seconds=30.0, events=()):
-        """Step two hosts through time; return the holders, and when each held."""
+        """Run two hosts in simulated time; return the holders and the end time."""
         self.now_seconds = 100.0
         api = FakeApi()
-        stewards = {name: self.make(name, api) for name in "ab"}
+        controllers = {name: self.make(name, api) for name in "ab"}
         holders = []
 
         async def main():
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(stewards["a"].run)
-                await until(lambda: stewards["a"].is_holder)
-                tasks.start_soon(stewards["b"].run)
+                tasks.start_soon(controllers["a"].run)
+                await until(lambda: controllers["a"].is_holder)
+                tasks.start_soon(controllers["b"].run)
                 for event in events:
-                    stewards["a"]._scheduler.post(event)
+                    controllers["a"]._scheduler.post(event)
                 while self.now_seconds < 100.0 + seconds:
-                    await self.step(stewards, reading)
+                    await self.step(controllers, reading)
                     holders.extend(
-                        name for name in stewards if stewards[name].is_holder
+                        name for name in controllers if controllers[name].is_holder
                     )
                 tasks.cancel_scope.cancel()
 
@@ -519,27 +520,27 @@
             api,
             settings,
             scheduler,
-            DarkControl(),
+            UnresponsiveControl(),
             lambda: self.now_seconds,
             NoJitter(),
         )
 
-    def tell_of_the_lease(self, stewards):
-        """Have a holder be heard by the other host, as peers hear it."""
-        for name, steward in stewards.items():
-            for other in stewards.values():
-                if steward.is_holder and other is not steward:
-                    version = steward.lease.version
+    def publish_lease(self, controllers):
+        """Notify the other host of a lease holder, as gossip does."""
+        for name, controller in controllers.items():
+            for other in controllers.values():
+                if controller.is_holder and other is not controller:
+                    version = controller.lease.version
                     other.lease.note_heard(name, version, self.now_seconds)
 
-    async def step(self, stewards, reading):
-        """Let a tenth of a second pass, and everybody look at it."""
+    async def step(self, controllers, reading):
+        """Advance the time by 0.1 s and let all tasks run."""
         self.now_seconds += 0.1
-        for name, steward in stewards.items():
+        for name, controller in controllers.items():
             if name in reading:
                 event = TargetsRead((), read_at_seconds=self.now_seconds)
-                steward._scheduler.post(event)
-            steward.wake()
-        self.tell_of_the_lease(stewards)
+                controller._scheduler.post(event)
+            controller.wake()
+        self.publish_lease(controllers)
         for _ in range(20):
             await anyio.sleep(0)
