--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -156,7 +156,7 @@
     #: Weights of the upstream; none if it does not say.
     weights_version: int | None = None
     #: How long the connection may rest; none if it does not say.
-    max_rest_seconds: float | None = None
+    max_idle_seconds: float | None = None
     #: Whether the upstream closes its connections, as one that leaves does.
     is_closing: bool = False
     request_rate: RequestRate = RequestRate()
--- a/packages/rampwick-router/src/rampwick_router/_own_dialect.py
+++ b/packages/rampwick-router/src/rampwick_router/_own_dialect.py
@@ -146,7 +146,7 @@
             is_signed=bool(named),
             is_another=named not in ("", incarnation),
             weights_version=int(weights) if weights and weights.isdigit() else None,
-            max_rest_seconds=keep_alive_seconds(headers),
+            max_idle_seconds=keep_alive_seconds(headers),
             is_closing=asks_to_close(headers),
             request_rate=read_request_rate(head, REQUEST_RATE),
             signals=read_signals(head, LEAVING),
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -86,7 +86,7 @@
                 yield head
             if listening.has_stalled:
                 raise self.failed(Outcome.BROKEN, "the upstream is silent")
-        self.rest_seconds = self._channel.max_rest_seconds
+        self.rest_seconds = self._channel.max_idle_seconds
 
     async def pieces(self) -> AsyncIterator[bytes]:
         """Yield the body as it comes."""
@@ -168,9 +168,9 @@
 
     def _note_channel(self, facts: AnswerFacts) -> None:
         if facts.is_closing:
-            self._channel.max_rest_seconds = 0.0
-        elif facts.max_rest_seconds is not None:
-            self._channel.set_idle_limit(facts.max_rest_seconds)
+            self._channel.max_idle_seconds = 0.0
+        elif facts.max_idle_seconds is not None:
+            self._channel.set_idle_limit(facts.max_idle_seconds)
 
     def _check(self, head: AnswerHead, facts: AnswerFacts) -> None:
         """Raise unless the answer is this attempt's own and may be passed on."""
--- a/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
@@ -61,7 +61,7 @@
     _socket: TcpSocket
     _connection: h11.Connection = attrs.field(init=False)
     #: How long it may rest; the upstream's answers may change it.
-    max_rest_seconds: float = DEFAULT_IDLE_SECONDS
+    max_idle_seconds: float = DEFAULT_IDLE_SECONDS
     idle_since_seconds: float = 0.0
     requests_count: int = 0
     #: Whether bytes of the present request have been handed to the socket.
@@ -150,12 +150,12 @@
 
     def set_idle_limit(self, seconds: float) -> None:
         """Take the upstream's own bound on how long the connection may rest."""
-        self.max_rest_seconds = seconds * IDLE_LIMIT_RATIO
+        self.max_idle_seconds = seconds * IDLE_LIMIT_RATIO
 
     def may_stay_idle(self, now_seconds: float) -> bool:
         """Return whether a resting connection may still be used."""
         idle_seconds = now_seconds - self.idle_since_seconds
-        return idle_seconds < self.max_rest_seconds and not self._socket.is_readable()
+        return idle_seconds < self.max_idle_seconds and not self._socket.is_readable()
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -232,7 +232,7 @@
             yield channel
             is_complete = channel.is_reusable()
         finally:
-            if is_complete and channel.max_rest_seconds > 0.0:
+            if is_complete and channel.max_idle_seconds > 0.0:
                 channel.idle_since_seconds = self._read_clock()
                 channels.idle.append(channel)
             else:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -413,7 +413,7 @@
                 served.request_id,
                 served.is_signed,
                 served.weights_version,
-                served.max_rest_seconds,
+                served.max_idle_seconds,
                 served.is_closing,
             ),
         )
