--- a/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
@@ -1,8 +1,8 @@
-"""What upstreams meet: connections, attempts, control calls, probes, cache events.
+"""Communication with upstreams: connections, requests, control calls, cache events.
 
-It owns the sockets towards runners, services and stores of kept cache. Exchanges, the
-steward and timers feed it; what it learns goes to the scheduler as events. It imports
-no other part of the router but the ones that all share.
+This package owns the sockets to runners, services and KV stores. Exchanges, the rollout
+controller and periodic tasks call it, and it posts results to the scheduler as events.
+It imports only the modules that all parts of the router share.
 """
 
 from ._cache_reader import CacheReaderTask as CacheReaderTask
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -1,4 +1,4 @@
-"""The task that reads cache events of engines and stores, for this host and peers."""
+"""Reading of cache events from engines and stores, for this host and its peers."""
 
 from collections.abc import Callable, Iterable
 
@@ -29,40 +29,43 @@
 from ._channels import ChannelPool
 from ._control import call_upstream
 
-#: Longest wait of one question, and what its answer may take beyond.
+#: Maximum wait of one poll at the cache, and the additional time allowed for the
+#: response.
 POLL_WAIT_SECONDS = 1.0
 RESPONSE_MARGIN_SECONDS = 0.5
 
-#: Time between two questions to one cache. Events come in all the time, so that a
-#: question seldom waits, and each one has its price; placements that hosts tell each
-#: other fill the time between.
+#: Time between two polls of one cache. Events arrive constantly, so a poll seldom
+#: waits, and each poll has a cost. Placements that hosts exchange cover the time
+#: between polls.
 POLL_INTERVAL_SECONDS = 0.7
 
-#: Events in one answer from which the next question follows at once. Caches tell a few
-#: hundred at a time, the oldest first: at one answer a period a host that has just
-#: started would have all saved again before it knows what a cache holds.
+#: Number of events in a response from which the next poll follows immediately. Caches
+#: send a few hundred events per response, oldest first: with one response per interval,
+#: a newly started host would save all entries again before it had read the contents of
+#: a cache.
 FULL_RESPONSE_EVENTS_COUNT = 200
 
-#: Time from a host's start in which it reads the caches of its own hall only: the
-#: others' readers tell it theirs as soon as they are linked, at a part of the bytes.
+#: Time after a host's start during which it reads only the caches of its own hall.
+#: Readers in other halls send the contents of theirs on connection, in far fewer bytes.
 OWN_HALL_ONLY_SECONDS = 1.0
 
-#: Caches asked at once for what they told before this host listened: their answers are
-#: as long as they may be, and a weak link has requests to carry beside them.
+#: Maximum number of concurrent polls for backlogs. Their responses have the maximum
+#: size, and slow links carry requests at the same time.
 MAX_CONCURRENT_BACKLOGS = 4
 
-#: Entries that went before a reader had caught up of which peers are told: what went in
-#: the second or two in which a reader before it was missing.
+#: Maximum number of evictions from a backlog that are sent to peers. This covers the
+#: one or two seconds between the failure of a previous reader and the start of the
+#: next.
 MAX_REPORTED_EVICTIONS = 100
 
-#: Wait after a question that failed.
+#: Wait after a failed poll.
 FAILURE_PAUSE_SECONDS = 1.0
 
-#: Time between two looks at which caches this host is to read.
+#: Time between two scans for the caches that this host must read.
 SCAN_INTERVAL_SECONDS = 1.0
 
-#: The same in the first moments of a host, until it knows which caches there are: until
-#: it has read them it takes each prompt for unknown and each runner for full.
+#: The same during the start of a host, until any cache is known. Until a host has read
+#: the caches, it considers each prompt uncached and each runner full.
 STARTUP_SCAN_SECONDS = 0.02
 STARTUP_SECONDS = 3.0
 
@@ -76,24 +79,24 @@
     name: str
     hall: str
     address: str
-    #: Life of the engine; empty for a store, which outlives all weights.
+    #: Incarnation of the engine; empty for a store, which outlives engines and weights.
     incarnation: str = ""
 
 
 @attrs.define(repr=False)
 class EventBacklog(Shown):
-    """What a cache told before this host had caught up with it, for peers.
+    """Combined effect of the events from before this host caught up, for peers.
 
-    Engines remember thousands of events and hold some dozens of entries. Told event by
-    event, they would fill the links and keep hosts busy while callers wait, whenever
-    all hosts of a large fleet come back.
+    Engines retain thousands of events but hold only dozens of entries. Sent one by one,
+    these events would saturate the links and keep hosts busy while callers wait,
+    whenever all hosts of a large fleet restart.
     """
 
-    #: Tokens kept now by life and prefix, those that changed last at the end.
+    #: Cached tokens by cache generation and prefix, most recently changed last.
     _tokens: dict[str, dict[bytes, int]] = attrs.field(factory=dict)
 
     def add(self, changes: Iterable[CacheChanges]) -> None:
-        """Take what the next events changed."""
+        """Add the changes of the next events."""
         for change in changes:
             known = self._tokens.setdefault(change.label, {})
             for prefix, tokens in zip(change.prefixes, change.tokens, strict=False):
@@ -101,7 +104,7 @@
                 known[prefix] = tokens
 
     def take(self) -> list[CacheChanges]:
-        """Return what is kept, and what went last; begin anew."""
+        """Return cached entries and the latest evictions, and clear the backlog."""
         tokens_by_label, self._tokens = self._tokens, {}
         return [
             CacheChanges(label, tuple(reported), tuple(reported.values()))
@@ -112,18 +115,18 @@
 
 @attrs.define(repr=False)
 class ReadState(Shown):
-    """Where the reading of one cache stands."""
+    """Progress of reading one cache."""
 
     epoch: int | None = None
     since: int = 0
-    #: Whether the last question was answered.
+    #: Whether the last poll succeeded.
     is_responding: bool = True
-    #: What peers have not been told yet of the time before; none once they were.
+    #: Backlog not yet sent to peers; none once it was sent.
     backlog: EventBacklog | None = attrs.field(factory=EventBacklog)
 
 
 class CacheReaderTask:
-    """Reads the events of those caches that are this host's to read."""
+    """Reads the events of the caches assigned to this host."""
 
     def __init__(
         self,
@@ -145,9 +148,9 @@
         self._scopes: dict[CacheSource, anyio.CancelScope] = {}
         self._backlog_slots = anyio.CapacityLimiter(MAX_CONCURRENT_BACKLOGS)
         self._began_seconds: float | None = None
-        #: Whether any cache is known, read here or elsewhere.
+        #: Whether any cache is known, read by this host or by another.
         self._has_caches = False
-        #: Caches that told all that they had, or did not answer.
+        #: Caches whose backlog has been read completely, or that did not respond.
         self._caught_up: set[CacheSource] = set()
 
     async def run(self) -> None:
@@ -165,17 +168,17 @@
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether the caches that are read here are known, and what they hold."""
+        """Whether the caches read here are known and their backlogs have been read."""
         return self._has_caches and self._scopes.keys() <= self._caught_up
 
     def _age_seconds(self, now_seconds: float) -> float:
-        """Return the time since this host first looked for caches."""
+        """Return the time since this host first scanned for caches."""
         if self._began_seconds is None:
             self._began_seconds = now_seconds
         return now_seconds - self._began_seconds
 
     def _pause_seconds(self, scheduler: Scheduler, now_seconds: float) -> float:
-        """Return the time until the next look."""
+        """Return the time until the next scan."""
         is_first = self._age_seconds(now_seconds) < STARTUP_SECONDS
         if is_first and not self._has_caches:
             return STARTUP_SCAN_SECONDS
@@ -229,16 +232,17 @@
                 await sleep_on_grid(POLL_INTERVAL_SECONDS)
 
     async def _poll_limited(self, source: CacheSource, state: ReadState) -> bool:
-        """Ask for the next events; for those of the time before, a few at once."""
+        """Poll for the next events; polls for backlogs are limited in concurrency."""
         if state.backlog is None:
             return await self._poll(source, state)
         async with self._backlog_slots:
             return await self._poll(source, state)
 
     async def _poll(self, source: CacheSource, state: ReadState) -> bool:
-        """Ask for the next events; return whether there are likely more already."""
+        """Poll for the next events; return whether more are likely available."""
         request = self._dialect.events(source.address, state.since, POLL_WAIT_SECONDS)
-        # Named apart from requests, so that a waiting call holds none of theirs up.
+        # Use a separate connection pool, so that a waiting poll does not occupy
+        # connections needed by requests.
         head, body = await call_upstream(
             self._channels,
             f"{source.name} events",
@@ -249,12 +253,13 @@
         events = self._dialect.read_events(head, body)
         if not state.is_responding:
             state.is_responding = True
-            log.info("cache tells again", cache=source.name, epoch=events.epoch)
+            log.info("cache responds again", cache=source.name, epoch=events.epoch)
         before = state.since
         is_new = state.epoch not in (None, events.epoch)
         state.epoch = events.epoch
         if is_new and events.next_number < state.since:
-            # Numbers began anew, too: the answer may have left the first ones out.
+            # The numbering has restarted as well, so the response may lack the first
+            # events.
             state.since = 0
             events = attrs.evolve(events, events=[])
         else:
@@ -264,7 +269,7 @@
         return len(events.events) >= FULL_RESPONSE_EVENTS_COUNT and state.since > before
 
     def _note_caught_up(self, source: CacheSource, state: ReadState) -> None:
-        """Tell peers what came of all events up to now, at the first time."""
+        """Send the combined backlog to peers when a cache is first caught up."""
         self._caught_up.add(source)
         if state.backlog is None:
             return
@@ -275,7 +280,7 @@
 
     def _note_failure(self, source: CacheSource, state: ReadState, error: str) -> None:
         if state.is_responding:
-            log.problem("cache does not tell", cache=source.name, error=error)
+            log.problem("cache not responding", cache=source.name, error=error)
         state.is_responding = False
 
     def _publish(
@@ -303,7 +308,7 @@
             meaning = self._salts.find(event.salt)
             if meaning is not None:
                 known = by_version.setdefault(meaning.weights_version, {})
-                # Of several changes of an entry the last one holds.
+                # The last of several changes of an entry applies.
                 known[part_key(meaning.scope, event.part)] = event.kept_tokens
         return [
             CacheChanges(_label(source, version), tuple(known), tuple(known.values()))
@@ -312,7 +317,7 @@
 
 
 def _without_old_evictions(known: dict[bytes, int]) -> dict[bytes, int]:
-    """Return the entries that are kept, and those of the others that went last."""
+    """Return the cached entries and the latest evictions."""
     evicted = [prefix for prefix, tokens in known.items() if not tokens]
     old = set(evicted[:-MAX_REPORTED_EVICTIONS])
     return {prefix: tokens for prefix, tokens in known.items() if prefix not in old}
--- a/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
@@ -1,9 +1,8 @@
-"""Kept connections to upstreams: one request at a time on each, HTTP/1.1 by h11.
+"""Connection pool for upstreams: HTTP/1.1 over h11, one request at a time on each.
 
-A connection is used again only if nothing speaks against it: its answer came whole,
-no byte came beyond it, it has not rested for too long, and neither side wants to
-close it. Whatever is in doubt is closed; a new connection costs a round trip, a
-wrong one an answer.
+A connection is reused only if its last response was complete, no byte followed it, it
+has not been idle for too long, and neither side wants to close it. In any doubt it is
+closed: a new connection costs one round trip, a stale one a failed response.
 """
 
 import math
@@ -23,29 +22,30 @@
 from .._headers import AnswerHead, RawHeaders
 from ._tcp_socket import TcpSocket
 
-#: Longest wait for a connection: some ten round trips within a region, and short
-#: enough to try another upstream within the usual latency targets.
+#: Connect timeout: about ten round trips within a region, and short enough to try
+#: another upstream within the usual latency targets.
 CONNECT_TIMEOUT_SECONDS = 0.25
 
-#: Rest after which a connection is closed where the upstream names no bound; common
-#: servers keep idle connections for at least five seconds.
+#: Idle time after which a connection is closed if the upstream does not state a limit.
+#: Common servers keep idle connections for at least five seconds.
 DEFAULT_IDLE_SECONDS = 4.0
 
-#: Part of the upstream's own bound that is used: the rest is for the way there, and
-#: for the one that closes a little early.
+#: Fraction of the upstream's own idle limit that is used. The rest allows for the
+#: network delay and for upstreams that close slightly early.
 IDLE_LIMIT_RATIO = 0.85
 
-#: Largest head of an answer.
+#: Maximum size of a response head.
 MAX_HEAD_BYTES = 65536
 
-#: Bytes of a body handed to the socket at once, so that an early answer is seen.
+#: Maximum number of body bytes passed to the socket at once, so that an early response
+#: is noticed.
 SEND_BYTES = 65536
 
-#: Time between two looks for connections that have rested too long.
+#: Time between two sweeps for expired idle connections.
 SWEEP_SECONDS = 1.0
 
 
-#: What a connection is for if its borrower says nothing else.
+#: Default reason for opening a connection.
 REQUEST = "request"
 
 
@@ -60,11 +60,11 @@
     peer: str
     _socket: TcpSocket
     _connection: h11.Connection = attrs.field(init=False)
-    #: How long it may rest; the upstream's answers may change it.
+    #: Maximum idle time; responses of the upstream may change it.
     max_idle_seconds: float = DEFAULT_IDLE_SECONDS
     idle_since_seconds: float = 0.0
     requests_count: int = 0
-    #: Whether bytes of the present request have been handed to the socket.
+    #: Whether bytes of the current request have been passed to the socket.
     has_sent: bool = False
     _has_failed: bool = False
     #: Whether the upstream has closed or reset the connection.
@@ -78,7 +78,7 @@
     async def send(
         self, method: str, target: str, headers: RawHeaders, body: bytes
     ) -> None:
-        """Send a whole request."""
+        """Send a complete request."""
         self.requests_count += 1
         self.has_sent = False
         request = h11.Request(method=method, target=target, headers=list(headers))
@@ -99,7 +99,7 @@
             raise self._broken("send request", error) from error
 
     async def receive_head(self) -> AnswerHead:
-        """Return the head of the answer; informational ones are passed over."""
+        """Return the response head, skipping informational responses."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
@@ -109,7 +109,7 @@
                 raise self._broken("read answer", "the connection closed")
 
     async def receive_pieces(self) -> AsyncIterator[bytes]:
-        """Yield the body's pieces; return at its end, raise if it is cut."""
+        """Yield the body in pieces; raise an error if it is truncated."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -135,9 +135,10 @@
             self._connection.receive_data(data)
 
     def is_reusable(self) -> bool:
-        """Return whether the answer came whole and nothing came after it.
+        """Return whether the response was complete and no data followed it.
 
-        To be asked once after each answer; it makes the connection ready.
+        Must be called once after each response; it prepares the connection for the next
+        request.
         """
         connection = self._connection
         if self._has_failed or connection.trailing_data != (b"", False):
@@ -149,11 +150,11 @@
         return not self._socket.is_readable()
 
     def set_idle_limit(self, seconds: float) -> None:
-        """Take the upstream's own bound on how long the connection may rest."""
+        """Set the idle limit stated by the upstream."""
         self.max_idle_seconds = seconds * IDLE_LIMIT_RATIO
 
     def may_stay_idle(self, now_seconds: float) -> bool:
-        """Return whether a resting connection may still be used."""
+        """Return whether an idle connection may still be used."""
         idle_seconds = now_seconds - self.idle_since_seconds
         return idle_seconds < self.max_idle_seconds and not self._socket.is_readable()
 
@@ -181,7 +182,7 @@
 
 @attrs.define(repr=False)
 class _UpstreamChannels(Shown):
-    """Connections to one upstream in one life."""
+    """Connections to one incarnation of an upstream."""
 
     idle: list[Channel] = attrs.field(factory=list)
     open_count: int = 0
@@ -193,11 +194,11 @@
     def __init__(self, read_clock: Callable[[], float]) -> None:
         self._read_clock = read_clock
         self._by_upstream: dict[str, _UpstreamChannels] = {}
-        #: Connections opened so far, by what each was opened for.
+        #: Number of connections opened so far, by reason.
         self._opened: Counter[str] = Counter()
 
     def opened_counts(self) -> dict[str, int]:
-        """Return the connections opened so far, by what each was opened for."""
+        """Return the number of connections opened so far, by reason."""
         return dict(self._opened)
 
     async def __aenter__(self) -> "ChannelPool":
@@ -217,11 +218,11 @@
         max_count: float = math.inf,
         reason: str = REQUEST,
     ) -> AsyncIterator[Channel]:
-        """Lend a connection to an upstream, a resting one if there is any.
+        """Lend a connection to an upstream, an idle one if available.
 
-        ``reason`` says what it is for, for whoever looks at what connections cost.
-        It rests again afterwards if its answer came whole; otherwise it is closed,
-        which stops whatever the upstream still does for it.
+        ``reason`` states what the connection is for, for metrics on connection cost.
+        Afterwards the connection returns to the pool if its response was complete.
+        Otherwise it is closed, which also stops the upstream's work on the request.
         """
         channels = self._by_upstream.setdefault(upstream, _UpstreamChannels())
         channel = self._take_idle(channels)
@@ -240,7 +241,7 @@
                 channel.close()
 
     def _take_idle(self, channels: _UpstreamChannels) -> Channel | None:
-        # The one that rested least goes first, so that the others can expire.
+        # Use the most recently used connection first, so that the others can expire.
         while channels.idle:
             channel = channels.idle.pop()
             if channel.may_stay_idle(self._read_clock()):
@@ -276,7 +277,7 @@
         return Channel(upstream, connection)
 
     async def sweep(self) -> None:
-        """Close what has rested too long, again and again until cancelled."""
+        """Close expired idle connections periodically until cancelled."""
         while True:
             await sleep_on_grid(SWEEP_SECONDS)
             for upstream, channels in list(self._by_upstream.items()):
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -1,6 +1,6 @@
-"""Rampwick's own protocol towards runners and services, over kept connections.
+"""Client of rampwick's own protocol for runners and services, over pooled connections.
 
-Every failure becomes one typed outcome.
+Every failure is mapped to one typed outcome.
 """
 
 from collections.abc import AsyncIterator, Mapping
@@ -29,7 +29,7 @@
 from ._control import CONTROL_TIMEOUT_SECONDS, call_upstream
 from ._sse import EventSplitter, StreamEvent
 
-#: What a runner says to an order, by the status of its answer.
+#: Result of an order by response status.
 ORDER_RESULTS: dict[int, OrderResult] = {
     HTTPStatus.ACCEPTED: OrderResult.TAKEN,
     HTTPStatus.OK: OrderResult.HOLDS,
@@ -42,7 +42,7 @@
 
 @attrs.frozen(repr=False)
 class StreamStart(Shown):
-    """What an upstream says before the first event of an answer."""
+    """Response headers that identify an attempt, read before the first event."""
 
     attempt_id: str
     incarnation: str
@@ -74,7 +74,7 @@
         headers: RawHeaders = (),
         body: bytes = b"",
     ) -> AsyncIterator["UpstreamResponse"]:
-        """Send a request and yield its answer; errors are AttemptError."""
+        """Send a request and yield its response; errors are AttemptError."""
         length = str(len(body)).encode()
         request_headers = [
             (b"host", address.encode()),
@@ -105,7 +105,7 @@
     async def start_stream(
         self, dispatch: Dispatch, path: str, content: bytes
     ) -> AsyncIterator["UpstreamStream"]:
-        """Send an attempt to a runner and yield its answer's stream."""
+        """Send an attempt to a runner and yield the response stream."""
         async with self.request(
             "POST",
             dispatch.address,
@@ -127,7 +127,7 @@
         *,
         is_chat: bool,
     ) -> AsyncIterator["UpstreamStream"]:
-        """Take a stream up again at a position."""
+        """Resume a stream at a position."""
         shape = "chat" if is_chat else "text"
         target = f"/v1/streams/{attempt_id}?position={position}&shape={shape}"
         async with self.request(
@@ -136,14 +136,14 @@
             yield UpstreamStream(response, upstream, self._max_event_bytes)
 
     async def cancel(self, address: str, upstream: str, attempt_id: str) -> None:
-        """Stop an attempt that nobody waits for any more."""
+        """Cancel an attempt whose result is no longer needed."""
         target = f"/v1/streams/{attempt_id}"
         await self._call(
             upstream, address, _control("DELETE", target, "cancel attempt", address)
         )
 
     async def probe(self, entry: HostEntry) -> LoadReport | None:
-        """Return a runner's report, or none from a service that is up."""
+        """Return a runner's load report, or none for a service that is up."""
         step = "probe upstream"
         request = _control("GET", "/load", step, entry.address)
         head, body = await self._call(entry.name, entry.address, request)
@@ -159,7 +159,7 @@
         return _read_report(body, step, entry.name)
 
     async def send_order(self, entry: HostEntry, order: Order) -> OrderResult:
-        """Send an order and return what the runner says to it."""
+        """Send an order and return its result."""
         body = orjson.dumps(unstructure(order))
         request = _control("PUT", "/orders", "send order", entry.address, body)
         try:
@@ -177,7 +177,7 @@
 
 
 class _ReadTimeout:
-    """A wait for an upstream that becomes an AttemptError when it lasts too long."""
+    """Context manager that raises an AttemptError on a stalled read."""
 
     def __init__(self, seconds: float, step: str, peer: str) -> None:
         self._scope = anyio.move_on_after(seconds)
@@ -200,19 +200,19 @@
 
 @attrs.frozen(repr=False)
 class UpstreamResponse(Shown):
-    """An answer under way."""
+    """A response in progress."""
 
     head: AnswerHead
-    #: Pieces of its body as they come.
+    #: Pieces of the body as they arrive.
     pieces: AsyncIterator[bytes]
 
     @property
     def status(self) -> int:
-        """Status of the answer."""
+        """Status of the response."""
         return self.head.status
 
     def texts(self) -> Mapping[str, str]:
-        """Return the headers by lower-case name; the last of equal ones."""
+        """Return the headers by lower-case name; the last one of equal names."""
         return {
             name.decode("latin-1"): value.decode("latin-1")
             for name, value in self.head.headers
@@ -220,7 +220,7 @@
 
 
 class UpstreamStream:
-    """An answer under way."""
+    """A response in progress."""
 
     def __init__(
         self, response: UpstreamResponse, upstream: str, max_event_bytes: int
@@ -233,10 +233,10 @@
         self._max_event_bytes = max_event_bytes
 
     def check_start(self, attempt_id: str, incarnation: str) -> StreamStart:
-        """Return the answer's head, or raise what it says went wrong.
+        """Return the identifying headers, or raise the error that the head reports.
 
-        An answer to another attempt or from another life than asked is not passed
-        on, whatever it holds.
+        A response to another attempt, or from another incarnation than requested, is
+        not forwarded, whatever its content.
         """
         self._check_status()
         start = self._read_start()
@@ -264,7 +264,7 @@
         )
 
     async def batches(self) -> AsyncIterator[list[StreamEvent]]:
-        """Yield the events that came together, as soon as they come."""
+        """Yield events in batches as they arrive."""
         splitter = EventSplitter(self._max_event_bytes, self._upstream)
         async for data in self._pieces:
             events = splitter.feed(data)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_control.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_control.py
@@ -14,29 +14,29 @@
 from .._scheduler_task import SchedulerTask
 from ._channels import ChannelPool
 
-#: Longest wait for an answer to a control call. An order is given only if the lease
-#: outlives it, so it is short; answers take a few milliseconds.
+#: Timeout of a control call. An order is sent only if the lease outlives this timeout,
+#: so it is short; responses take a few milliseconds.
 CONTROL_TIMEOUT_SECONDS = 0.4
 
-#: Longest answer to a control call.
-MAX_ANSWER_BYTES = 1_048_576
+#: Maximum size of a response to a control call.
+MAX_RESPONSE_BYTES = 1_048_576
 
 
 class UpstreamControl(Protocol):
-    """What the daemon asks of upstreams besides serving requests."""
+    """Control operations on upstreams, besides serving requests."""
 
     async def probe(self, entry: HostEntry) -> LoadReport | None:
-        """Return a runner's report, or none from a service that is up."""
+        """Return a runner's load report, or none for a service that is up."""
 
     async def send_order(self, entry: HostEntry, order: Order) -> OrderResult:
-        """Send an order and return what the runner says to it."""
+        """Send an order and return its result."""
 
     async def cancel(self, address: str, upstream: str, attempt_id: str) -> None:
-        """Stop an attempt that nobody waits for any more."""
+        """Cancel an attempt whose result is no longer needed."""
 
 
 class DialectControl:
-    """Control calls over kept connections, in a deployment's own dialect."""
+    """Control calls over pooled connections, in a deployment's own dialect."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._find_health_path = find_health_path
 
     async def probe(self, entry: HostEntry) -> LoadReport | None:
-        """Return a runner's report, or none from a service that is up."""
+        """Return a runner's load report, or none for a service that is up."""
         head, body = await self._call(entry, self._probe_request(entry))
         try:
             return self._dialect.read_probe(entry, head, body)
@@ -61,7 +61,7 @@
             ) from error
 
     async def send_order(self, entry: HostEntry, order: Order) -> OrderResult:
-        """Send an order; no answer is a result too."""
+        """Send an order and return its result; a missing response is a result too."""
         try:
             head, _ = await self._call(entry, self._dialect.order(entry, order))
         except AttemptError as error:
@@ -74,7 +74,7 @@
         return self._dialect.probe(entry, self._find_health_path(entry.group))
 
     async def cancel(self, address: str, upstream: str, attempt_id: str) -> None:
-        """Do nothing: closing the attempt's connection has stopped it already."""
+        """Do nothing: closing the attempt's connection has already cancelled it."""
 
     async def _call(
         self, entry: HostEntry, request: ControlRequest
@@ -90,7 +90,7 @@
                     entry.incarnation,
                     signals.is_leaving,
                     signals.pause_seconds,
-                    f"its answer to {request.step!r} says so",
+                    f"reported in the response to {request.step!r}",
                 )
             )
         return head, body
@@ -114,10 +114,14 @@
             body = b""
             async for piece in channel.receive_pieces():
                 body += piece
-                if len(body) > MAX_ANSWER_BYTES:
-                    raise _failed("the answer is too long", request, name)
+                if len(body) > MAX_RESPONSE_BYTES:
+                    raise _failed(
+                        f"response larger than {MAX_RESPONSE_BYTES} bytes",
+                        request,
+                        name,
+                    )
             return head, body
-    raise _failed("no answer in time", request, name)
+    raise _failed(f"no response within {timeout_seconds} s", request, name)
 
 
 def _failed(message: str, request: ControlRequest, name: str) -> AttemptError:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_sse.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_sse.py
@@ -1,7 +1,7 @@
-"""Server-sent events: splitting an upstream's bytes and writing a caller's.
+"""Server-sent events: parsing an upstream's bytes and formatting a caller's events.
 
-Only what engines send is understood: an ``id`` line that holds a position and one
-``data`` line. Splitting is on the path of every token, so it works on whole buffers.
+Only the subset that engines send is supported: an ``id`` line with a position and one
+``data`` line. Parsing is on the path of every token, so it works on whole buffers.
 """
 
 import attrs
@@ -18,19 +18,19 @@
 
 @attrs.frozen(repr=False)
 class StreamEvent(Shown):
-    """One event; a missing id means no position."""
+    """One event; an event without an id has no position."""
 
     position: int | None
     data: bytes
 
     @property
     def is_done(self) -> bool:
-        """Whether this ends a whole answer."""
+        """Whether this event ends a complete response."""
         return self.data == DONE
 
 
 class EventSplitter:
-    """Cuts a byte stream into events, however the bytes are grouped."""
+    """Splits a byte stream into events, independent of how the bytes are chunked."""
 
     def __init__(self, max_event_bytes: int, peer: str) -> None:
         self._max_event_bytes = max_event_bytes
@@ -65,17 +65,17 @@
 
 
 class SequenceFilter:
-    """Lets each position pass once and in order."""
+    """Passes each position once and in order."""
 
     def __init__(self, next_position: int, peer: str) -> None:
-        #: Position that must come next.
+        #: Next expected position.
         self.next_position = next_position
         self._peer = peer
 
     def admit(self, event: StreamEvent) -> bool:
         """Return whether the event is the next one; a gap is an error.
 
-        False means that the event came already and is to be dropped.
+        False means that the event is a duplicate and must be dropped.
         """
         if event.position is None or event.position == self.next_position:
             self.next_position += 1
@@ -91,5 +91,5 @@
 
 
 def format_event(stream_token: bytes, position: int, data: bytes) -> bytes:
-    """Return an event for the caller, whose id lets any host resume after it."""
+    """Format an event for the caller; its id lets any host resume after it."""
     return b"id: %s.%d\ndata: %s\n\n" % (stream_token, position, data)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
@@ -1,7 +1,8 @@
-"""Noticing upstreams that fall silent in the middle of an answer.
+"""Detection of upstreams that stall in the middle of a response.
 
-A time-out for each piece costs more than relaying it. One task looks now and then at
-all answers under way instead, so that silence is noticed a little later than its bound.
+A timeout for each piece of a body costs more than forwarding the piece. Instead one
+task periodically checks all responses in progress, so that a stall is detected slightly
+later than its timeout.
 """
 
 from collections.abc import Callable, Iterator
@@ -12,23 +13,23 @@
 
 from rampwick_schema import Shown
 
-#: Time between two looks: small against the bounds in use.
+#: Time between two checks: small compared to the timeouts in use.
 CHECK_INTERVAL_SECONDS = 0.2
 
 
 @attrs.define(eq=False, repr=False)
 class ReadMonitor(Shown):
-    """An answer under way; its reader notes when it waits and when it does not."""
+    """State of reading one response; the reader records when it waits for data."""
 
     timeout_seconds: float
-    #: Since when the reader has been waiting for a piece; nothing while it is not.
+    #: Time since which the reader has been waiting for data; none while it is not.
     waiting_since_seconds: float | None = None
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
     has_stalled: bool = False
 
 
 class StallDetector:
-    """Breaks off the reading of answers whose upstreams say nothing for too long."""
+    """Aborts reading of responses whose upstreams send nothing for too long."""
 
     def __init__(self, read_clock: Callable[[], float]) -> None:
         self._read_clock = read_clock
@@ -37,9 +38,9 @@
 
     @contextmanager
     def monitor(self, timeout_seconds: float) -> Iterator[ReadMonitor]:
-        """Watch an answer for the length of the context.
+        """Monitor a response for the duration of the context.
 
-        Silence ends the context early, without an error, and sets ``is_silent``.
+        A stall ends the context early, without an error, and sets ``has_stalled``.
         """
         read = ReadMonitor(timeout_seconds)
         self._active.add(read)
@@ -51,11 +52,11 @@
             self._active.discard(read)
 
     def note_waiting(self, read: ReadMonitor) -> None:
-        """Note that the reader waits for the next piece from now on."""
+        """Record that the reader waits for data from now on."""
         read.waiting_since_seconds = self._read_clock()
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             if not self._active:
                 self._has_reads = anyio.Event()
@@ -64,7 +65,7 @@
             self.check(self._read_clock())
 
     def check(self, now_seconds: float) -> None:
-        """Break off what has been silent for too long."""
+        """Abort the reads that have stalled."""
         for read in list(self._active):
             since_seconds = read.waiting_since_seconds
             if since_seconds is None:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks around upstreams: probes and cancellations."""
+"""Periodic probes of upstreams, and cancellation of attempts."""
 
 import anyio
 
@@ -11,14 +11,15 @@
 from .._scheduler_task import SchedulerTask
 from ._control import UpstreamControl
 
-#: Time between two looks at which upstreams are to be probed; a new doubt comes first.
+#: Maximum time between two checks for due probes; a newly suspected upstream triggers a
+#: check immediately.
 MAX_PROBE_WAIT_SECONDS = 1.0
 
 log = PartLogger("upstreams")
 
 
 class ProbeTask:
-    """Asks for their load those upstreams whose turn it is."""
+    """Probes the upstreams that are due for their load."""
 
     def __init__(self, control: UpstreamControl, scheduler: SchedulerTask) -> None:
         self._control = control
@@ -54,7 +55,7 @@
 
 
 class CancelTask:
-    """Tells upstreams to stop attempts that nobody waits for."""
+    """Cancels attempts whose results are no longer needed."""
 
     def __init__(self, control: UpstreamControl, scheduler: SchedulerTask) -> None:
         self._control = control
@@ -72,4 +73,6 @@
         try:
             await self._control.cancel(address, upstream, attempt_id)
         except AttemptError as error:
-            log.problem("attempt not cancelled", attempt=attempt_id, error=str(error))
+            log.problem(
+                "attempt cancellation failed", attempt=attempt_id, error=str(error)
+            )
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
@@ -1,11 +1,12 @@
 """A TCP connection without a hidden buffer.
 
-A stream of the event loop may have read bytes that nobody asked for yet, and then
-nobody can tell whether a kept connection is clean. Here every byte is either in the
-kernel or with the caller.
+A stream of the event loop may have read bytes that were not requested yet, so that it
+is unknown whether a pooled connection is clean. Here every byte is either in the kernel
+or with the caller.
 
-The loop is asyncio's, which anyio runs on here: waiting through anyio registers the
-socket anew for each read, and that doubled the system calls for each piece of a stream.
+The code uses asyncio's event loop directly, which anyio runs on here. Waiting through
+anyio registers the socket again for each read, which doubled the system calls for each
+piece of a stream.
 """
 
 import asyncio
@@ -15,23 +16,23 @@
 
 from rampwick_platform import LIVENESS_OPTIONS
 
-#: Bytes taken from the kernel at once.
+#: Maximum number of bytes per read from the kernel.
 RECEIVE_BYTES = 65536
 
 
 class TcpSocket:
-    """One connection; errors are OSError, the peer's end is an empty read."""
+    """One connection; errors are OSError, end of stream is an empty read."""
 
     def __init__(self, raw: socket.socket) -> None:
         self._raw = raw
         self._is_closed = False
-        #: Whether the loop watches for bytes, and whether it has seen some.
+        #: Whether the loop watches the socket, and whether it has become readable.
         self._is_watched = False
         self._has_bytes = asyncio.Event()
 
     @classmethod
     async def connect(cls, address: str) -> "TcpSocket":
-        """Connect to ``ip:port``; the caller bounds the time."""
+        """Connect to ``ip:port``; the caller limits the time."""
         host, _, port = address.rpartition(":")
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -53,7 +54,7 @@
                 await anyio.wait_writable(self._raw)
 
     async def receive(self) -> bytes:
-        """Return the next bytes; none once the peer has ended its side."""
+        """Return the next bytes; empty once the peer has closed its side."""
         while True:
             self._watch()
             await self._has_bytes.wait()
@@ -61,11 +62,11 @@
             try:
                 return self._raw.recv(RECEIVE_BYTES)
             except BlockingIOError:
-                # Woken for bytes that an earlier read has taken already.
+                # Woken for bytes that an earlier read has already consumed.
                 continue
 
     def unwatch(self) -> None:
-        """Watch for bytes no more, since nobody is going to ask for them."""
+        """Stop watching the socket, since no read is expected."""
         if self._is_watched:
             self._is_watched = False
             asyncio.get_running_loop().remove_reader(self._raw)
@@ -80,14 +81,14 @@
 
     def _note_bytes(self) -> None:
         if self._has_bytes.is_set():
-            # Nobody has come for them since the last turn: looking again and again
-            # would keep the loop busy.
+            # No read has consumed the bytes since the last loop iteration. Watching on
+            # would wake the loop in every iteration.
             self._is_watched = False
             asyncio.get_running_loop().remove_reader(self._raw)
         self._has_bytes.set()
 
     def is_readable(self) -> bool:
-        """Return whether there is a byte to read, an end or an error."""
+        """Return whether there is data to read, an end of stream or an error."""
         try:
             self._raw.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -97,7 +98,7 @@
         return True
 
     def close(self) -> None:
-        """Close the connection; what the peer still sends is lost."""
+        """Close the connection; data that the peer still sends is lost."""
         if not self._is_closed:
             self.unwatch()
             self._is_closed = True
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Answers whose upstreams fall silent are broken off, others are not."""
+"""Tests of stalled responses, and of halls that become unreachable."""
 
 import anyio
 from testtools import TestCase
@@ -28,14 +28,14 @@
 )
 
 
-class SilenceWatchTest(TestCase):
+class StallDetectorTest(TestCase):
     def setUp(self):
         super().setUp()
         self.now_seconds = 10.0
         self.detector = StallDetector(lambda: self.now_seconds)
 
     def read(self, *steps, timeout_seconds=1.0):
-        """Return whether reading was broken off; each step is waiting and time."""
+        """Return whether a read stalled; each step is a waiting flag and a duration."""
 
         async def main():
             with self.detector.monitor(timeout_seconds) as monitored:
@@ -50,28 +50,29 @@
 
         return anyio.run(main)
 
-    def test_a_piece_now_and_then_is_no_silence(self):
+    def test_regular_data_is_not_a_stall(self):
         self.assertFalse(self.read((True, 0.9), (True, 0.9), (True, 0.9)))
 
-    def test_silence_beyond_the_bound_breaks_off(self):
+    def test_a_wait_beyond_the_timeout_is_a_stall(self):
         self.assertTrue(self.read((True, 0.9), (True, 1.1)))
 
-    def test_a_caller_that_takes_nothing_is_not_the_upstreams_silence(self):
+    def test_a_slow_caller_is_not_a_stall(self):
         self.assertFalse(self.read((True, 0.9), (False, 30.0), (True, 0.9)))
 
-    def test_without_a_bound_nothing_is_broken_off(self):
+    def test_an_infinite_timeout_never_stalls(self):
         self.assertFalse(self.read((True, 1e6), timeout_seconds=float("inf")))
 
-    def test_what_has_ended_is_looked_at_no_more(self):
+    def test_finished_reads_are_not_checked(self):
         self.read((True, 0.1))
         self.assertEqual(set(), self.detector._active)
 
 
-class SilentHallTest(TestCase):
-    """A hall that is cut off is found out by two of its upstreams, not by each.
+class UnreachableHallTest(TestCase):
+    """A partitioned hall is detected after two of its upstreams stall.
 
-    A hall of twelve runners was cut off; two and a half seconds later a host of another
-    hall still sent requests there, 1.2 s until each was given up, and 247 failed.
+    Otherwise each of its upstreams has to stall first. After a hall of twelve runners
+    was cut off, a host of another hall still sent requests there 2.5 s later, each of
+    which took 1.2 s to fail, and 247 failed.
     """
 
     def setUp(self):
@@ -96,7 +97,7 @@
         return self.scheduler.handle(event, at)
 
     def send(self, at, count):
-        """Send requests; return what went to the far hall."""
+        """Send requests; return the dispatches to the far hall."""
         sent = []
         for number in range(count):
             workspace = self.view.workspaces["/w"]
@@ -111,25 +112,25 @@
         table = self.scheduler.upstreams
         return {item.name for item in table if table.is_open(item, at)}
 
-    def test_after_two_the_others_are_asked_first(self):
+    def test_after_two_stalls_the_other_upstreams_of_the_hall_are_avoided(self):
         first, second = self.send(1.0, 20)[:2]
         self.assertNotEqual(first.upstream, second.upstream)
         self.do(1.5, AttemptSilent(first.request_id, first.attempt_id))
         self.assertEqual(6, len(self.open_names(1.5)))
         self.do(1.6, AttemptSilent(second.request_id, second.attempt_id))
         self.assertEqual({"near-0"}, self.open_names(1.6))
-        # Those that answer are back at once.
+        # An upstream that responds is available again immediately.
         self.do(1.7, LoadReported("far-5", None))
         self.assertEqual({"near-0", "far-5"}, self.open_names(1.7))
 
-    def test_one_that_answers_speaks_for_its_hall(self):
+    def test_one_response_shows_that_the_hall_is_reachable(self):
         first, second, third = self.send(1.0, 20)[:3]
         self.do(1.3, AttemptDelivered(third.request_id, third.attempt_id))
         self.do(1.5, AttemptSilent(first.request_id, first.attempt_id))
         self.do(1.6, AttemptSilent(second.request_id, second.attempt_id))
         self.assertEqual(5, len(self.open_names(1.6)))
 
-    def test_upstreams_that_close_are_no_silence(self):
+    def test_closed_connections_are_not_stalls(self):
         first, second = self.send(1.0, 20)[:2]
         for sent in (first, second):
             failed = AttemptFailed(
--- a/tests/test_tcp_socket.py
+++ b/tests/test_tcp_socket.py
@@ -1,4 +1,4 @@
-"""Reading from a socket that the loop watches only while somebody asks for bytes."""
+"""Tests of a socket that the event loop watches only while a read is expected."""
 
 import asyncio
 import socket
@@ -26,11 +26,11 @@
     def is_watched(self, reader):
         return reader._raw.fileno() in asyncio.get_running_loop()._selector.get_map()
 
-    async def turn(self, count=5):
+    async def run_loop(self, count=5):
         for _ in range(count):
             await anyio.sleep(0)
 
-    def test_bytes_come_in_their_order_and_then_the_end(self):
+    def test_bytes_arrive_in_order_before_end_of_stream(self):
         async def scenario(reader, far):
             far.send(b"one")
             self.assertEqual(b"one", await reader.receive())
@@ -41,7 +41,7 @@
 
         self.run_with(scenario)
 
-    def test_it_stays_watched_between_two_reads(self):
+    def test_the_socket_stays_watched_between_two_reads(self):
         async def scenario(reader, far):
             far.send(b"one")
             await reader.receive()
@@ -49,18 +49,18 @@
 
         self.run_with(scenario)
 
-    def test_bytes_that_nobody_asks_for_keep_the_loop_busy_for_two_turns_only(self):
+    def test_unread_bytes_wake_the_loop_at_most_twice(self):
         async def scenario(reader, far):
             far.send(b"one")
             await reader.receive()
             far.send(b"two")
-            await self.turn()
+            await self.run_loop()
             self.assertFalse(self.is_watched(reader))
             self.assertEqual(b"two", await reader.receive())
 
         self.run_with(scenario)
 
-    def test_one_that_rests_is_not_watched_but_shows_news(self):
+    def test_an_idle_socket_is_not_watched_but_shows_new_bytes(self):
         async def scenario(reader, far):
             far.send(b"one")
             await reader.receive()
@@ -73,7 +73,7 @@
 
         self.run_with(scenario)
 
-    def test_a_read_that_is_broken_off_loses_nothing(self):
+    def test_a_cancelled_read_loses_no_bytes(self):
         async def scenario(reader, far):
             with anyio.move_on_after(0):
                 await reader.receive()
--- a/tests/test_upstream_signals.py
+++ b/tests/test_upstream_signals.py
@@ -1,4 +1,4 @@
-"""Announced shutdowns and requested pauses, read from the heads of answers."""
+"""Tests of shutdown announcements and requested pauses in response headers."""
 
 import anyio
 from testtools import TestCase
@@ -33,7 +33,7 @@
         }.items():
             self.assertEqual(seconds, self.pause(value))
 
-    def test_what_is_no_such_number_asks_for_no_pause(self):
+    def test_any_other_value_requests_no_pause(self):
         for value in (
             b"1e9",
             b"-1",
@@ -47,10 +47,10 @@
             self.assertIs(None, self.pause(value))
         self.assertIs(None, self.pause())
 
-    def test_the_longest_of_several_pauses_counts(self):
+    def test_the_longest_of_several_pauses_applies(self):
         self.assertEqual(3.0, self.pause(b"0.5", b"3", b"soon"))
 
-    def test_only_refusals_for_load_ask_for_a_pause(self):
+    def test_only_overload_statuses_request_a_pause(self):
         for status, seconds in {429: 3.0, 503: 3.0, 200: None, 301: None}.items():
             self.assertEqual(seconds, self.pause(b"3", status=status))
 
@@ -62,7 +62,7 @@
         both = signals((LEAVING, b"0"), (LEAVING, b"1"))
         self.assertTrue(both.is_leaving)
 
-    def test_the_adapter_reads_the_platform_s_headers(self):
+    def test_the_adapter_reads_the_headers_of_the_platform(self):
         head = AnswerHead(
             503, [(b"Server-Leaving", b"1"), (b"Retry-After", b"3")], is_framed=True
         )
@@ -70,11 +70,11 @@
         self.assertEqual(UpstreamSignals(True, 3.0), facts.signals)
 
 
-class AnswersTest(TestCase):
-    """Which answers count, read by a host from upstreams whose bytes are chosen."""
+class ResponsesTest(TestCase):
+    """Signals that a host accepts from scripted upstream responses."""
 
     def posted(self, extra, **options):
-        """Return the signals that a host takes from one answer."""
+        """Return the signals that a host accepts from one response."""
 
         async def main():
             with anyio.fail_after(STUCK_SECONDS):
@@ -97,12 +97,12 @@
 
         return anyio.run(main)
 
-    def test_an_answer_of_its_own_counts_with_any_status(self):
+    def test_a_response_counts_with_any_status(self):
         for status in (200, 404, 500):
             seen = self.posted(b"Rampwick-Leaving: 1", status=status)
             self.assertEqual([(True, None)], seen)
         self.assertEqual([(False, 3.0)], self.posted(b"Retry-After: 3", status=503))
 
-    def test_an_answer_to_another_request_does_not_count(self):
+    def test_a_response_to_another_request_is_ignored(self):
         crossed = self.posted(b"Rampwick-Leaving: 1", request_id="another")
         self.assertEqual([], crossed)
