--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -51,7 +51,7 @@
 ANNOUNCE_LEAD_SECONDS = 0.15
 
 #: Random wait before the first attempt to acquire the lease, so that hosts do not race.
-TAKE_JITTER_SECONDS = 0.4
+ACQUIRE_JITTER_SECONDS = 0.4
 
 #: Time for which weights loaded by an order of this host are published to peers.
 OBSERVED_WEIGHTS_SECONDS = 2.0
@@ -164,7 +164,7 @@
         """Acquire or renew the lease and run the rollout, until cancelled."""
         if not self._has_platform or not self._settings.is_candidate:
             return
-        await anyio.sleep(self._draw.uniform(0.0, TAKE_JITTER_SECONDS))
+        await anyio.sleep(self._draw.uniform(0.0, ACQUIRE_JITTER_SECONDS))
         async with anyio.create_task_group() as tasks:
             while not self._has_stopped:
                 self._wake = anyio.Event()
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -79,11 +79,11 @@
         """Apply events received from a peer; a relay also forwards them."""
         is_relay = self._table.is_relay(self._list_live())
         is_own_hall = self._table.is_in_group(link.peer.hall)
-        box = self._from_own_hall if is_own_hall else self._from_other_halls
+        buffer = self._from_own_hall if is_own_hall else self._from_other_halls
         for seen in cache_events(message):
             self._scheduler.post(seen)
             if is_relay:
-                box.add(seen)
+                buffer.add(seen)
                 self._has_update.set()
 
     def _flush(self) -> None:
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -71,9 +71,9 @@
         now_seconds = self._read_clock()
         if not self.table.is_large:
             return self._scheduler.live_names(now_seconds)
-        heard = self.neighbours().heard
+        alive = self.neighbours().heard
         relays = self.table.relays(self.table.own.hall, now_seconds)
-        names = heard | {member.name for member in relays}
+        names = alive | {member.name for member in relays}
         return {
             name for name in names if not self.table.is_passed_over(name, now_seconds)
         }
--- a/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
@@ -100,7 +100,7 @@
             await anyio.sleep(LOAD_UPDATE_SECONDS)
 
     def note_burst(self) -> None:
-        """Record that demand of a workspace near its limit grew much in this hall."""
+        """Record a burst: demand of a workspace near its limit grew sharply here."""
         self._is_own_burst = True
         self._has_burst.set()
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -54,8 +54,8 @@
 MAX_CONCURRENT_BACKLOGS = 4
 
 #: Maximum number of evictions from a backlog that are sent to peers. This covers the
-#: one or two seconds between the failure of a previous reader and the start of the
-#: next.
+#: one or two seconds between the failure of the previous reader and the start of this
+#: one.
 MAX_REPORTED_EVICTIONS = 100
 
 #: Wait after a failed poll.
@@ -269,7 +269,10 @@
         return len(events.events) >= FULL_RESPONSE_EVENTS_COUNT and state.since > before
 
     def _note_caught_up(self, source: CacheSource, state: ReadState) -> None:
-        """Send the combined backlog to peers when a cache is first caught up."""
+        """Mark a cache as caught up.
+
+        The first time, send the combined backlog to peers.
+        """
         self._caught_up.add(source)
         if state.backlog is None:
             return
@@ -305,11 +308,11 @@
     ) -> list[CacheChanges]:
         by_version: dict[int, dict[bytes, int]] = {}
         for event in events.events:
-            meaning = self._salts.find(event.salt)
-            if meaning is not None:
-                known = by_version.setdefault(meaning.weights_version, {})
+            context = self._salts.find(event.salt)
+            if context is not None:
+                known = by_version.setdefault(context.weights_version, {})
                 # The last of several changes of an entry applies.
-                known[part_key(meaning.scope, event.part)] = event.kept_tokens
+                known[part_key(context.scope, event.part)] = event.kept_tokens
         return [
             CacheChanges(_label(source, version), tuple(known), tuple(known.values()))
             for version, known in by_version.items()
@@ -317,7 +320,7 @@
 
 
 def _without_old_evictions(known: dict[bytes, int]) -> dict[bytes, int]:
-    """Return the cached entries and the latest evictions."""
+    """Drop all but the latest evictions."""
     evicted = [prefix for prefix, tokens in known.items() if not tokens]
     old = set(evicted[:-MAX_REPORTED_EVICTIONS])
     return {prefix: tokens for prefix, tokens in known.items() if prefix not in old}
@@ -331,8 +334,8 @@
 
 def _list_scopes(scheduler: Scheduler) -> set[Scope]:
     models = {upstream.model for upstream in scheduler.upstreams if upstream.model}
-    walls = {item.cache_wall for item in scheduler.admission.workspaces.values()}
-    return {Scope(wall, model) for wall in walls for model in models}
+    domains = {item.cache_wall for item in scheduler.admission.workspaces.values()}
+    return {Scope(domain, model) for domain in domains for model in models}
 
 
 def _list_versions(scheduler: Scheduler) -> set[int]:
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -23,8 +23,8 @@
 CHANGES = st.dictionaries(st.sampled_from([b"x" * 8, b"y" * 8]), st.integers(0, 9))
 
 
-def seen(upstream, kept, label="one/1", is_reset=False):
-    changes = CacheChanges(label, tuple(kept), tuple(kept.values()))
+def seen(upstream, tokens, label="one/1", is_reset=False):
+    changes = CacheChanges(label, tuple(tokens), tuple(tokens.values()))
     return CacheSeen(upstream, (changes,), is_reset)
 
 
@@ -33,7 +33,7 @@
     for event in events:
         if event.is_reset:
             known = {
-                key: kept for key, kept in known.items() if key[0] != event.upstream
+                key: value for key, value in known.items() if key[0] != event.upstream
             }
         for change in event.changes:
             for prefix, tokens in zip(change.prefixes, change.tokens, strict=True):
@@ -44,19 +44,19 @@
 class BatchTest(TestCase):
     @given(st.lists(st.tuples(NAMES, CHANGES, st.booleans()), max_size=12))
     def test_a_batch_is_equivalent_to_the_events_it_combines(self, steps):
-        box = CacheBox()
-        events = [seen(name, kept, is_reset=reset) for name, kept, reset in steps]
+        buffer = CacheBox()
+        events = [seen(name, tokens, is_reset=reset) for name, tokens, reset in steps]
         for event in events:
-            box.add(event)
+            buffer.add(event)
         before = {("a", "one/1", b"x" * 8): 100, ("b", "one/1", b"y" * 8): 100}
-        batch = list(cache_events(to_cache_event_update(box.take())))
+        batch = list(cache_events(to_cache_event_update(buffer.take())))
         self.assertEqual(apply_to(dict(before), events), apply_to(dict(before), batch))
 
     def test_events_are_returned_once(self):
-        box = CacheBox()
-        box.add(seen("a", {b"x" * 8: 5}))
-        self.assertEqual(1, len(box.take()))
-        self.assertEqual([], box.take())
+        buffer = CacheBox()
+        buffer.add(seen("a", {b"x" * 8: 5}))
+        self.assertEqual(1, len(buffer.take()))
+        self.assertEqual([], buffer.take())
 
 
 @attrs.define
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -75,9 +75,9 @@
     @given(st.binary(max_size=300))
     def test_arbitrary_bytes_decode_or_raise_message_error(self, data):
         try:
-            decode_message(data, peer="stranger")
+            decode_message(data, peer="unknown peer")
         except MessageError as error:
-            self.assertEqual("stranger", error.peer)
+            self.assertEqual("unknown peer", error.peer)
 
     @settings(derandomize=True, deadline=None, max_examples=500)
     @given(SUMMARIES, st.data())
--- a/tests/test_tcp_socket.py
+++ b/tests/test_tcp_socket.py
@@ -12,12 +12,12 @@
 class TcpSocketTest(TestCase):
     def run_with(self, scenario):
         async def main():
-            near, far = socket.socketpair()
-            near.setblocking(False)
-            with far:
-                reader = TcpSocket(near)
+            local, remote = socket.socketpair()
+            local.setblocking(False)
+            with remote:
+                reader = TcpSocket(local)
                 try:
-                    await scenario(reader, far)
+                    await scenario(reader, remote)
                 finally:
                     reader.close()
 
@@ -31,29 +31,29 @@
             await anyio.sleep(0)
 
     def test_bytes_arrive_in_order_before_end_of_stream(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+        async def scenario(reader, remote):
+            remote.send(b"one")
             self.assertEqual(b"one", await reader.receive())
-            far.send(b"two")
-            far.shutdown(socket.SHUT_WR)
+            remote.send(b"two")
+            remote.shutdown(socket.SHUT_WR)
             self.assertEqual(b"two", await reader.receive())
             self.assertEqual(b"", await reader.receive())
 
         self.run_with(scenario)
 
     def test_the_socket_stays_watched_between_two_reads(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+        async def scenario(reader, remote):
+            remote.send(b"one")
             await reader.receive()
             self.assertTrue(self.is_watched(reader))
 
         self.run_with(scenario)
 
     def test_unread_bytes_wake_the_loop_at_most_twice(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+        async def scenario(reader, remote):
+            remote.send(b"one")
             await reader.receive()
-            far.send(b"two")
+            remote.send(b"two")
             await self.run_loop()
             self.assertFalse(self.is_watched(reader))
             self.assertEqual(b"two", await reader.receive())
@@ -61,23 +61,23 @@
         self.run_with(scenario)
 
     def test_an_idle_socket_is_not_watched_but_shows_new_bytes(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+        async def scenario(reader, remote):
+            remote.send(b"one")
             await reader.receive()
             reader.unwatch()
             self.assertFalse(self.is_watched(reader))
             self.assertFalse(reader.is_readable())
-            far.send(b"late")
+            remote.send(b"late")
             self.assertTrue(reader.is_readable())
             self.assertEqual(b"late", await reader.receive())
 
         self.run_with(scenario)
 
     def test_a_cancelled_read_loses_no_bytes(self):
-        async def scenario(reader, far):
+        async def scenario(reader, remote):
             with anyio.move_on_after(0):
                 await reader.receive()
-            far.send(b"one")
+            remote.send(b"one")
             self.assertEqual(b"one", await reader.receive())
 
         self.run_with(scenario)
