--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -96,7 +96,7 @@
         return is_watcher(self._settings.host.name, self._list_peers().heard)
 
     async def _load(self, task: ConfigurationTask) -> None:
-        began_seconds = self._read_clock()
+        started_seconds = self._read_clock()
         follower = task.follower
         base = follower.view.tree if follower.revision else None
         stored = await self._store.load(base)
@@ -117,7 +117,7 @@
         if was_held:
             _log_restored(stored.tree)
         is_new = follower.offer_tree(offer.tree, "platform")
-        task.confirm(began_seconds)
+        task.confirm(started_seconds)
         if is_new:
             task.announce()
 
--- a/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
@@ -56,7 +56,7 @@
         self._read_clock = read_clock
         link = table.own.link_megabits_per_second
         self._is_weak = link < STRONG_LINK_MEGABITS_PER_SECOND
-        self._began_seconds = read_clock()
+        self._started_seconds = read_clock()
 
     def is_reader(self) -> bool:
         """Return whether this host reads the platform for its group."""
@@ -79,11 +79,11 @@
 
     def wants_configuration(self) -> bool:
         """Return whether this host must read the configuration."""
-        return self._wants(self._configuration.age_seconds(self._read_clock()))
+        return self._needs_read(self._configuration.age_seconds(self._read_clock()))
 
     def wants_hosts(self) -> bool:
         """Return whether this host must read the host list."""
-        return self._wants(self._hosts.age_seconds(self._read_clock()))
+        return self._needs_read(self._hosts.age_seconds(self._read_clock()))
 
     def wants_targets(self) -> bool:
         """Return whether this host must read the weights targets.
@@ -91,9 +91,9 @@
         The rollout controller reads them regardless of its rank: a host may have
         acquired the lease before it discovered the other hosts.
         """
-        return self._is_rollout_controller() or self._wants(0.0)
+        return self._is_rollout_controller() or self._needs_read(0.0)
 
-    def _wants(self, age_seconds: float) -> bool:
+    def _needs_read(self, age_seconds: float) -> bool:
         if not self._is_past_grace():
             return False
         if self.is_reader():
@@ -104,7 +104,7 @@
     def _is_past_grace(self) -> bool:
         if not self._is_weak:
             return True
-        age_seconds = self._read_clock() - self._began_seconds
+        age_seconds = self._read_clock() - self._started_seconds
         return age_seconds >= self._grace_seconds()
 
     def _grace_seconds(self) -> float:
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -175,7 +175,7 @@
                         is_busy = await self._run_plan(tasks)
                 except (PlatformError, DataError) as error:
                     # The lease expires without renewal; no order is sent without it.
-                    log.problem("rollout round failed", error=str(error))
+                    log.problem("rollout step failed", error=str(error))
                 with move_on_at_grid(self._pause_seconds(is_busy)):
                     await self._wake.wait()
 
@@ -247,7 +247,7 @@
         self.notify_peers()
 
     async def _probe(self, entry: HostEntry) -> None:
-        began_seconds = self._read_clock()
+        started_seconds = self._read_clock()
         try:
             report = await self._control.probe(entry)
         except AttemptError as error:
@@ -260,14 +260,14 @@
         if report is None:
             return
         was_pending = entry.name in self._rollout.loads()
-        self._rollout.note_report(entry.name, report, began_seconds)
+        self._rollout.note_report(entry.name, report, started_seconds)
         self._scheduler.post(LoadReported(entry.name, report))
         if was_pending and entry.name not in self._rollout.loads():
             log.info(
                 "load finished",
                 runner=entry.name,
                 weights_version=report.weights_version,
-                report_age_seconds=round(self._read_clock() - began_seconds, 3),
+                report_age_seconds=round(self._read_clock() - started_seconds, 3),
             )
             self._note_observed(entry.name, report.incarnation, report.weights_version)
             self.notify_peers()
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -117,13 +117,13 @@
         is_after_failure = False
         while True:
             if self._is_wanted():
-                began_seconds = self._read_clock()
+                started_seconds = self._read_clock()
                 try:
                     targets = await self._store.load()
                     _post_targets(
                         self._scheduler,
                         targets,
-                        began_seconds,
+                        started_seconds,
                         is_after_failure,
                         self._wake,
                     )
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -147,7 +147,7 @@
         #: when the role was last checked.
         self._last_role = (False, False)
         self._last_live_peers = NeighboursSeen(Neighbours(), is_leaving=False)
-        self._began_seconds = read_clock()
+        self._started_seconds = read_clock()
         #: Seed addresses from the settings.
         self.seeds = frozenset(settings.peers.seeds)
 
@@ -183,7 +183,7 @@
 
     @property
     def _is_starting(self) -> bool:
-        return self._read_clock() - self._began_seconds < SEEDING_SECONDS
+        return self._read_clock() - self._started_seconds < SEEDING_SECONDS
 
     def _on_unreachable(self, name: str) -> None:
         self.table.note_unreachable(name, self._read_clock())
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -257,7 +257,7 @@
         try:
             await self._run_link(stream)
         except PeerError as error:
-            log.info("accepted peer connection failed", error=str(error))
+            log.info("accepted peer connection closed", error=str(error))
         finally:
             self._accepted_count -= 1
 
@@ -272,8 +272,8 @@
             self._links.append(link)
             # Any received bytes count as activity, not only whole messages: a long
             # message takes seconds over a slow link.
-            stream.note_bytes = lambda: link.mark_received(self._read_clock())
-            stream.note_sent = lambda: link.mark_sent(self._read_clock())
+            stream.on_bytes = lambda: link.mark_received(self._read_clock())
+            stream.on_sent = lambda: link.mark_sent(self._read_clock())
             log.info("peer connected", peer=peer.name, hall=peer.hall)
             try:
                 with link.scope:
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -47,7 +47,7 @@
     ) -> None:
         self._scheduler = scheduler
         self._read_clock = read_clock
-        self._began_seconds = read_clock()
+        self._started_seconds = read_clock()
         self.table = MemberTable(own)
         #: Tracks the hall relay's reports about other hosts, in a large fleet.
         self.listener = RelayListener(own)
@@ -110,7 +110,7 @@
         slow links.
         """
         peers = self.neighbours()
-        age_seconds = self._read_clock() - self._began_seconds
+        age_seconds = self._read_clock() - self._started_seconds
         if (
             peers.halls
             or not self.table.is_large
--- a/packages/rampwick-router/src/rampwick_router/peers/_stream.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_stream.py
@@ -63,11 +63,11 @@
         self,
         max_message_bytes: int,
         metrics: Metrics,
-        note_connected: "Callable[[PeerStream], object]" = _ignore_stream,
+        on_connected: "Callable[[PeerStream], object]" = _ignore_stream,
     ) -> None:
         self._max_message_bytes = max_message_bytes
         self._metrics = metrics
-        self._note_connected = note_connected
+        self._on_connected = on_connected
         self._transport: asyncio.Transport | None = None
         self._received = bytearray()
         self._has_update = anyio.Event()
@@ -76,8 +76,8 @@
         self._failure: Exception | None = None
         self.peer = ""
         #: Called when bytes are received, and when a message is sent.
-        self.note_bytes: Callable[[], None] = _ignore
-        self.note_sent: Callable[[], None] = _ignore
+        self.on_bytes: Callable[[], None] = _ignore
+        self.on_sent: Callable[[], None] = _ignore
         # The hall of a peer is unknown until the handshake.
         self._count_as("across")
 
@@ -105,14 +105,14 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport of the new connection."""
         self._transport = cast(asyncio.Transport, transport)
-        self._note_connected(self)
+        self._on_connected(self)
 
     def data_received(self, data: bytes) -> None:
         """Deliver all complete messages."""
         if self._failure is not None:
             return
         self._received += data
-        self.note_bytes()
+        self.on_bytes()
         if self._on_message is None:
             if len(self._received) > MAX_UNREAD_BYTES:
                 self._reading().pause_reading()
@@ -150,7 +150,7 @@
         transport.write(data)
         self._sent_bytes.inc(len(data))
         self._sent_messages.inc()
-        self.note_sent()
+        self.on_sent()
         return True
 
     async def send(self, message: Any) -> None:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -147,7 +147,7 @@
         self._list_peers = list_peers
         self._scopes: dict[CacheSource, anyio.CancelScope] = {}
         self._backlog_slots = anyio.CapacityLimiter(MAX_CONCURRENT_BACKLOGS)
-        self._began_seconds: float | None = None
+        self._started_seconds: float | None = None
         #: Whether any cache is known, read by this host or by another.
         self._has_caches = False
         #: Caches whose backlog has been read completely, or that did not respond.
@@ -173,9 +173,9 @@
 
     def _age_seconds(self, now_seconds: float) -> float:
         """Return the time since this host first scanned for caches."""
-        if self._began_seconds is None:
-            self._began_seconds = now_seconds
-        return now_seconds - self._began_seconds
+        if self._started_seconds is None:
+            self._started_seconds = now_seconds
+        return now_seconds - self._started_seconds
 
     def _pause_seconds(self, scheduler: Scheduler, now_seconds: float) -> float:
         """Return the time until the next scan."""
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
@@ -77,9 +77,9 @@
             raise OSError("the connection is closed")
         if not self._is_watched:
             self._is_watched = True
-            asyncio.get_running_loop().add_reader(self._raw, self._note_bytes)
+            asyncio.get_running_loop().add_reader(self._raw, self._on_readable)
 
-    def _note_bytes(self) -> None:
+    def _on_readable(self) -> None:
         if self._has_bytes.is_set():
             # No read has consumed the bytes since the last loop iteration. Watching on
             # would wake the loop in every iteration.
