--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -193,14 +193,20 @@
         )
         reader = integration.reader
         self.configuration.source = WatchedTreeSource(
-            api, reader, settings, role.wants_configuration, read_clock, draw
+            api, reader, settings, role.must_read_configuration, read_clock, draw
         )
         self.configuration.query_peer = self.gossip.freshness.query_reader
         self.hosts.source = WatchedHostSource(
-            api, reader, role.wants_hosts, read_clock, draw
+            api, reader, role.must_read_hosts, read_clock, draw
         )
         self.targets = WatchedTargetSource(
-            api, reader, scheduler, steward.wake, role.wants_targets, read_clock, draw
+            api,
+            reader,
+            scheduler,
+            steward.wake,
+            role.must_read_targets,
+            read_clock,
+            draw,
         )
         self.directory = PeerDirectory(
             api, self.gossip.roles.table.own, role.is_disconnected, role.is_reader, draw
--- a/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
@@ -77,15 +77,15 @@
             return False
         return self._table.rank(self._list_serving()) < CANDIDATES_COUNT
 
-    def wants_configuration(self) -> bool:
+    def must_read_configuration(self) -> bool:
         """Return whether this host must read the configuration."""
         return self._needs_read(self._configuration.age_seconds(self._read_clock()))
 
-    def wants_hosts(self) -> bool:
+    def must_read_hosts(self) -> bool:
         """Return whether this host must read the host list."""
         return self._needs_read(self._hosts.age_seconds(self._read_clock()))
 
-    def wants_targets(self) -> bool:
+    def must_read_targets(self) -> bool:
         """Return whether this host must read the weights targets.
 
         The rollout controller reads them regardless of its rank: a host may have
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -124,15 +124,15 @@
 
     def test_a_host_with_current_data_from_peers_reads_nothing(self):
         role = self.role(is_rollout_controller=False)
-        self.assertFalse(role.wants_targets())
-        self.assertFalse(role.wants_configuration())
+        self.assertFalse(role.must_read_targets())
+        self.assertFalse(role.must_read_configuration())
 
     def test_the_rollout_controller_reads_targets_regardless_of_rank(self):
         # Without faults, the first host to start acquired the lease without being a
         # reader, and received newer weights only after 18 s.
         role = self.role(is_rollout_controller=True)
-        self.assertTrue(role.wants_targets())
-        self.assertFalse(role.wants_configuration())
+        self.assertTrue(role.must_read_targets())
+        self.assertFalse(role.must_read_configuration())
 
 
 class SlowLinksTest(TestCase):
@@ -168,7 +168,7 @@
                 host.read_clock,
             )
             host.now_seconds += age_seconds
-            count += role.wants_configuration()
+            count += role.must_read_configuration()
         return count
 
     def test_one_host_of_each_hall_reads_first(self):
