--- a/tests/test_first_moments.py
+++ b/tests/test_first_moments.py
@@ -36,11 +36,11 @@
 
 
 class SimultaneousStartTest(TestCase):
-    """After 90 hosts were killed and restarted, halls received no updates for 3 s.
+    """Hosts that restart together divide the reading of caches.
 
-    Each host without live peers considered itself alone, requested the backlog of all
-    48 caches and saturated its link of 5 Mbit/s, so that it received nothing from
-    peers.
+    After 90 hosts were killed and restarted, halls received no updates for 3 s: each
+    host without live peers considered itself alone, requested the backlog of all 48
+    caches and saturated its link of 5 Mbit/s, so that it received nothing from peers.
     """
 
     def roles(self, member, clock):
@@ -84,7 +84,7 @@
                 MEMBERS[0], scheduler, None, None, SaltBook(""), None, None
             )
 
-            async def poll(source, reading):
+            async def poll(source, state):
                 open_count["now"] += 1
                 open_count["most"] = max(open_count["most"], open_count["now"])
                 await anyio.sleep(0)
