--- a/packages/rampwick-router/src/rampwick_router/control/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/control/__init__.py
@@ -1,26 +1,27 @@
-"""What keeps configuration and weights: sources, ages, the lease, orders.
+"""Configuration, host lists, weights targets and the rollout controller.
 
-It owns what this host believes the platform says, and the steward's duty while this
-host holds the lease. Watches and peers feed it; orders go out through
-:mod:`~rampwick_router.upstream`. It knows nothing of callers, nor of links to peers.
+This package owns this host's view of the platform's data, and runs the rollout
+controller while this host holds the lease. Watches and peers feed it; orders are sent
+through :mod:`~rampwick_router.upstream`. It depends neither on the code that serves
+callers nor on links to peers.
 """
 
 from ._configuration import ConfigurationTask as ConfigurationTask
 from ._configuration_sources import (
-    ReadsConfiguration as ReadsConfiguration,
+    ConfigurationReader as ConfigurationReader,
     TreeStoreSource as TreeStoreSource,
     WatchedTreeSource as WatchedTreeSource,
 )
 from ._host_lists import HostListTask as HostListTask
 from ._host_sources import (
-    PolledHosts as PolledHosts,
-    ReadsUpstreams as ReadsUpstreams,
-    WatchedHosts as WatchedHosts,
+    PolledHostSource as PolledHostSource,
+    UpstreamReader as UpstreamReader,
+    WatchedHostSource as WatchedHostSource,
 )
-from ._reading_role import ReadingRole as ReadingRole
-from ._steward import StewardTask as StewardTask
+from ._reader_role import ReaderRole as ReaderRole
+from ._rollout_controller import RolloutController as RolloutController
 from ._target_sources import (
-    PolledTargets as PolledTargets,
-    ReadsTargets as ReadsTargets,
-    WatchedTargets as WatchedTargets,
+    PolledTargetSource as PolledTargetSource,
+    TargetReader as TargetReader,
+    WatchedTargetSource as WatchedTargetSource,
 )
--- a/packages/rampwick-router/src/rampwick_router/control/_steward.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -1,4 +1,4 @@
-"""The task that gives orders to runners while this host holds the region's lease."""
+"""Rollout of weights to runners, while this host holds the region's lease."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -38,30 +38,30 @@
 from .._logs import PartLogger
 from .._scheduler_task import SchedulerTask
 from ..upstream import CONTROL_TIMEOUT_SECONDS, UpstreamControl
-from ._lease_keeper import LeaseKeeper
+from ._lease_manager import LeaseManager
 
-#: Time between two looks at the plan while there is something to do, while there is
-#: not, and between two looks at the lease of a host that has no part in it.
+#: Intervals of the control loop: while there is work, while there is none, and on a
+#: host that is not a candidate.
 BUSY_INTERVAL_SECONDS = 0.05
 IDLE_INTERVAL_SECONDS = 0.25
-BYSTANDER_INTERVAL_SECONDS = 1.0
+INACTIVE_INTERVAL_SECONDS = 1.0
 
-#: Time between announcing a load to peers and ordering it: the update takes a few trips
-#: between halls, and prompts that were sent before have begun by then.
+#: Time between announcing a load to peers and ordering it: the update takes a few round
+#: trips between halls, and prompts sent before it arrived have started by then.
 ANNOUNCE_LEAD_SECONDS = 0.15
 
-#: Random wait before a lease that is free is tried for, so that hosts don't race.
-TAKE_JITTER_SECONDS = 0.4
+#: Random wait before the first attempt to acquire the lease, so that hosts do not race.
+ACQUIRE_JITTER_SECONDS = 0.4
 
-#: Time for which peers are told of weights that an own load brought.
-TOLD_SECONDS = 2.0
+#: Time for which weights loaded by an order of this host are published to peers.
+OBSERVED_WEIGHTS_SECONDS = 2.0
 
 log = PartLogger("steward")
 
 
 @attrs.frozen(repr=False)
-class LoadUnderWay(Shown):
-    """A load that this host has ordered, as peers are told."""
+class PendingLoad(Shown):
+    """A load that this host has ordered, as published to peers."""
 
     upstream: str
     incarnation: str
@@ -70,8 +70,8 @@
 
 
 @attrs.frozen(repr=False)
-class WeightsShown(Shown):
-    """Weights that a runner was seen to have after an own order."""
+class ObservedWeights(Shown):
+    """Weights that a runner reported after an order of this host."""
 
     upstream: str
     incarnation: str
@@ -79,11 +79,12 @@
     seen_at_seconds: float
 
 
-class StewardTask:
-    """Competes for the lease and, holding it, brings weights to their targets.
+class RolloutController:
+    """Competes for the lease; the holder brings runners to their target weights.
 
-    Every order is sent only if the lease outlives the order's own time-out, so that
-    two holders never order at once even where runners don't check fencing numbers.
+    An order is sent only if the lease outlives the order's own timeout, so that two
+    holders never send orders at the same time, even if runners do not check fencing
+    numbers.
     """
 
     def __init__(
@@ -100,7 +101,7 @@
         self._control = control
         self._read_clock = read_clock
         self._draw = draw
-        self._keeper = LeaseKeeper(
+        self._lease_manager = LeaseManager(
             LeaseStore(api, f"leases/steward-{settings.host.region}") if api else None,
             LeaseWatcher(
                 settings.host.name,
@@ -115,55 +116,55 @@
             settings.steward.max_loads_count, settings.steward.max_loads_ratio
         )
         self._has_stopped = False
-        self._shown: dict[str, WeightsShown] = {}
+        self._observed: dict[str, ObservedWeights] = {}
         self._wake = anyio.Event()
-        #: Whether this host may take a lease that it does not hold.
+        #: Whether this host may acquire a lease that it does not hold.
         self.is_candidate: Callable[[], bool] = lambda: True
-        #: Called when peers shall hear of a load at once.
-        self.notify_peers: Callable[[], None] = _tell_nobody
+        #: Called to notify peers of a load immediately.
+        self.notify_peers: Callable[[], None] = _notify_nobody
 
     @property
     def lease(self) -> LeaseWatcher:
-        """What this host knows of the lease."""
-        return self._keeper.lease
+        """The lease as this host sees it."""
+        return self._lease_manager.lease
 
     @property
     def is_holder(self) -> bool:
         """Whether this host holds the lease now."""
-        return self._keeper.is_held
+        return self._lease_manager.is_held
 
     def wake(self) -> None:
-        """Have the plan looked at now, since there may be something to do."""
+        """Start a planning round now."""
         self._wake.set()
 
-    def loads(self) -> list[LoadUnderWay]:
-        """Return the loads that this host has ordered and that are not over."""
+    def loads(self) -> list[PendingLoad]:
+        """Return the loads ordered by this host that are not finished."""
         found = []
         for name, (version, until_seconds) in self._rollout.loads().items():
-            found.append(LoadUnderWay(name, "", version, until_seconds))
+            found.append(PendingLoad(name, "", version, until_seconds))
         return found
 
-    def weights_shown(self) -> list[WeightsShown]:
-        """Return the weights that own loads have brought of late."""
-        oldest = self._read_clock() - TOLD_SECONDS
-        self._shown = {
-            name: shown
-            for name, shown in self._shown.items()
-            if shown.seen_at_seconds > oldest
+    def observed_weights(self) -> list[ObservedWeights]:
+        """Return the weights recently loaded by orders of this host."""
+        oldest = self._read_clock() - OBSERVED_WEIGHTS_SECONDS
+        self._observed = {
+            name: observed
+            for name, observed in self._observed.items()
+            if observed.seen_at_seconds > oldest
         }
-        return list(self._shown.values())
+        return list(self._observed.values())
 
     def outdated_count(self) -> int:
-        """Return the number of runners with older weights than are wanted here."""
+        """Return the number of runners with weights older than their target."""
         targets = self._scheduler.targets()
         runners = self._scheduler.look(_read_runners)
         return count_outdated(runners, targets)
 
     async def run(self) -> None:
-        """Take or renew the lease and plan, until cancelled."""
+        """Acquire or renew the lease and run the rollout, until cancelled."""
         if not self._has_platform or not self._settings.is_candidate:
             return
-        await anyio.sleep(self._draw.uniform(0.0, TAKE_JITTER_SECONDS))
+        await anyio.sleep(self._draw.uniform(0.0, ACQUIRE_JITTER_SECONDS))
         async with anyio.create_task_group() as tasks:
             while not self._has_stopped:
                 self._wake = anyio.Event()
@@ -171,10 +172,10 @@
                 try:
                     await self._keep_lease()
                     if self.is_holder:
-                        is_busy = await self._look(tasks)
+                        is_busy = await self._run_plan(tasks)
                 except (PlatformError, DataError) as error:
-                    # The lease runs out by itself; nothing is ordered without it.
-                    log.problem("no orders now", error=str(error))
+                    # The lease expires without renewal; no order is sent without it.
+                    log.problem("rollout step failed", error=str(error))
                 with move_on_at_grid(self._pause_seconds(is_busy)):
                     await self._wake.wait()
 
@@ -183,35 +184,35 @@
             return BUSY_INTERVAL_SECONDS
         if self.is_holder or self.is_candidate():
             return IDLE_INTERVAL_SECONDS
-        return BYSTANDER_INTERVAL_SECONDS
+        return INACTIVE_INTERVAL_SECONDS
 
-    async def give_up(self) -> None:
-        """Let another host take the lease at once, as this one stops."""
+    async def retire(self) -> None:
+        """Release the lease to another host, as this host shuts down."""
         self._has_stopped = True
-        await self._keeper.retire()
+        await self._lease_manager.retire()
 
     async def _keep_lease(self) -> None:
         try:
-            await self._keeper.keep(self.is_candidate())
+            await self._lease_manager.keep(self.is_candidate())
         finally:
-            if self._keeper.note_holding():
-                # What the holder before ordered shows in the runners' reports.
+            if self._lease_manager.update_held():
+                # Orders of the previous holder show in the runners' reports.
                 self._rollout.reset()
 
     def _targets_age_seconds(self) -> float:
-        """Return how old what this host knows of the targets is, if that matters."""
+        """Return the age of the targets, or zero while a load is in progress."""
         if self._is_rolling_out():
-            # What it knows is enough to go on with.
+            # The targets known now suffice to complete the load.
             return 0.0
         return self._scheduler.targets_age_seconds()
 
     def _is_rolling_out(self) -> bool:
-        """Return whether a load is under way that may yet end as expected."""
+        """Return whether a load is in progress that may still complete as expected."""
         now_seconds = self._read_clock()
         return any(load.until_seconds > now_seconds for load in self.loads())
 
-    async def _look(self, tasks: TaskGroup) -> bool:
-        """Carry out what is to be done now; return whether more will follow."""
+    async def _run_plan(self, tasks: TaskGroup) -> bool:
+        """Perform the steps that are due; return whether more will follow."""
         targets = self._scheduler.targets()
         if not targets:
             return False
@@ -225,19 +226,19 @@
             if entry is None:
                 continue
             if isinstance(step, AskReport):
-                tasks.start_soon(self._ask, entry)
+                tasks.start_soon(self._probe, entry)
             else:
                 planned.append((entry, step))
         if planned:
             self._announce(planned, now_seconds)
             for entry, step in planned:
-                tasks.start_soon(self._order, entry, step)
+                tasks.start_soon(self._run_order, entry, step)
         return bool(steps or self._rollout.loads())
 
     def _announce(
         self, planned: Sequence[tuple[HostEntry, PlannedOrder]], now_seconds: float
     ) -> None:
-        """Have all hosts stop sending to runners that are about to be told to load."""
+        """Make all hosts stop sending to runners that are about to receive an order."""
         for entry, step in planned:
             version = step.order.weights_version
             self._rollout.note_sent(entry.name, version, now_seconds)
@@ -245,52 +246,56 @@
             self._scheduler.post(LoadOrdered(entry.name, "", version, until_seconds))
         self.notify_peers()
 
-    async def _ask(self, entry: HostEntry) -> None:
-        began_seconds = self._read_clock()
+    async def _probe(self, entry: HostEntry) -> None:
+        started_seconds = self._read_clock()
         try:
             report = await self._control.probe(entry)
         except AttemptError as error:
-            log.problem("runner does not report", runner=entry.name, error=str(error))
+            log.problem(
+                "runner report unavailable", runner=entry.name, error=str(error)
+            )
             self._rollout.note_silence(entry.name, self._read_clock())
             self.wake()
             return
         if report is None:
             return
         was_pending = entry.name in self._rollout.loads()
-        self._rollout.note_report(entry.name, report, began_seconds)
+        self._rollout.note_report(entry.name, report, started_seconds)
         self._scheduler.post(LoadReported(entry.name, report))
         if was_pending and entry.name not in self._rollout.loads():
             log.info(
-                "load over",
+                "load finished",
                 runner=entry.name,
                 weights_version=report.weights_version,
-                report_age_seconds=round(self._read_clock() - began_seconds, 3),
+                report_age_seconds=round(self._read_clock() - started_seconds, 3),
             )
-            self._note_shown(entry.name, report.incarnation, report.weights_version)
+            self._note_observed(entry.name, report.incarnation, report.weights_version)
             self.notify_peers()
         self.wake()
 
-    def _note_shown(self, runner: str, incarnation: str, version: int) -> None:
+    def _note_observed(self, runner: str, incarnation: str, version: int) -> None:
         now_seconds = self._read_clock()
-        self._shown[runner] = WeightsShown(runner, incarnation, version, now_seconds)
+        self._observed[runner] = ObservedWeights(
+            runner, incarnation, version, now_seconds
+        )
         self._scheduler.post(WeightsSeen(runner, incarnation, version))
 
-    async def _order(self, entry: HostEntry, planned: PlannedOrder) -> None:
+    async def _run_order(self, entry: HostEntry, planned: PlannedOrder) -> None:
         version = planned.order.weights_version
         await anyio.sleep(ANNOUNCE_LEAD_SECONDS)
-        result = await self._send(entry, planned)
+        result = await self._send_order(entry, planned)
         self._rollout.note_result(entry.name, result)
         if result not in (OrderResult.TAKEN, OrderResult.LOST):
             self._scheduler.post(LoadOrdered(entry.name, "", version, 0.0))
         self.wake()
 
-    async def _send(self, entry: HostEntry, planned: PlannedOrder) -> OrderResult:
-        number = await self._keeper.fencing_number(CONTROL_TIMEOUT_SECONDS)
+    async def _send_order(self, entry: HostEntry, planned: PlannedOrder) -> OrderResult:
+        number = await self._lease_manager.fencing_number(CONTROL_TIMEOUT_SECONDS)
         if number is None:
-            log.problem("lease too short for an order", runner=entry.name)
+            log.problem("order not sent, lease expires too soon", runner=entry.name)
             return OrderResult.REFUSED
         order = attrs.evolve(planned.order, fencing_number=number)
-        self._keeper.note_order(CONTROL_TIMEOUT_SECONDS)
+        self._lease_manager.note_order(CONTROL_TIMEOUT_SECONDS)
         result = await self._control.send_order(entry, order)
         log.info(
             "order sent",
@@ -310,7 +315,7 @@
     return max(settings.lease_seconds, apart_seconds)
 
 
-def _tell_nobody() -> None:
+def _notify_nobody() -> None:
     return
 
 
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -1,4 +1,4 @@
-"""Where the weights that runners shall have are read."""
+"""Sources of the weights targets."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -20,38 +20,39 @@
 from .._logs import PartLogger
 from .._scheduler_task import SchedulerTask
 
-#: Longest wait of one watch on the targets. A watch whose connection has died hears of
-#: no version until its wait is over: with 20 s the steward learned of one 16.1 s late,
-#: and prompts began on weights replaced more than 10 s before, on four days of four.
+#: Maximum wait of one watch on the targets. A watch whose connection has died receives
+#: no version until its wait ends. With 20 s the rollout controller received a version
+#: 16.1 s late, and prompts started on weights replaced more than 10 s earlier, on four
+#: test days out of four.
 TARGETS_WAIT_SECONDS = 3.0
 
-#: Time between two reads of the targets by the host that gives orders.
+#: Time between two reads of the targets by the rollout controller.
 TARGETS_INTERVAL_SECONDS = 1.0
 
-#: Who told this host of targets, as its log says it.
-PLATFORM_SOURCE = "the platform says so"
+#: Source of targets read by this host, for logs.
+PLATFORM_SOURCE = "read from the platform"
 
 log = PartLogger("steward")
 
 
-class ReadsTargets(Protocol):
-    """How the weights that runners shall have are read from the store."""
+class TargetReader(Protocol):
+    """Reads weights targets from the store."""
 
     @property
     def targets_prefix(self) -> str:
-        """Prefix under which they are named."""
+        """Key prefix of the targets."""
 
     def read_target(self, stored: StoredObject) -> WeightsTarget:
         """Return one target, or raise a DataError."""
 
 
-class WatchedTargets:
-    """Targets that others name in the store, one object a model."""
+class WatchedTargetSource:
+    """Targets that another system sets in the store, one object per model."""
 
     def __init__(
         self,
         api: ObjectApi,
-        reader: ReadsTargets,
+        reader: TargetReader,
         scheduler: SchedulerTask,
         wake: Callable[[], None],
         is_wanted: Callable[[], bool],
@@ -66,7 +67,7 @@
             reader.targets_prefix,
             wait_seconds=TARGETS_WAIT_SECONDS,
             is_wanted=is_wanted,
-            take_state=self._take_state,
+            take_state=self._apply_state,
             take_problem=_log_problem,
             read_clock=read_clock,
             draw=draw,
@@ -76,13 +77,15 @@
         """Watch until cancelled."""
         await self._watcher.run()
 
-    def _take_state(self, state: KindState) -> None:
+    def _apply_state(self, state: KindState) -> None:
         targets = []
         for stored in state.objects.values():
             try:
                 targets.append(self._reader.read_target(stored))
             except RampwickError as error:
-                log.problem("target can't be read", target=stored.key, error=str(error))
+                log.problem(
+                    "invalid weights target", target=stored.key, error=str(error)
+                )
         _post_targets(
             self._scheduler,
             targets,
@@ -92,8 +95,8 @@
         )
 
 
-class PolledTargets:
-    """Targets that operators set with rampwick's own command line."""
+class PolledTargetSource:
+    """Targets that operators set with rampwick's command line."""
 
     def __init__(
         self,
@@ -110,24 +113,24 @@
         self._wake = wake
 
     async def run(self) -> None:
-        """Read the targets while this host gives orders, until cancelled."""
+        """Read the targets periodically while this host needs them, until cancelled."""
         is_after_failure = False
         while True:
             if self._is_wanted():
-                began_seconds = self._read_clock()
+                started_seconds = self._read_clock()
                 try:
                     targets = await self._store.load()
                     _post_targets(
                         self._scheduler,
                         targets,
-                        began_seconds,
+                        started_seconds,
                         is_after_failure,
                         self._wake,
                     )
                     is_after_failure = False
                 except (PlatformError, DataError) as error:
                     is_after_failure = True
-                    log.problem("targets can't be read", error=str(error))
+                    log.problem("targets unavailable", error=str(error))
             await anyio.sleep(TARGETS_INTERVAL_SECONDS)
 
 
@@ -149,5 +152,5 @@
 
 
 def _log_problem(problem: str) -> None:
-    """Say that the targets can't be followed; the last ones stay good."""
-    log.problem("targets can't be followed", error=problem)
+    """Log that the targets cannot be watched; the last ones stay in effect."""
+    log.problem("target watch failed", error=problem)
--- a/packages/rampwick-router/src/rampwick_router/peers/_messages.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_messages.py
@@ -1,4 +1,4 @@
-"""Peers' messages as the scheduler's events and members, and the other way round."""
+"""Conversion between peer messages and scheduler events or members."""
 
 from collections.abc import Iterable, Iterator, Sequence
 
@@ -24,14 +24,14 @@
     WeightsTarget,
 )
 
-from ..control import StewardTask
+from ..control import RolloutController
 
-#: Who told this host of targets, as its log says it.
-STEWARD_SOURCE = "the steward says so"
+#: Source of targets received from the rollout controller, for logs.
+CONTROLLER_SOURCE = "update from the rollout controller"
 
 
 def to_record(member: Member) -> MemberRecord:
-    """Return a member as peers are told of it."""
+    """Convert a member to its message form."""
     return MemberRecord(
         member.name,
         member.hall,
@@ -42,7 +42,7 @@
 
 
 def to_member(record: MemberRecord) -> Member:
-    """Return the member that a peer told of."""
+    """Convert a record from a peer to a member."""
     return Member(
         record.host,
         record.hall,
@@ -63,12 +63,12 @@
 
 def rollout_update(
     holder: str,
-    steward: StewardTask,
+    rollout_controller: RolloutController,
     targets: Sequence[WeightsTarget],
     named: Sequence[NamedWeights],
     now_seconds: float,
 ) -> RolloutUpdate:
-    """Return what the steward has to say: lease, targets, loads, weights."""
+    """Build the rollout controller's update: lease, targets, loads and weights."""
     loads = [
         RunnerLoad(
             load.upstream,
@@ -76,15 +76,15 @@
             load.weights_version,
             max(0.0, load.until_seconds - now_seconds),
         )
-        for load in steward.loads()
+        for load in rollout_controller.loads()
     ]
     weights = [
-        RunnerWeights(shown.upstream, shown.incarnation, shown.weights_version)
-        for shown in steward.weights_shown()
+        RunnerWeights(observed.upstream, observed.incarnation, observed.weights_version)
+        for observed in rollout_controller.observed_weights()
     ]
     return RolloutUpdate(
         holder=holder,
-        lease_version=steward.lease.version,
+        lease_version=rollout_controller.lease.version,
         targets=list(targets),
         loads=loads,
         weights=weights,
@@ -92,11 +92,11 @@
     )
 
 
-def steward_events(update: RolloutUpdate, now_seconds: float) -> Iterator[Event]:
-    """Yield what the scheduler learns from a leader's update."""
+def rollout_events(update: RolloutUpdate, now_seconds: float) -> Iterator[Event]:
+    """Yield the scheduler events for an update from the rollout controller."""
     if update.targets:
         named = tuple(update.named)
-        yield TargetsRead(tuple(update.targets), STEWARD_SOURCE, named=named)
+        yield TargetsRead(tuple(update.targets), CONTROLLER_SOURCE, named=named)
     for load in update.loads:
         yield LoadOrdered(
             load.upstream,
@@ -104,17 +104,17 @@
             load.weights_version,
             now_seconds + load.remaining_seconds,
         )
-    for shown in update.weights:
+    for observed in update.weights:
         yield WeightsSeen(
-            shown.upstream,
-            shown.incarnation,
-            shown.weights_version,
+            observed.upstream,
+            observed.incarnation,
+            observed.weights_version,
             is_own_report=False,
         )
 
 
-def to_cache_event_update(gathered: Iterable[CacheSeen]) -> CacheEventUpdate:
-    """Return cache events as peers are told of them."""
+def to_cache_event_update(events: Iterable[CacheSeen]) -> CacheEventUpdate:
+    """Convert cache events to their message form."""
     return CacheEventUpdate(
         [
             CacheUpdate(
@@ -125,13 +125,13 @@
                     for item in seen.changes
                 ],
             )
-            for seen in gathered
+            for seen in events
         ]
     )
 
 
 def cache_events(message: CacheEventUpdate) -> Iterator[CacheSeen]:
-    """Yield what the scheduler learns from a peer's cache events."""
+    """Yield the scheduler events for cache events from a peer."""
     for update in message.updates:
         changes = tuple(
             CacheChanges(
--- a/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
@@ -1,8 +1,8 @@
-"""What upstreams meet: connections, attempts, control calls, probes, cache events.
+"""Communication with upstreams: connections, requests, control calls, cache events.
 
-It owns the sockets towards runners, services and stores of kept cache. Exchanges, the
-steward and timers feed it; what it learns goes to the scheduler as events. It imports
-no other part of the router but the ones that all share.
+This package owns the sockets to runners, services and KV stores. Exchanges, the rollout
+controller and periodic tasks call it, and it posts results to the scheduler as events.
+It imports only the modules that all parts of the router share.
 """
 
 from ._cache_reader import CacheReaderTask as CacheReaderTask
@@ -11,8 +11,8 @@
     ChannelPool as ChannelPool,
 )
 from ._client import (
-    UpstreamAnswer as UpstreamAnswer,
     UpstreamClient as UpstreamClient,
+    UpstreamResponse as UpstreamResponse,
     UpstreamStream as UpstreamStream,
 )
 from ._control import (
@@ -20,16 +20,16 @@
     DialectControl as DialectControl,
     UpstreamControl as UpstreamControl,
 )
-from ._silence import (
-    Listening as Listening,
-    SilenceWatch as SilenceWatch,
-)
 from ._sse import (
     DONE as DONE,
-    OrderKeeper as OrderKeeper,
+    SequenceFilter as SequenceFilter,
     StreamEvent as StreamEvent,
     format_event as format_event,
 )
+from ._stalls import (
+    ReadMonitor as ReadMonitor,
+    StallDetector as StallDetector,
+)
 from ._tasks import (
     CancelTask as CancelTask,
     ProbeTask as ProbeTask,
--- /dev/null
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
@@ -0,0 +1,75 @@
+"""Detection of upstreams that stall in the middle of a response.
+
+A timeout for each piece of a body costs more than forwarding the piece. Instead one
+task periodically checks all responses in progress, so that a stall is detected slightly
+later than its timeout.
+"""
+
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+
+import anyio
+import attrs
+
+from rampwick_schema import Shown
+
+#: Time between two checks: small compared to the timeouts in use.
+CHECK_INTERVAL_SECONDS = 0.2
+
+
+@attrs.define(eq=False, repr=False)
+class ReadMonitor(Shown):
+    """State of reading one response; the reader records when it waits for data."""
+
+    timeout_seconds: float
+    #: Time since which the reader has been waiting for data; none while it is not.
+    waiting_since_seconds: float | None = None
+    scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
+    has_stalled: bool = False
+
+
+class StallDetector:
+    """Aborts reading of responses whose upstreams send nothing for too long."""
+
+    def __init__(self, read_clock: Callable[[], float]) -> None:
+        self._read_clock = read_clock
+        self._active: set[ReadMonitor] = set()
+        self._has_reads = anyio.Event()
+
+    @contextmanager
+    def monitor(self, timeout_seconds: float) -> Iterator[ReadMonitor]:
+        """Monitor a response for the duration of the context.
+
+        A stall ends the context early, without an error, and sets ``has_stalled``.
+        """
+        read = ReadMonitor(timeout_seconds)
+        self._active.add(read)
+        self._has_reads.set()
+        try:
+            with read.scope:
+                yield read
+        finally:
+            self._active.discard(read)
+
+    def note_waiting(self, read: ReadMonitor) -> None:
+        """Record that the reader waits for data from now on."""
+        read.waiting_since_seconds = self._read_clock()
+
+    async def run(self) -> None:
+        """Check periodically until cancelled."""
+        while True:
+            if not self._active:
+                self._has_reads = anyio.Event()
+                await self._has_reads.wait()
+            await anyio.sleep(CHECK_INTERVAL_SECONDS)
+            self.check(self._read_clock())
+
+    def check(self, now_seconds: float) -> None:
+        """Abort the reads that have stalled."""
+        for read in list(self._active):
+            since_seconds = read.waiting_since_seconds
+            if since_seconds is None:
+                continue
+            if now_seconds - since_seconds > read.timeout_seconds:
+                read.has_stalled = True
+                read.scope.cancel()
--- a/tests/test_first_moments.py
+++ b/tests/test_first_moments.py
@@ -1,4 +1,4 @@
-"""What hosts do that come back together and have heard nobody yet."""
+"""Tests of hosts that restart simultaneously and have not received from any peer."""
 
 from collections import Counter
 from types import SimpleNamespace
@@ -8,12 +8,12 @@
 
 from rampwick_policy import Member, SaltBook, Scheduler, is_cache_reader
 from rampwick_router._scheduler_task import SchedulerTask
-from rampwick_router.peers._roles import UNHEARD_SECONDS, Roles
+from rampwick_router.peers._roles import ASSUMED_ALIVE_SECONDS, Roles
 from rampwick_router.upstream._cache_reader import (
-    HISTORIES_AT_ONCE,
+    MAX_CONCURRENT_BACKLOGS,
     CacheReaderTask,
-    Reading,
-    Source,
+    CacheSource,
+    ReadState,
 )
 from rampwick_schema import parse_settings
 
@@ -25,8 +25,8 @@
 CACHES = [(f"r{number}", HALLS[number % 4]) for number in range(48)]
 
 
-class SilentFleet:
-    """A scheduler that has heard nobody."""
+class EmptyFleet:
+    """A scheduler without live peers."""
 
     def peer_views(self, now_seconds):
         return []
@@ -35,44 +35,44 @@
         return set()
 
 
-class HerdReadsCachesTest(TestCase):
-    """Symptom: after all of 90 hosts were killed, halls heard nothing for 3 s.
+class SimultaneousStartTest(TestCase):
+    """Hosts that restart together divide the reading of caches.
 
-    Sequence: each host that had heard nobody took itself for alone, asked all 48
-    caches for all that they remembered, and filled its link of 5 Mbit/s; so it heard
-    nobody.
+    After 90 hosts were killed and restarted, halls received no updates for 3 s: each
+    host without live peers considered itself alone, requested the backlog of all 48
+    caches and saturated its link of 5 Mbit/s, so that it received nothing from peers.
     """
 
     def roles(self, member, clock):
-        roles = Roles(member, SilentFleet(), lambda: clock.now)
+        roles = Roles(member, EmptyFleet(), lambda: clock.now)
         roles.table.learn(MEMBERS)
         return roles
 
     def readers(self, after_seconds):
-        """Return how many hosts read each cache, and how many each host reads."""
+        """Return the number of readers by cache, and the number of caches by host."""
         by_cache, by_host = Counter(), Counter()
         for member in MEMBERS:
             clock = SimpleNamespace(now=100.0)
             roles = self.roles(member, clock)
             clock.now += after_seconds
-            near = roles.neighbours_at_work()
+            peers = roles.cache_reading_peers()
             for name, hall in CACHES:
-                if is_cache_reader(member, name, hall, near):
+                if is_cache_reader(member, name, hall, peers):
                     by_cache[name] += 1
                     by_host[member.name] += 1
         return by_cache, by_host
 
-    def test_those_that_are_known_share_the_caches(self):
+    def test_known_members_divide_the_caches(self):
         by_cache, by_host = self.readers(after_seconds=0.5)
         self.assertEqual({1}, set(by_cache.values()))
         self.assertEqual(len(CACHES), len(by_cache))
         self.assertLessEqual(max(by_host.values()), 6)
 
-    def test_one_that_hears_nobody_for_long_reads_for_itself(self):
-        by_cache, _ = self.readers(after_seconds=UNHEARD_SECONDS + 0.1)
+    def test_a_host_without_live_peers_reads_all_caches_eventually(self):
+        by_cache, _ = self.readers(after_seconds=ASSUMED_ALIVE_SECONDS + 0.1)
         self.assertEqual({90}, set(by_cache.values()))
 
-    def test_a_few_histories_are_asked_for_at_once(self):
+    def test_concurrent_backlog_requests_are_limited(self):
         open_count = Counter()
 
         async def main():
@@ -84,7 +84,7 @@
                 MEMBERS[0], scheduler, None, None, SaltBook(""), None, None
             )
 
-            async def ask(source, reading):
+            async def poll(source, state):
                 open_count["now"] += 1
                 open_count["most"] = max(open_count["most"], open_count["now"])
                 await anyio.sleep(0)
@@ -92,12 +92,12 @@
                 open_count["all"] += 1
                 return False
 
-            reader._ask = ask
+            reader._poll = poll
             async with anyio.create_task_group() as tasks:
                 for name, hall in CACHES:
-                    source = Source(name, hall, f"{name}:1", name)
-                    tasks.start_soon(reader._ask_in_turn, source, Reading())
+                    source = CacheSource(name, hall, f"{name}:1", name)
+                    tasks.start_soon(reader._poll_limited, source, ReadState())
 
         anyio.run(main)
-        self.assertEqual(HISTORIES_AT_ONCE, open_count["most"])
+        self.assertEqual(MAX_CONCURRENT_BACKLOGS, open_count["most"])
         self.assertEqual(len(CACHES), open_count["all"])
--- a/tests/test_tcp_socket.py
+++ b/tests/test_tcp_socket.py
@@ -1,4 +1,4 @@
-"""Reading from a socket that the loop watches only while somebody asks for bytes."""
+"""Tests of a socket that the event loop watches only while a read is expected."""
 
 import asyncio
 import socket
@@ -12,12 +12,12 @@
 class TcpSocketTest(TestCase):
     def run_with(self, scenario):
         async def main():
-            near, far = socket.socketpair()
-            near.setblocking(False)
-            with far:
-                reader = TcpSocket(near)
+            local, remote = socket.socketpair()
+            local.setblocking(False)
+            with remote:
+                reader = TcpSocket(local)
                 try:
-                    await scenario(reader, far)
+                    await scenario(reader, remote)
                 finally:
                     reader.close()
 
@@ -26,58 +26,58 @@
     def is_watched(self, reader):
         return reader._raw.fileno() in asyncio.get_running_loop()._selector.get_map()
 
-    async def turn(self, count=5):
+    async def run_loop(self, count=5):
         for _ in range(count):
             await anyio.sleep(0)
 
-    def test_bytes_come_in_their_order_and_then_the_end(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+    def test_bytes_arrive_in_order_before_end_of_stream(self):
+        async def scenario(reader, remote):
+            remote.send(b"one")
             self.assertEqual(b"one", await reader.receive())
-            far.send(b"two")
-            far.shutdown(socket.SHUT_WR)
+            remote.send(b"two")
+            remote.shutdown(socket.SHUT_WR)
             self.assertEqual(b"two", await reader.receive())
             self.assertEqual(b"", await reader.receive())
 
         self.run_with(scenario)
 
-    def test_it_stays_watched_between_two_reads(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+    def test_the_socket_stays_watched_between_two_reads(self):
+        async def scenario(reader, remote):
+            remote.send(b"one")
             await reader.receive()
             self.assertTrue(self.is_watched(reader))
 
         self.run_with(scenario)
 
-    def test_bytes_that_nobody_asks_for_keep_the_loop_busy_for_two_turns_only(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+    def test_unread_bytes_wake_the_loop_at_most_twice(self):
+        async def scenario(reader, remote):
+            remote.send(b"one")
             await reader.receive()
-            far.send(b"two")
-            await self.turn()
+            remote.send(b"two")
+            await self.run_loop()
             self.assertFalse(self.is_watched(reader))
             self.assertEqual(b"two", await reader.receive())
 
         self.run_with(scenario)
 
-    def test_one_that_rests_is_not_watched_but_shows_news(self):
-        async def scenario(reader, far):
-            far.send(b"one")
+    def test_an_idle_socket_is_not_watched_but_shows_new_bytes(self):
+        async def scenario(reader, remote):
+            remote.send(b"one")
             await reader.receive()
-            reader.rest()
+            reader.unwatch()
             self.assertFalse(self.is_watched(reader))
             self.assertFalse(reader.is_readable())
-            far.send(b"late")
+            remote.send(b"late")
             self.assertTrue(reader.is_readable())
             self.assertEqual(b"late", await reader.receive())
 
         self.run_with(scenario)
 
-    def test_a_read_that_is_broken_off_loses_nothing(self):
-        async def scenario(reader, far):
+    def test_a_cancelled_read_loses_no_bytes(self):
+        async def scenario(reader, remote):
             with anyio.move_on_after(0):
                 await reader.receive()
-            far.send(b"one")
+            remote.send(b"one")
             self.assertEqual(b"one", await reader.receive())
 
         self.run_with(scenario)
