--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -14,22 +14,22 @@
     AttemptDelivered,
     AttemptDone,
     CacheChanges,
-    CacheSeen,
+    CacheReported,
     CancelAttempt,
     Dispatch,
     Event,
     HostListRead,
     Life,
     Neighbours,
-    NeighboursSeen,
+    PeersChanged,
     PeerSummaryReceived,
+    RateLimitReported,
     RateLimitUpdateReceived,
-    RateNamed,
     Refuse,
     RequestArrived,
     Scheduler,
     Tick,
-    TreeInForce,
+    TreeChanged,
     TreeView,
     Workspace,
     _dispatcher,
@@ -111,8 +111,8 @@
         )
         self.scheduler = Scheduler(settings)
         self.scheduler.pool.rates.on_update = self._tell_rates
-        self.handle(NeighboursSeen(self._neighbours(), is_leaving=False))
-        self.handle(TreeInForce(self._lab.view))
+        self.handle(PeersChanged(self._neighbours(), is_leaving=False))
+        self.handle(TreeChanged(self._lab.view))
         self.handle(HostListRead(self._lab.host_list))
 
     def _neighbours(self) -> Neighbours:
@@ -206,7 +206,7 @@
         rate = self._lab.engines[dispatch.upstream].rate_per_second
         if rate is not None:
             now_seconds = self._lab.clock.now_seconds
-            named = RateNamed(
+            named = RateLimitReported(
                 dispatch.upstream, dispatch.incarnation, rate, now_seconds
             )
             self.handle(named)
@@ -224,7 +224,7 @@
                 cached_tokens=max(0, tokens - missing),
                 prompt_tokens=tokens,
                 answer_tokens=sample.call.kind.answer_tokens,
-                connection_rest_seconds=4.0,
+                connection_idle_seconds=4.0,
             )
         )
 
@@ -326,7 +326,7 @@
         changes = CacheChanges(label, tuple(changed), tuple(changed.values()))
         for host in self.hosts:
             if not self.is_off:
-                host.handle(CacheSeen(name, (changes,)))
+                host.handle(CacheReported(name, (changes,)))
 
     def _turn_off(self) -> None:
         self.is_off = True
--- a/measure/_limit_ways.py
+++ b/measure/_limit_ways.py
@@ -89,7 +89,12 @@
     def _arrival(self, tokens: int, now_seconds: float) -> RequestArrived:
         deadline_seconds = now_seconds + 9.0
         return RequestArrived(
-            "r", self._workspace, "portal", deadline_seconds, False, named_tokens=tokens
+            "r",
+            self._workspace,
+            "portal",
+            deadline_seconds,
+            False,
+            declared_tokens=tokens,
         )
 
     def change(self, ratio: float, now_seconds: float) -> None:
--- a/measure/_world.py
+++ b/measure/_world.py
@@ -27,7 +27,7 @@
     RequestArrived,
     Scheduler,
     Tick,
-    TreeInForce,
+    TreeChanged,
     TreeView,
 )
 from rampwick_schema import (
@@ -112,7 +112,7 @@
         self.scheduler = Scheduler(settings, self._placement)
         now_seconds = self._clock.now_seconds
         self.scheduler.handle(HostListRead(self._world.host_list), now_seconds)
-        self.scheduler.handle(TreeInForce(self._world.view), now_seconds)
+        self.scheduler.handle(TreeChanged(self._world.view), now_seconds)
         for runner in self._world.runners.values():
             if runner.is_up:
                 self.hear_report(runner.name, runner.report())
@@ -260,7 +260,7 @@
         """Put a tree in force everywhere."""
         self.view = TreeView(Tree(2, {"/": Node(), **nodes}))
         for host in self.hosts:
-            host.handle(TreeInForce(self.view))
+            host.handle(TreeChanged(self.view))
 
     def can_talk(self, one: Host, two: Host) -> bool:
         """Return whether two hosts are on the same side of a cut."""
--- a/measure/membership.py
+++ b/measure/membership.py
@@ -20,7 +20,7 @@
     LoadReported,
     PeerSummaryReceived,
     Scheduler,
-    TreeInForce,
+    TreeChanged,
     TreeView,
 )
 from rampwick_schema import (
@@ -106,7 +106,7 @@
     paths = [f"/herbaria/w{index}" for index in range(shape.workspaces_count)]
     nodes = {path: Node(is_workspace=True) for path in paths}
     tree = Tree(1, {"/": Node(), "/herbaria": Node(), **nodes})
-    scheduler.handle(TreeInForce(TreeView(tree)), 0.0)
+    scheduler.handle(TreeChanged(TreeView(tree)), 0.0)
     for name in names:
         report = LoadReport("ab12cd34", "m", 1, 16, 4, 0, 8000.0, 60_000)
         scheduler.handle(LoadReported(name, report), 0.0)
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_book.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_book.py
@@ -89,7 +89,7 @@
         self._updates.note(store.name, kept_life(version), chain, now_seconds)
         return store.address
 
-    def contents(self, names: Collection[str]) -> list[ev.CacheSeen]:
+    def contents(self, names: Collection[str]) -> list[ev.CacheReported]:
         """Return what some caches are believed to hold, to tell a host anew."""
         seen = []
         for name in sorted(names):
@@ -97,7 +97,7 @@
                 self.knowledge.contents(name) or self.imports.kept(name).contents()
             )
             if changes:
-                seen.append(ev.CacheSeen(name, tuple(changes)))
+                seen.append(ev.CacheReported(name, tuple(changes)))
         return seen
 
     def note_placed(
@@ -123,7 +123,7 @@
         """Return the placements that peers have not been told, to tell them once."""
         return self._updates.take()
 
-    def hear(self, event: ev.CacheSeen, now_seconds: float) -> None:
+    def hear(self, event: ev.CacheReported, now_seconds: float) -> None:
         """Take what a cache said of itself, here or to a peer."""
         kept = self.imports.kept(event.upstream)
         if event.is_reset:
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -12,7 +12,7 @@
 from rampwick_schema import Shown
 
 from . import _rendezvous
-from ._events import CacheChanges, CacheSeen
+from ._events import CacheChanges, CacheReported
 from ._prefix import Scope, cache_salt
 from ._roles import Member, Neighbours
 
@@ -72,7 +72,7 @@
 
     _by_upstream: dict[str, _Gathered] = attrs.field(factory=dict)
 
-    def add(self, seen: CacheSeen) -> None:
+    def add(self, seen: CacheReported) -> None:
         """Gather the changes of one cache."""
         gathered = self._by_upstream.setdefault(seen.upstream, _Gathered())
         if seen.is_reset:
@@ -82,11 +82,11 @@
             known = gathered.tokens.setdefault(change.label, {})
             known.update(zip(change.prefixes, change.tokens, strict=False))
 
-    def take(self) -> list[CacheSeen]:
+    def take(self) -> list[CacheReported]:
         """Return what was gathered, by cache, and begin anew."""
         gathered, self._by_upstream = self._by_upstream, {}
         return [
-            CacheSeen(
+            CacheReported(
                 upstream,
                 tuple(
                     CacheChanges(label, tuple(known), tuple(known.values()))
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -52,7 +52,7 @@
     #: Largest answer that the caller allows.
     max_answer_tokens: int = 0
     #: Tokens of prompt and answer as the caller names them; none if it names none.
-    named_tokens: int | None = None
+    declared_tokens: int | None = None
     #: Whether it has waited for what the whole fleet is asked, and was told to peers.
     was_held: bool = False
     #: What its caller's other tries have in common with it; none if it is not known.
@@ -92,7 +92,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptSilent(Shown):
+class AttemptStalled(Shown):
     """An upstream has not begun to answer an attempt for a while."""
 
     request_id: str
@@ -109,7 +109,7 @@
     prompt_tokens: int = 0
     answer_tokens: int = 0
     #: For how long its connection is kept; nothing if it was closed.
-    connection_rest_seconds: float = 0.0
+    connection_idle_seconds: float = 0.0
 
 
 @attrs.frozen(repr=False)
@@ -155,14 +155,14 @@
 
 
 @attrs.frozen(repr=False)
-class PeerGone(Shown):
+class PeerRemoved(Shown):
     """What a peer said counts no more: another tells it, or it has left."""
 
     name: str
 
 
 @attrs.frozen(repr=False)
-class WeightsSeen(Shown):
+class WeightsReported(Shown):
     """An upstream showed which weights it has: by an answer, or through a peer.
 
     Only the upstream's own word may lower what is known.
@@ -175,7 +175,7 @@
 
 
 @attrs.frozen(repr=False)
-class LoadOrdered(Shown):
+class WeightsLoadOrdered(Shown):
     """A runner was told to load weights; until then it serves nothing."""
 
     upstream: str
@@ -186,7 +186,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheSeen(Shown):
+class CacheReported(Shown):
     """An engine's or a store's own word on its cache, read here or by a peer."""
 
     upstream: str
@@ -196,7 +196,7 @@
 
 
 @attrs.frozen(repr=False)
-class TargetsRead(Shown):
+class TargetsReceived(Shown):
     """The weights that the runners shall have."""
 
     targets: tuple[WeightsTarget, ...]
@@ -211,7 +211,7 @@
 
 
 @attrs.frozen(repr=False)
-class RateNamed(Shown):
+class RateLimitReported(Shown):
     """An answer named the requests that its upstream takes, or named none any more."""
 
     upstream: str
@@ -251,7 +251,7 @@
 
 
 @attrs.frozen(repr=False)
-class NeighboursSeen(Shown):
+class PeersChanged(Shown):
     """The host hears other hosts than before, or begins to leave."""
 
     neighbours: Neighbours
@@ -266,7 +266,7 @@
 
 
 @attrs.frozen(repr=False)
-class TreeInForce(Shown):
+class TreeChanged(Shown):
     """Another revision of the tree is in force here."""
 
     view: TreeView
@@ -282,25 +282,25 @@
     | AttemptAccepted
     | AttemptDelivered
     | AttemptFailed
-    | AttemptSilent
+    | AttemptStalled
     | AttemptDone
     | RequestCancelled
     | LoadReported
     | ProbeFailed
     | HostListRead
     | PeerSummaryReceived
-    | PeerGone
-    | WeightsSeen
-    | LoadOrdered
-    | CacheSeen
-    | TargetsRead
-    | RateNamed
+    | PeerRemoved
+    | WeightsReported
+    | WeightsLoadOrdered
+    | CacheReported
+    | TargetsReceived
+    | RateLimitReported
     | RateLimitUpdateReceived
     | UpstreamSignalled
     | LeavingUpdateReceived
-    | NeighboursSeen
+    | PeersChanged
     | CrashUpdateReceived
-    | TreeInForce
+    | TreeChanged
     | Tick
 )
 
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_book.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_book.py
@@ -270,8 +270,8 @@
     """Return what a request counts: as its caller names it, no matter what it costs."""
     if limit.counts_requests:
         return 1.0
-    if event.named_tokens is not None:
-        return float(event.named_tokens)
+    if event.declared_tokens is not None:
+        return float(event.declared_tokens)
     if event.chain is not None:
         return float(event.chain.total_tokens + event.max_answer_tokens)
     return limit.plain_tokens
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -42,16 +42,16 @@
     | ev.ProbeFailed
     | ev.HostListRead
     | ev.PeerSummaryReceived
-    | ev.PeerGone
-    | ev.WeightsSeen
-    | ev.LoadOrdered
-    | ev.TargetsRead
-    | ev.CacheSeen
-    | ev.RateNamed
+    | ev.PeerRemoved
+    | ev.WeightsReported
+    | ev.WeightsLoadOrdered
+    | ev.TargetsReceived
+    | ev.CacheReported
+    | ev.RateLimitReported
     | ev.RateLimitUpdateReceived
     | ev.UpstreamSignalled
     | ev.LeavingUpdateReceived
-    | ev.NeighboursSeen
+    | ev.PeersChanged
 )
 
 
@@ -90,16 +90,16 @@
             ev.ProbeFailed: self._on_probe_failed,
             ev.HostListRead: self._on_host_list,
             ev.PeerSummaryReceived: self._on_peer,
-            ev.PeerGone: self._on_peer_gone,
-            ev.WeightsSeen: self._on_weights,
-            ev.LoadOrdered: self._on_load,
-            ev.TargetsRead: self._on_targets,
-            ev.CacheSeen: self.caches.hear,
-            ev.RateNamed: self._on_rate,
+            ev.PeerRemoved: self._on_peer_gone,
+            ev.WeightsReported: self._on_weights,
+            ev.WeightsLoadOrdered: self._on_load,
+            ev.TargetsReceived: self._on_targets,
+            ev.CacheReported: self.caches.hear,
+            ev.RateLimitReported: self._on_rate,
             ev.RateLimitUpdateReceived: self._on_rate_limits_received,
             ev.UpstreamSignalled: self._on_signalled,
             ev.LeavingUpdateReceived: self._on_leaving_received,
-            ev.NeighboursSeen: self._on_neighbours,
+            ev.PeersChanged: self._on_neighbours,
         }
 
     def hear(self, event: PoolEvent, now_seconds: float) -> None:
@@ -246,7 +246,7 @@
                 self.caches.observe(upstream)
             self._notice(upstream, reason, now_seconds)
 
-    def _on_weights(self, event: ev.WeightsSeen, now_seconds: float) -> None:
+    def _on_weights(self, event: ev.WeightsReported, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
         if upstream is None:
             return
@@ -259,7 +259,7 @@
             self.caches.observe(upstream)
             self._notice(upstream, "its weights were seen", now_seconds)
 
-    def _on_load(self, event: ev.LoadOrdered, now_seconds: float) -> None:
+    def _on_load(self, event: ev.WeightsLoadOrdered, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
         if upstream is None or event.weights_version < upstream.load_version:
             return
@@ -267,7 +267,7 @@
         upstream.load_until_seconds = event.until_seconds
         self._notice(upstream, "the steward says so", now_seconds)
 
-    def _on_targets(self, event: ev.TargetsRead, now_seconds: float) -> None:
+    def _on_targets(self, event: ev.TargetsReceived, now_seconds: float) -> None:
         targets = self.upstreams.targets
         targets.learn(event.named, now_seconds)
         if event.read_at_seconds is None:
@@ -283,7 +283,7 @@
             state = f"version {target.weights_version}"
             self.notices.note("target", target.model, state, event.source)
 
-    def _on_rate(self, event: ev.RateNamed, now_seconds: float) -> None:
+    def _on_rate(self, event: ev.RateLimitReported, now_seconds: float) -> None:
         if self.upstreams.get(event.upstream) is None:
             return
         word = RateObservation(
@@ -340,14 +340,14 @@
             if upstream is not None:
                 self._notice(upstream, "its pause is over", now_seconds)
 
-    def _on_neighbours(self, event: ev.NeighboursSeen, now_seconds: float) -> None:
+    def _on_neighbours(self, event: ev.PeersChanged, now_seconds: float) -> None:
         self.turns.standpoint = attrs.evolve(
             self.turns.standpoint,
             neighbours=event.neighbours,
             is_leaving=event.is_leaving,
         )
 
-    def _on_peer_gone(self, event: ev.PeerGone, now_seconds: float) -> None:
+    def _on_peer_gone(self, event: ev.PeerRemoved, now_seconds: float) -> None:
         self.peers.drop(event.name)
         self.ledger.hear(event.name, (), now_seconds)
         self.limits.forget(event.name)
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -46,7 +46,7 @@
 from ._upstreams import Upstream, UpstreamTable
 
 #: Events after which nothing that waits can go any sooner; ticks come anyway.
-QUIET_EVENTS = (ev.AttemptAccepted, ev.LoadReported, ev.CacheSeen)
+QUIET_EVENTS = (ev.AttemptAccepted, ev.LoadReported, ev.CacheReported)
 
 
 class Scheduler:
@@ -102,25 +102,25 @@
             ev.AttemptAccepted: self._on_accepted,
             ev.AttemptDelivered: self._on_delivered,
             ev.AttemptFailed: self._on_failed,
-            ev.AttemptSilent: self._on_silent,
+            ev.AttemptStalled: self._on_silent,
             ev.AttemptDone: self._on_done,
             ev.RequestCancelled: self._on_cancelled,
             ev.LoadReported: self._on_reported,
             ev.ProbeFailed: self._on_probe_failed,
             ev.HostListRead: self._on_pool_event,
             ev.PeerSummaryReceived: self._on_pool_event,
-            ev.PeerGone: self._on_pool_event,
-            ev.WeightsSeen: self._on_pool_event,
-            ev.LoadOrdered: self._on_pool_event,
-            ev.TargetsRead: self._on_pool_event,
-            ev.CacheSeen: self._on_pool_event,
-            ev.RateNamed: self._on_pool_event,
+            ev.PeerRemoved: self._on_pool_event,
+            ev.WeightsReported: self._on_pool_event,
+            ev.WeightsLoadOrdered: self._on_pool_event,
+            ev.TargetsReceived: self._on_pool_event,
+            ev.CacheReported: self._on_pool_event,
+            ev.RateLimitReported: self._on_pool_event,
             ev.RateLimitUpdateReceived: self._on_pool_event,
             ev.UpstreamSignalled: self._on_pool_event,
             ev.LeavingUpdateReceived: self._on_pool_event,
-            ev.NeighboursSeen: self._on_pool_event,
+            ev.PeersChanged: self._on_pool_event,
             ev.CrashUpdateReceived: self._on_crashes_received,
-            ev.TreeInForce: self._on_tree,
+            ev.TreeChanged: self._on_tree,
             ev.Tick: self._on_tick,
         }
 
@@ -267,8 +267,8 @@
         upstream = self.upstreams.get(item.upstream)
         self._requests.release(item, event.attempt_id, now_seconds)
         self.suspects.note_answered(item, now_seconds)
-        if upstream is not None and event.connection_rest_seconds > 0.0:
-            upstream.keep_connection(now_seconds + event.connection_rest_seconds)
+        if upstream is not None and event.connection_idle_seconds > 0.0:
+            upstream.keep_connection(now_seconds + event.connection_idle_seconds)
         self._requests.remove(item)
         chain = item.arrival.chain
         if chain is None:
@@ -291,7 +291,7 @@
         return self._requests.drop(item, now_seconds)
 
     def _on_silent(
-        self, event: ev.AttemptSilent, now_seconds: float
+        self, event: ev.AttemptStalled, now_seconds: float
     ) -> list[ev.Action]:
         item = self._requests.get(event.request_id)
         if item is not None and item.lifecycle.attempt_id == event.attempt_id:
@@ -350,7 +350,7 @@
                 actions += self._requests.give_up(item, ENDS_UPSTREAMS, now_seconds)
         return actions
 
-    def _on_tree(self, event: ev.TreeInForce, now_seconds: float) -> list[ev.Action]:
+    def _on_tree(self, event: ev.TreeChanged, now_seconds: float) -> list[ev.Action]:
         self.admission.workspaces = event.view.workspaces
         self.limits.apply(event.view.workspaces, now_seconds)
         self.pool.imports.apply(event.view.routes)
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -64,7 +64,7 @@
     parts: tuple[PromptPart, ...] = ()
     max_answer_tokens: int = 0
     #: Tokens of prompt and answer together as the caller names them, if it does.
-    named_tokens: int | None = None
+    declared_tokens: int | None = None
     #: Id of the last event that the caller has of a stream; empty for a new one.
     last_event_id: str = ""
 
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from rampwick_policy import ConfigurationFollower, TreeInForce
+from rampwick_policy import ConfigurationFollower, TreeChanged
 
 from .._logs import PartLogger
 from .._scheduler_task import SchedulerTask
@@ -65,7 +65,7 @@
             source=self.follower.source,
             age_seconds=round(self.age_seconds(self._read_clock()), 3),
         )
-        self._scheduler.post(TreeInForce(self.follower.view))
+        self._scheduler.post(TreeChanged(self.follower.view))
         self.changed.set()
         self.changed = anyio.Event()
 
--- a/packages/rampwick-router/src/rampwick_router/control/_steward.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_steward.py
@@ -16,14 +16,14 @@
 from rampwick_policy import (
     AskReport,
     LeaseWatcher,
-    LoadOrdered,
     LoadReported,
     OrderResult,
     PlannedOrder,
     Rollout,
     RunnerState,
     Scheduler,
-    WeightsSeen,
+    WeightsLoadOrdered,
+    WeightsReported,
     count_outdated,
 )
 from rampwick_schema import (
@@ -242,7 +242,9 @@
             version = step.order.weights_version
             self._rollout.note_sent(entry.name, version, now_seconds)
             until_seconds = self._rollout.loads()[entry.name][1]
-            self._scheduler.post(LoadOrdered(entry.name, "", version, until_seconds))
+            self._scheduler.post(
+                WeightsLoadOrdered(entry.name, "", version, until_seconds)
+            )
         self.notify_peers()
 
     async def _ask(self, entry: HostEntry) -> None:
@@ -273,7 +275,7 @@
     def _note_shown(self, runner: str, incarnation: str, version: int) -> None:
         now_seconds = self._read_clock()
         self._shown[runner] = WeightsShown(runner, incarnation, version, now_seconds)
-        self._scheduler.post(WeightsSeen(runner, incarnation, version))
+        self._scheduler.post(WeightsReported(runner, incarnation, version))
 
     async def _order(self, entry: HostEntry, planned: PlannedOrder) -> None:
         version = planned.order.weights_version
@@ -281,7 +283,7 @@
         result = await self._send(entry, planned)
         self._rollout.note_result(entry.name, result)
         if result not in (OrderResult.TAKEN, OrderResult.LOST):
-            self._scheduler.post(LoadOrdered(entry.name, "", version, 0.0))
+            self._scheduler.post(WeightsLoadOrdered(entry.name, "", version, 0.0))
         self.wake()
 
     async def _send(self, entry: HostEntry, planned: PlannedOrder) -> OrderResult:
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -14,7 +14,7 @@
     StoredObject,
     WeightsStore,
 )
-from rampwick_policy import TargetsRead
+from rampwick_policy import TargetsReceived
 from rampwick_schema import DataError, RampwickError, WeightsTarget
 
 from .._logs import PartLogger
@@ -138,7 +138,7 @@
     is_after_failure: bool,
     wake: Callable[[], None],
 ) -> None:
-    event = TargetsRead(
+    event = TargetsReceived(
         tuple(targets),
         PLATFORM_SOURCE,
         read_at_seconds,
--- a/packages/rampwick-router/src/rampwick_router/entry/_rates.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_rates.py
@@ -1,6 +1,6 @@
 """Telling the scheduler which rate of requests an upstream's answer names."""
 
-from rampwick_policy import Dispatch, RateNamed
+from rampwick_policy import Dispatch, RateLimitReported
 
 from .._dialects import RequestRate
 from .._scheduler_task import SchedulerTask
@@ -25,7 +25,7 @@
     if rate.per_second is None and not ends_one:
         return
     scheduler.post(
-        RateNamed(
+        RateLimitReported(
             dispatch.upstream, dispatch.incarnation, rate.per_second, asked_at_seconds
         )
     )
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -11,10 +11,10 @@
 
 from rampwick_policy import (
     AttemptAccepted,
-    AttemptSilent,
+    AttemptStalled,
     Dispatch,
     Outcome,
-    WeightsSeen,
+    WeightsReported,
 )
 
 from .._dialects import AnswerFacts, AttemptTerms
@@ -154,7 +154,7 @@
             request=self._request.call.request_id,
             upstream=self.dispatch.upstream,
         )
-        silent = AttemptSilent(self._request_id, self.dispatch.attempt_id)
+        silent = AttemptStalled(self._request_id, self.dispatch.attempt_id)
         self._parts.scheduler.post(silent)
 
     def _silence_seconds(self) -> float:
@@ -212,7 +212,7 @@
         if facts.is_another:
             return
         if facts.weights_version != dispatch.weights_version:
-            seen = WeightsSeen(
+            seen = WeightsReported(
                 dispatch.upstream, dispatch.incarnation, facts.weights_version
             )
             self._parts.scheduler.post(seen)
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -80,7 +80,7 @@
             scope=request.scope,
             service=request.service.name,
             max_answer_tokens=self._call.max_answer_tokens,
-            named_tokens=self._call.named_tokens,
+            declared_tokens=self._call.declared_tokens,
             max_attempts_count=request.route.max_attempts_count,
             is_resumable=request.route.is_resumable,
             latency_target_seconds=request.route.latency_target_seconds,
@@ -195,7 +195,7 @@
             cached_tokens=max(0, prompt_tokens - missing),
             prompt_tokens=prompt_tokens,
             answer_tokens=min(self._events_count, self._call.max_answer_tokens),
-            connection_rest_seconds=attempt.rest_seconds,
+            connection_idle_seconds=attempt.rest_seconds,
         )
 
     async def answer_error(self, error: CallerError) -> None:
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from rampwick_policy import CacheBox, CacheSeen, Member, MemberTable
+from rampwick_policy import CacheBox, CacheReported, Member, MemberTable
 from rampwick_schema import CacheEventUpdate
 
 from .._scheduler_task import SchedulerTask
@@ -67,7 +67,7 @@
             self._hand_on()
             await anyio.sleep(GATHER_SECONDS)
 
-    def tell(self, seen: CacheSeen) -> None:
+    def tell(self, seen: CacheReported) -> None:
         """Add events that this host has read."""
         self._read_here.add(seen)
         self._has_update.set()
@@ -107,7 +107,9 @@
     def _is_of_group(self, peer: Member) -> bool:
         return self._table.is_in_group(peer.hall)
 
-    def _send(self, seen: list[CacheSeen], is_for: Callable[[Member], bool]) -> None:
+    def _send(
+        self, seen: list[CacheReported], is_for: Callable[[Member], bool]
+    ) -> None:
         if seen:
             self._links.broadcast(to_cache_event_update(seen), is_for)
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -17,8 +17,8 @@
     LeavingUpdateReceived,
     Member,
     Neighbours,
-    NeighboursSeen,
-    PeerGone,
+    PeerRemoved,
+    PeersChanged,
     PeerSummaryReceived,
     RateLimitUpdateReceived,
 )
@@ -141,7 +141,7 @@
         )
         #: Whether the fleet is large, and whether this host is one of its relays.
         self._standing = (False, False)
-        self._seen = NeighboursSeen(Neighbours(), is_leaving=False)
+        self._seen = PeersChanged(Neighbours(), is_leaving=False)
         self._began_seconds = read_clock()
         #: Addresses known from the settings.
         self.seeds = frozenset(settings.peers.seeds)
@@ -221,11 +221,11 @@
         log.info("role changed", is_large=standing[0], is_relay_candidate=standing[1])
         # Whoever spoke for others before would be counted beside them.
         for view in self._scheduler.peer_views(now_seconds):
-            self._scheduler.post(PeerGone(view.name))
+            self._scheduler.post(PeerRemoved(view.name))
 
     def _note_neighbours(self) -> None:
         """Tell the scheduler whom this host hears, by which senders are chosen."""
-        seen = NeighboursSeen(self.roles.neighbours(), self.summaries.is_leaving)
+        seen = PeersChanged(self.roles.neighbours(), self.summaries.is_leaving)
         if seen != self._seen:
             self._seen = seen
             self._scheduler.post(seen)
--- a/packages/rampwick-router/src/rampwick_router/peers/_messages.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_messages.py
@@ -4,12 +4,12 @@
 
 from rampwick_policy import (
     CacheChanges,
-    CacheSeen,
+    CacheReported,
     Event,
-    LoadOrdered,
     Member,
-    TargetsRead,
-    WeightsSeen,
+    TargetsReceived,
+    WeightsLoadOrdered,
+    WeightsReported,
 )
 from rampwick_schema import (
     CacheChange,
@@ -96,16 +96,16 @@
     """Yield what the scheduler learns from a leader's update."""
     if update.targets:
         named = tuple(update.named)
-        yield TargetsRead(tuple(update.targets), STEWARD_SOURCE, named=named)
+        yield TargetsReceived(tuple(update.targets), STEWARD_SOURCE, named=named)
     for load in update.loads:
-        yield LoadOrdered(
+        yield WeightsLoadOrdered(
             load.upstream,
             load.incarnation,
             load.weights_version,
             now_seconds + load.remaining_seconds,
         )
     for shown in update.weights:
-        yield WeightsSeen(
+        yield WeightsReported(
             shown.upstream,
             shown.incarnation,
             shown.weights_version,
@@ -113,7 +113,7 @@
         )
 
 
-def to_cache_event_update(gathered: Iterable[CacheSeen]) -> CacheEventUpdate:
+def to_cache_event_update(gathered: Iterable[CacheReported]) -> CacheEventUpdate:
     """Return cache events as peers are told of them."""
     return CacheEventUpdate(
         [
@@ -130,7 +130,7 @@
     )
 
 
-def cache_events(message: CacheEventUpdate) -> Iterator[CacheSeen]:
+def cache_events(message: CacheEventUpdate) -> Iterator[CacheReported]:
     """Yield what the scheduler learns from a peer's cache events."""
     for update in message.updates:
         changes = tuple(
@@ -139,4 +139,4 @@
             )
             for change in update.changes
         )
-        yield CacheSeen(update.upstream, changes, update.is_reset)
+        yield CacheReported(update.upstream, changes, update.is_reset)
--- a/packages/rampwick-router/src/rampwick_router/peers/_sync.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_sync.py
@@ -13,7 +13,7 @@
 
 from rampwick_policy import (
     ConfigurationFollower,
-    TargetsRead,
+    TargetsReceived,
     TreeVersion,
     diff_hosts,
     patch_hosts,
@@ -121,7 +121,9 @@
             fleet.revision_age_seconds,
             fleet.summary.host_list_version,
             fleet.host_list_age_seconds,
-            TargetsRead(tuple(fleet.targets), READER_SOURCE, named=tuple(fleet.named)),
+            TargetsReceived(
+                tuple(fleet.targets), READER_SOURCE, named=tuple(fleet.named)
+            ),
         )
 
     def compare(self, link: Link, summary: Summary) -> None:
@@ -200,7 +202,9 @@
             reply.revision_age_seconds,
             reply.host_list_version,
             reply.host_list_age_seconds,
-            TargetsRead(tuple(reply.targets), READER_SOURCE, named=tuple(reply.named)),
+            TargetsReceived(
+                tuple(reply.targets), READER_SOURCE, named=tuple(reply.named)
+            ),
         )
 
     def _confirm(
@@ -210,7 +214,7 @@
         revision_age_seconds: float,
         list_version: int,
         list_age_seconds: float,
-        told: TargetsRead,
+        told: TargetsReceived,
     ) -> None:
         self.answered_at_seconds = self._read_clock()
         is_same = version.revision > 0 and version.is_same(self._follower.version)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -8,7 +8,7 @@
 from rampwick_platform import sleep_on_grid
 from rampwick_policy import (
     CacheChanges,
-    CacheSeen,
+    CacheReported,
     Life,
     Member,
     Neighbours,
@@ -132,7 +132,7 @@
         channels: ChannelPool,
         dialect: CacheDialect,
         salts: SaltBook,
-        notify_peers: Callable[[CacheSeen], None],
+        notify_peers: Callable[[CacheReported], None],
         list_neighbours: Callable[[], Neighbours],
     ) -> None:
         self._own = own
@@ -268,7 +268,7 @@
         changes = reading.history.take()
         reading.history = None
         if changes:
-            self._notify_peers(CacheSeen(source.name, tuple(changes)))
+            self._notify_peers(CacheReported(source.name, tuple(changes)))
 
     def _note_silence(self, source: Source, reading: Reading, error: str) -> None:
         if reading.is_heard:
@@ -285,7 +285,7 @@
         changes = self._translate(source, events)
         if not changes and not is_reset:
             return
-        seen = CacheSeen(source.name, tuple(changes), is_reset)
+        seen = CacheReported(source.name, tuple(changes), is_reset)
         self._scheduler.post(seen)
         if history is not None and not is_reset:
             history.add(changes)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -165,7 +165,7 @@
             if value is not None:
                 headers.append((b"x-rampwick-token-usage", value))
             call = CallerTranslation().read_call(RawCall("POST", "/a/1", headers))
-            return call.named_tokens
+            return call.declared_tokens
 
         self.assertEqual(1540, named(b"1460,80"))
         self.assertEqual(1540, named(b" 1460 , 80 "))
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -23,7 +23,7 @@
     Scheduler,
     Suspicion,
     Tick,
-    TreeInForce,
+    TreeChanged,
     TreeView,
 )
 from rampwick_policy._blame import MAX_SUSPECTS_COUNT, SETTLE_SECONDS
@@ -62,7 +62,7 @@
         nodes = {"/": Node(), "/w": Node(is_workspace=True)}
         tree = Tree(1, nodes, Routing([], [Service("s")]))
         self.view = TreeView(tree)
-        self.do(TreeInForce(self.view))
+        self.do(TreeChanged(self.view))
         self.list_upstreams()
         self.count = 0
         self.sent = {}
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -8,11 +8,11 @@
 from rampwick_policy import (
     CacheBox,
     CacheChanges,
-    CacheSeen,
+    CacheReported,
     Member,
     MemberTable,
     Scheduler,
-    TargetsRead,
+    TargetsReceived,
 )
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._cache_outbox import CacheOutbox
@@ -25,7 +25,7 @@
 
 def seen(upstream, kept, label="one/1", is_reset=False):
     changes = CacheChanges(label, tuple(kept), tuple(kept.values()))
-    return CacheSeen(upstream, (changes,), is_reset)
+    return CacheReported(upstream, (changes,), is_reset)
 
 
 def apply_to(known, events):
@@ -179,7 +179,7 @@
         async def scenario():
             settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
             task = SchedulerTask(Scheduler(settings), lambda: 7.0)
-            task.post(TargetsRead((WeightsTarget("m", 3),)))
+            task.post(TargetsReceived((WeightsTarget("m", 3),)))
             return task.look(
                 lambda scheduler, now_seconds: (
                     scheduler.upstreams.targets.newest("m"),
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -7,7 +7,7 @@
     AttemptDelivered,
     CacheChanges,
     CacheKnowledge,
-    CacheSeen,
+    CacheReported,
     HostListRead,
     Life,
     Member,
@@ -18,7 +18,7 @@
     SaltBook,
     Scheduler,
     Scope,
-    TreeInForce,
+    TreeChanged,
     TreeView,
     chain_from_parts,
     is_cache_reader,
@@ -187,7 +187,7 @@
             1, nodes, Routing(services=[service], kept_stores=list(self.stores))
         )
         self.view = TreeView(tree)
-        self.scheduler.handle(TreeInForce(self.view), 0.0)
+        self.scheduler.handle(TreeChanged(self.view), 0.0)
         self.list_runners(("a", 1), ("b", 1))
 
     def list_runners(self, *versions):
@@ -210,7 +210,7 @@
 
     def tell(self, name, label, *changes):
         prefixes, tokens = zip(*changes, strict=True)
-        seen = CacheSeen(name, (CacheChanges(label, prefixes, tokens),))
+        seen = CacheReported(name, (CacheChanges(label, prefixes, tokens),))
         self.scheduler.handle(seen, 1.0)
 
     def arrive(self, request_id="r1", parts=None):
@@ -270,7 +270,7 @@
 
     def test_a_store_that_came_back_empty_is_saved_to_again(self):
         self.tell("kept", life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
-        self.scheduler.handle(CacheSeen("kept", (), is_reset=True), 2.0)
+        self.scheduler.handle(CacheReported("kept", (), is_reset=True), 2.0)
         self.assertEqual("10.9.0.1:1", self.arrive().save_address)
 
     def test_peers_saves_count(self):
@@ -355,7 +355,7 @@
         self.assertEqual(self.address, dispatch.import_address)
 
     def test_a_prompt_is_imported_from_the_store_that_told_of_it(self):
-        self.scheduler.handle(CacheSeen(self.store, (), is_reset=True), 2.0)
+        self.scheduler.handle(CacheReported(self.store, (), is_reset=True), 2.0)
         other = self.others[0]
         self.tell(other.name, life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
         dispatch = self.arrive()
@@ -363,7 +363,9 @@
         self.assertEqual(6200, dispatch.choice.imported_tokens)
 
     def test_one_store_that_came_back_empty_says_nothing_of_another(self):
-        self.scheduler.handle(CacheSeen(self.others[0].name, (), is_reset=True), 2.0)
+        self.scheduler.handle(
+            CacheReported(self.others[0].name, (), is_reset=True), 2.0
+        )
         self.assertEqual("", self.arrive().save_address)
 
     def test_a_store_that_dropped_a_part_is_not_the_one_that_has_it(self):
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -19,10 +19,10 @@
     Dispatch,
     Health,
     Neighbours,
-    NeighboursSeen,
+    PeersChanged,
     ProbeFailed,
+    RateLimitReported,
     RateLimitUpdateReceived,
-    RateNamed,
     Refuse,
     RunState,
     Tick,
@@ -352,7 +352,7 @@
 
     def name_rate(self, session, at, rate, *names):
         for name in names:
-            session.do(at, RateNamed(name, "one", rate, at))
+            session.do(at, RateLimitReported(name, "one", rate, at))
 
     def sent_to(self, actions):
         return [item.upstream for item in actions if isinstance(item, Dispatch)]
@@ -403,7 +403,7 @@
         session = Session(runners=1, slots=8)
         self.name_rate(session, 0.0, 1.0, "lektor-1")
         self.assertEqual([], session.arrive(0.1, "r0", latency_target_seconds=2.0))
-        ended = session.do(0.2, RateNamed("lektor-1", "one", None, 0.1))
+        ended = session.do(0.2, RateLimitReported("lektor-1", "one", None, 0.1))
         self.assertEqual(["lektor-1"], self.sent_to(ended))
 
     def test_while_another_may_be_back_any_moment_nothing_is_refused_for_it(self):
@@ -427,7 +427,7 @@
     def test_a_host_that_is_no_sender_refuses_all(self):
         session = Session(runners=1, slots=8)
         near = Neighbours(frozenset({"e9"}), frozenset({"e9"}), frozenset({"trnava"}))
-        session.do(0.0, NeighboursSeen(near, is_leaving=True))
+        session.do(0.0, PeersChanged(near, is_leaving=True))
         rates = RequestRates(NoticeBook())
         rates.take("lektor-1", RateObservation("one", 1.0, 0.0, 0.0), "test")
         session.do(0.0, RateLimitUpdateReceived(rates.initial_state(0.0)))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -68,7 +68,7 @@
 
     def test_tokens_count_as_callers_name_them(self):
         session = self.session()
-        session.arrive(LATER_SECONDS, "r1", named_tokens=4321)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=4321)
         self.assertEqual(4321.0, self.used(session))
 
     def test_a_request_that_names_none_counts_as_the_limit_says(self):
@@ -79,14 +79,14 @@
         session.do(LATER_SECONDS, plain)
         self.assertEqual(200.0, self.used(session))
         session = self.session(plain_tokens=200.0, counts_requests=True)
-        session.arrive(LATER_SECONDS, "r1", named_tokens=4321)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=4321)
         self.assertEqual(1.0, self.used(session))
 
     def test_what_is_over_is_refused_at_once_and_told_when_to_come_back(self):
         session = self.session()
         for number in range(2):
-            session.arrive(LATER_SECONDS, f"r{number}", named_tokens=5000)
-        (refused,) = session.arrive(LATER_SECONDS, "r9", named_tokens=5000)
+            session.arrive(LATER_SECONDS, f"r{number}", declared_tokens=5000)
+        (refused,) = session.arrive(LATER_SECONDS, "r9", declared_tokens=5000)
         self.assertEqual(("over_limit", "/h/a"), (refused.reason, refused.peer))
         self.assertEqual("NOT_SENT", refused.run_state.name)
         self.assertEqual(0, len(session.scheduler.queue))
@@ -95,7 +95,7 @@
         self.assertGreater(refused.retry_after_seconds, 3.0)
         self.assertLessEqual(refused.retry_after_seconds, 8.0)
         later = LATER_SECONDS + 8.3
-        (sent,) = session.arrive(later, "r10", named_tokens=5000)
+        (sent,) = session.arrive(later, "r10", declared_tokens=5000)
         self.assertEqual("r10", sent.request_id)
 
     def test_the_log_says_when_a_limit_begins_and_ends_to_bind(self):
@@ -108,7 +108,7 @@
 
         self.assertEqual([], told(LATER_SECONDS))
         for number in range(3):
-            session.arrive(LATER_SECONDS, f"r{number}", named_tokens=5000)
+            session.arrive(LATER_SECONDS, f"r{number}", declared_tokens=5000)
         self.assertEqual(["binding"], told(LATER_SECONDS + 0.1))
         self.assertEqual([], told(LATER_SECONDS + 0.5))
         self.assertEqual(["open"], told(LATER_SECONDS + 2.0))
@@ -116,13 +116,13 @@
     def test_one_over_its_limit_pushes_nobody_behind(self):
         session = self.session()
         for number in range(50):
-            session.arrive(LATER_SECONDS, f"a{number}", named_tokens=5000)
+            session.arrive(LATER_SECONDS, f"a{number}", declared_tokens=5000)
         (sent,) = session.arrive(LATER_SECONDS, "b1", path="/h/b")
         self.assertEqual("b1", sent.request_id)
 
     def test_what_was_refused_unrun_is_given_back(self):
         session = self.session()
-        session.arrive(LATER_SECONDS, "r1", named_tokens=4000, is_repeatable=False)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=4000, is_repeatable=False)
         at = LATER_SECONDS
         for attempt in (1, 2, 3, 4, 5, 6, 7):
             session.do(at, AttemptFailed("r1", f"r1.{attempt}", Outcome.BUSY, ""))
@@ -136,14 +136,14 @@
         session = Session(runners=0)
         session.nodes["/h/a"] = Node(is_workspace=True, tokens_per_second=1000.0)
         session.put_tree()
-        session.arrive(LATER_SECONDS, "r1", named_tokens=100)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=100)
         self.assertEqual(100.0, self.used(session))
         session.do(LATER_SECONDS, RequestCancelled("r1"))
         self.assertEqual(0.0, self.used(session))
 
     def test_a_second_run_counts_again(self):
         session = self.session()
-        session.arrive(LATER_SECONDS, "r1", named_tokens=100)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=100)
         session.do(LATER_SECONDS, AttemptFailed("r1", "r1.1", Outcome.BROKEN, ""))
         self.assertEqual(200.0, self.used(session))
 
@@ -151,26 +151,26 @@
         session = Session(runners=1, slots=1)
         session.nodes["/h/a"] = Node(is_workspace=True, tokens_per_second=1000.0)
         session.put_tree()
-        session.arrive(LATER_SECONDS, "r1", named_tokens=100)
-        session.arrive(LATER_SECONDS, "r2", named_tokens=300)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=100)
+        session.arrive(LATER_SECONDS, "r2", declared_tokens=300)
         session.done(LATER_SECONDS + 5.0, "r1")
         self.assertEqual(300.0, self.used(session, LATER_SECONDS + 10.0))
 
     def test_a_lowered_limit_forgives_what_was_sent_before(self):
         session = self.session()
-        session.arrive(LATER_SECONDS, "r1", named_tokens=8000)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=8000)
         session.nodes["/h/a"] = Node(
             is_workspace=True, tokens_per_second=100.0, burst_tokens=100.0
         )
         session.view = None
         session.put_tree()
         at = LATER_SECONDS + 8.5
-        (sent,) = session.arrive(at, "r2", named_tokens=300)
+        (sent,) = session.arrive(at, "r2", declared_tokens=300)
         self.assertEqual("r2", sent.request_id)
 
     def test_no_limit_counts_nothing(self):
         session = self.session(tokens_per_second=None, burst_tokens=None)
-        session.arrive(LATER_SECONDS, "r1", named_tokens=10**9)
+        session.arrive(LATER_SECONDS, "r1", declared_tokens=10**9)
         self.assertEqual([], session.scheduler.limits.states(LATER_SECONDS))
         summary = session.scheduler.summary(1, 1, False, LATER_SECONDS)
         self.assertEqual([], summary.limits)
@@ -230,7 +230,7 @@
         )
         book.hear("p", summary, 0.0, 100.0)
         arrival = RequestArrived(
-            "r", view.workspaces["/w"], "portal", 200.0, False, named_tokens=500
+            "r", view.workspaces["/w"], "portal", 200.0, False, declared_tokens=500
         )
         first = book.hold_seconds(arrival, 100.0 + at_seconds)
         later = book.hold_seconds(arrival, 100.5 + at_seconds)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -16,7 +16,7 @@
     MemberTable,
     PeerSummaryReceived,
     Scheduler,
-    TargetsRead,
+    TargetsReceived,
     TargetWeights,
 )
 from rampwick_router._assembly import Assembly, Clocks
@@ -66,7 +66,7 @@
         return self.now_seconds
 
     def hear(self, *targets):
-        self.scheduler.post(TargetsRead(targets))
+        self.scheduler.post(TargetsReceived(targets))
 
 
 @attrs.define
@@ -299,7 +299,7 @@
         asker.sync.take(question, answer.messages[0])
 
     def read(self, host, *targets, **options):
-        event = TargetsRead(targets, read_at_seconds=host.now_seconds, **options)
+        event = TargetsReceived(targets, read_at_seconds=host.now_seconds, **options)
         host.scheduler.post(event)
 
     def witness(self, *versions):
@@ -415,7 +415,7 @@
         host = Host()
         # A model that no other test names: the first reader of logs gets older lines.
         target = WeightsTarget("logged", 3)
-        event = TargetsRead((target,), "the platform says so", read_at_seconds=99.5)
+        event = TargetsReceived((target,), "the platform says so", read_at_seconds=99.5)
         with self.capture_logs() as lines:
             host.scheduler.post(event)
             host.scheduler.post(event)
@@ -428,8 +428,8 @@
         host = Host()
         host.hear(WeightsTarget("m", 3))
         self.assertEqual(math.inf, host.scheduler.targets_age_seconds())
-        host.scheduler.post(TargetsRead((), read_at_seconds=99.5))
-        host.scheduler.post(TargetsRead((), read_at_seconds=99.0))
+        host.scheduler.post(TargetsReceived((), read_at_seconds=99.5))
+        host.scheduler.post(TargetsReceived((), read_at_seconds=99.0))
         self.assertEqual(0.5, host.scheduler.targets_age_seconds())
 
     def test_older_weights_that_a_reader_tells_late_change_nothing(self):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -8,14 +8,14 @@
     AskReport,
     HostListRead,
     LeaseWatcher,
-    LoadOrdered,
     LoadReported,
     OrderResult,
     Rollout,
     RunnerState,
     Scheduler,
-    TargetsRead,
-    WeightsSeen,
+    TargetsReceived,
+    WeightsLoadOrdered,
+    WeightsReported,
     count_outdated,
     plan_orders,
 )
@@ -217,13 +217,13 @@
 
     def test_nothing_is_sent_from_the_announcement_until_the_weights_are_seen(self):
         self.assertTrue(self.is_open(1.0))
-        self.scheduler.handle(LoadOrdered("r", "", 2, 4.0), 1.0)
+        self.scheduler.handle(WeightsLoadOrdered("r", "", 2, 4.0), 1.0)
         self.assertFalse(self.is_open(1.1))
-        self.scheduler.handle(WeightsSeen("r", "one", 2, is_own_report=False), 1.8)
+        self.scheduler.handle(WeightsReported("r", "one", 2, is_own_report=False), 1.8)
         self.assertTrue(self.is_open(1.9))
 
     def test_an_announced_load_that_never_shows_ends_by_time(self):
-        self.scheduler.handle(LoadOrdered("r", "", 2, 4.0), 1.0)
+        self.scheduler.handle(WeightsLoadOrdered("r", "", 2, 4.0), 1.0)
         self.assertTrue(self.is_open(4.1))
 
     def test_a_reported_load_is_over_once_the_list_shows_its_weights(self):
@@ -235,22 +235,22 @@
         self.assertTrue(self.is_open(2.1))
 
     def test_a_late_list_does_not_lower_the_weights(self):
-        self.scheduler.handle(WeightsSeen("r", "one", 3), 1.0)
+        self.scheduler.handle(WeightsReported("r", "one", 3), 1.0)
         self.read(2, attrs.evolve(self.entry, weights_version=2), 2.0)
         upstream = self.scheduler.upstreams.get("r")
         self.assertEqual(3, upstream.life.weights_version)
 
     def test_only_the_runners_own_word_lowers_the_weights(self):
-        self.scheduler.handle(WeightsSeen("r", "one", 3), 1.0)
-        self.scheduler.handle(WeightsSeen("r", "one", 2, is_own_report=False), 1.1)
+        self.scheduler.handle(WeightsReported("r", "one", 3), 1.0)
+        self.scheduler.handle(WeightsReported("r", "one", 2, is_own_report=False), 1.1)
         upstream = self.scheduler.upstreams.get("r")
         self.assertEqual(3, upstream.life.weights_version)
-        self.scheduler.handle(WeightsSeen("r", "one", 2), 1.2)
+        self.scheduler.handle(WeightsReported("r", "one", 2), 1.2)
         self.assertEqual(2, upstream.life.weights_version)
 
     def test_weights_count_as_outdated_from_the_first_newer_naming(self):
-        self.scheduler.handle(TargetsRead((WeightsTarget("m", 2),)), 10.0)
-        self.scheduler.handle(TargetsRead((WeightsTarget("m", 3),)), 14.0)
+        self.scheduler.handle(TargetsReceived((WeightsTarget("m", 2),)), 10.0)
+        self.scheduler.handle(TargetsReceived((WeightsTarget("m", 3),)), 14.0)
         upstream = self.scheduler.upstreams.get("r")
         outdated = self.scheduler.upstreams.outdated_seconds(upstream, 15.0)
         self.assertEqual(5.0, outdated)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -24,7 +24,7 @@
     Scheduler,
     Scope,
     Tick,
-    TreeInForce,
+    TreeChanged,
     TreeView,
     Workspace,
     build_chain,
@@ -71,7 +71,7 @@
 
     def put_tree(self):
         self.view = TreeView(Tree(1, self.nodes))
-        self.do(0.0, TreeInForce(self.view))
+        self.do(0.0, TreeChanged(self.view))
 
     def report(self, at, name, life="one", slots=2):
         report = LoadReport(life, "m", 1, slots, 0, 0, 8000.0, 60_000)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -6,14 +6,14 @@
 from rampwick_policy import (
     AttemptDelivered,
     AttemptFailed,
-    AttemptSilent,
+    AttemptStalled,
     Dispatch,
     HostListRead,
     LoadReported,
     Outcome,
     RequestArrived,
     Scheduler,
-    TreeInForce,
+    TreeChanged,
     TreeView,
 )
 from rampwick_router.upstream._silence import SilenceWatch
@@ -89,7 +89,7 @@
             Routing([], [Service("s")]),
         )
         self.view = TreeView(tree)
-        self.do(0.0, TreeInForce(self.view))
+        self.do(0.0, TreeChanged(self.view))
         self.do(0.0, HostListRead(HostList(1, entries)))
 
     def do(self, at, event):
@@ -114,9 +114,9 @@
     def test_after_two_the_others_are_asked_first(self):
         first, second = self.send(1.0, 20)[:2]
         self.assertNotEqual(first.upstream, second.upstream)
-        self.do(1.5, AttemptSilent(first.request_id, first.attempt_id))
+        self.do(1.5, AttemptStalled(first.request_id, first.attempt_id))
         self.assertEqual(6, len(self.open_names(1.5)))
-        self.do(1.6, AttemptSilent(second.request_id, second.attempt_id))
+        self.do(1.6, AttemptStalled(second.request_id, second.attempt_id))
         self.assertEqual({"near-0"}, self.open_names(1.6))
         # Those that answer are back at once.
         self.do(1.7, LoadReported("far-5", None))
@@ -125,8 +125,8 @@
     def test_one_that_answers_speaks_for_its_hall(self):
         first, second, third = self.send(1.0, 20)[:3]
         self.do(1.3, AttemptDelivered(third.request_id, third.attempt_id))
-        self.do(1.5, AttemptSilent(first.request_id, first.attempt_id))
-        self.do(1.6, AttemptSilent(second.request_id, second.attempt_id))
+        self.do(1.5, AttemptStalled(first.request_id, first.attempt_id))
+        self.do(1.6, AttemptStalled(second.request_id, second.attempt_id))
         self.assertEqual(5, len(self.open_names(1.6)))
 
     def test_upstreams_that_close_are_no_silence(self):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -45,7 +45,7 @@
     Member,
     Outcome,
     Scheduler,
-    TargetsRead,
+    TargetsReceived,
 )
 from rampwick_router import run_daemon
 from rampwick_router._errors import AttemptError
@@ -479,7 +479,7 @@
         )
         events = [
             HostListRead(HostList(1, [entry])),
-            TargetsRead((WeightsTarget("m", 2),)),
+            TargetsReceived((WeightsTarget("m", 2),)),
         ]
         holders, _ = self.play(reading={"b"}, events=events)
         self.assertEqual(("a", "b"), (holders[0], holders[-1]))
@@ -537,7 +537,7 @@
         self.now_seconds += 0.1
         for name, steward in stewards.items():
             if name in reading:
-                event = TargetsRead((), read_at_seconds=self.now_seconds)
+                event = TargetsReceived((), read_at_seconds=self.now_seconds)
                 steward._scheduler.post(event)
             steward.wake()
         self.tell_of_the_lease(stewards)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,7 +15,7 @@
 from rampwick_platform._records import encode_record
 from rampwick_policy import (
     CacheChanges,
-    CacheSeen,
+    CacheReported,
     Choice,
     Dispatch,
     HostListRead,
@@ -26,7 +26,7 @@
     SaltBook,
     Scheduler,
     Scope,
-    TreeInForce,
+    TreeChanged,
     TreeView,
     kept_life,
     life_label,
@@ -179,7 +179,7 @@
         )
         scheduler.post(HostListRead(HostList(1, [entry])))
         changes = CacheChanges("r/1", (b"x" * 8, b"y" * 8), (2500, 3700))
-        scheduler.post(CacheSeen("r", (changes,)))
+        scheduler.post(CacheReported("r", (changes,)))
         table = MemberTable(Member("e", "h", "e:1"))
         table.learn(Member(f"k{n}", "h", f"k{n}:1") for n in range(hosts_count - 1))
         mail = CacheOutbox(table, None, scheduler, set)
@@ -364,7 +364,7 @@
         scheduler = Scheduler(settings)
         service = Service("s", is_engine=True, link_bits_per_second=1e9)
         tree = Tree(1, {"/": Node()}, Routing(services=[service]))
-        scheduler.handle(TreeInForce(TreeView(tree)), 0.0)
+        scheduler.handle(TreeChanged(TreeView(tree)), 0.0)
         entries = [
             HostEntry(name, "runner", name, f"{name}:1", group="s", incarnation=name)
             for name in ("h", "k")
--- a/tests/test_timeliness.py
+++ b/tests/test_timeliness.py
@@ -12,7 +12,7 @@
     Scheduler,
     Scope,
     Tick,
-    TreeInForce,
+    TreeChanged,
     TreeView,
     chain_from_parts,
 )
@@ -33,7 +33,7 @@
         self.scheduler = Scheduler(parse_settings(SETTINGS, source="t"))
         nodes = {"/": Node(), "/t": Node(is_workspace=True)}
         self.view = TreeView(Tree(1, nodes))
-        self.scheduler.handle(TreeInForce(self.view), 0.0)
+        self.scheduler.handle(TreeChanged(self.view), 0.0)
         entries = [HostEntry("r", "runner", "h", "r:1")]
         self.scheduler.handle(HostListRead(HostList(1, entries)), 0.0)
         report = LoadReport("one", "m", 1, 64, 0, 0, 10_000.0, 60_000)
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -12,7 +12,7 @@
     Scheduler,
     SurgeGate,
     Suspects,
-    TreeInForce,
+    TreeChanged,
     TreeView,
 )
 from rampwick_policy._notices import NoticeBook
@@ -92,7 +92,7 @@
         task.note_burst = lambda: surges.append(clock.now)
         node = Node(is_workspace=True, tokens_per_second=100.0, burst_tokens=200.0)
         view = TreeView(Tree(1, {"/": Node(), "/w": node}))
-        task.post(TreeInForce(view))
+        task.post(TreeChanged(view))
         # All that a limit of 1,000 tokens in 8 s has room for, told at each request.
         for number in range(20):
             clock.now += 1.0
@@ -102,14 +102,14 @@
                 "interactive",
                 clock.now + 5.0,
                 True,
-                named_tokens=105,
+                declared_tokens=105,
                 was_held=False,
             )
             scheduler.limits.ask(arrived, clock.now)
             scheduler.limits.words(clock.now)
         self.assertEqual([], surges)
         clock.now += 0.1
-        task.post(attrs.evolve(arrived, request_id="s", named_tokens=900))
+        task.post(attrs.evolve(arrived, request_id="s", declared_tokens=900))
         self.assertEqual(clock.now, surges[-1])
 
 
