--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -13,6 +13,7 @@
 
 from . import _events as ev
 from ._admission import Admission
+from ._capacity import Room
 from ._forecasts import Forecasts
 from ._moves import Move
 from ._placement import (
@@ -30,7 +31,6 @@
 from ._reasons import KEPT_APART, NO_RETRY_LEFT, NO_UPSTREAM
 from ._request import RunState
 from ._retry import RetryBudgets
-from ._room import Room
 from ._shares import Standing
 from ._suspects import Suspects
 from ._timeliness import in_time_until_seconds, is_spent, late_queue_ratio
--- a/packages/rampwick-policy/src/rampwick_policy/_evidence.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_evidence.py
@@ -2,10 +2,10 @@
 
 from collections import Counter
 
+from ._capacity import serves
 from ._limit_book import LimitState
 from ._pool import Pool
 from ._queue import QueuedRequest
-from ._room import serves
 from ._upstream import Upstream
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -10,11 +10,11 @@
 
 from rampwick_schema import Shown
 
+from ._capacity import serves
 from ._events import RequestArrived
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import AT_RATE, NO_UPSTREAM, PAUSED
 from ._request_turns import RequestTurns
-from ._room import serves
 from ._timeliness import begins_by_seconds
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
