--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -380,8 +380,10 @@
             stack.enter_context(mock.patch.object(target, name, value))
 
         if "order" in names:
-            replace(_dispatcher, "is_spent", lambda item, now_seconds: False)
-            replace(_dispatcher, "in_time_until_seconds", lambda item: float("inf"))
+            replace(_dispatcher, "cannot_meet_target", lambda item, now_seconds: False)
+            replace(
+                _dispatcher, "latest_answer_start_seconds", lambda item: float("inf")
+            )
             replace(_dispatcher, "late_queue_ratio", lambda *_: 1.0)
         if "speed" in names:
             replace(_reading_speed.ReadingSpeed, "note", lambda *_: None)
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -139,7 +139,7 @@
 )
 from ._routes import RouteIndex as RouteIndex, choose_service as choose_service
 from ._scheduler import Scheduler as Scheduler
-from ._shares import DecayedUse as DecayedUse, ShareLedger as ShareLedger
+from ._shares import DecayedUsage as DecayedUsage, UsageLedger as UsageLedger
 from ._surges import SurgeGate as SurgeGate
 from ._suspects import Suspects as Suspects
 from ._targets import TargetWeights as TargetWeights
--- a/packages/rampwick-policy/src/rampwick_policy/_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_admission.py
@@ -8,7 +8,7 @@
 
 from ._membership import Membership
 from ._queue import WaitingQueue
-from ._shares import DecayedUse, ShareLedger, Standing
+from ._shares import DecayedUsage, Standing, UsageLedger
 from ._tree import LimitedNode, Workspace
 
 #: Time constant of the rate at which this host gets rid of waiting work.
@@ -42,12 +42,12 @@
     """Limits and shares over this host's queue and what peers told."""
 
     def __init__(
-        self, queue: WaitingQueue, ledger: ShareLedger, peers: Membership
+        self, queue: WaitingQueue, ledger: UsageLedger, peers: Membership
     ) -> None:
         self._queue = queue
         self._ledger = ledger
         self._peers = peers
-        self._drain = DecayedUse(DRAIN_SECONDS)
+        self._drain = DecayedUsage(DRAIN_SECONDS)
         self._backlog_since_seconds: float | None = None
         self._running: dict[str, int] = {}
         self.workspaces: dict[str, Workspace] = {}
@@ -69,7 +69,7 @@
             self._backlog_since_seconds = None
         elif self._backlog_since_seconds is None:
             self._backlog_since_seconds = now_seconds
-            self._drain = DecayedUse(DRAIN_SECONDS, at_seconds=now_seconds)
+            self._drain = DecayedUsage(DRAIN_SECONDS, at_seconds=now_seconds)
 
     def note_ended(self, workspace: Workspace) -> None:
         """Note that an attempt of a workspace ended."""
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -33,7 +33,11 @@
 from ._retry import RetryBudgets
 from ._shares import Standing
 from ._suspects import Suspects
-from ._timeliness import in_time_until_seconds, is_spent, late_queue_ratio
+from ._timeliness import (
+    cannot_meet_target,
+    late_queue_ratio,
+    latest_answer_start_seconds,
+)
 from ._tree import Workspace
 
 #: What an answer token costs in prompt tokens: it holds a slot for a whole step.
@@ -141,7 +145,9 @@
                 continue
             line = self._queue.line(priority_class, path)
             if not is_late:
-                line = (item for item in line if not is_spent(item, now_seconds))
+                line = (
+                    item for item in line if not cannot_meet_target(item, now_seconds)
+                )
             for _, item in zip(range(LOOKAHEAD_COUNT), line, strict=False):
                 action = self._try_dispatch(item, is_late, standing, room, now_seconds)
                 if action is not None:
@@ -191,7 +197,7 @@
         if begins_seconds > arrival.deadline_seconds:
             self._queue.remove(item)
             return Hopeless(item)
-        if not is_late and begins_seconds > in_time_until_seconds(item):
+        if not is_late and begins_seconds > latest_answer_start_seconds(item):
             return None
         terms = (arrival.service, choice, views, standing)
         if is_late:
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -15,7 +15,7 @@
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import AT_RATE, NO_UPSTREAM, PAUSED
 from ._request_turns import RequestTurns
-from ._timeliness import begins_by_seconds
+from ._timeliness import latest_send_seconds
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
 #: Bounds of what callers are told to wait: long enough for another turn, short enough
@@ -156,7 +156,7 @@
     item: QueuedRequest, forecast: Forecast, before_count: int, now_seconds: float
 ) -> Postponement | None:
     send_at_seconds = forecast.send_at_seconds(before_count)
-    if send_at_seconds <= begins_by_seconds(item):
+    if send_at_seconds <= latest_send_seconds(item):
         return None
     if forecast.reason == NO_UPSTREAM:
         return Postponement(NO_UPSTREAM, None)
--- a/packages/rampwick-policy/src/rampwick_policy/_identity.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_identity.py
@@ -37,6 +37,6 @@
         return f"RequestIdentity({self.workspace_path!r}, {self.target!r})"
 
     @property
-    def shown(self) -> str:
+    def fingerprint_hex(self) -> str:
         """The fingerprint as logs and operators name it."""
         return self.fingerprint.hex()
--- a/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
@@ -61,7 +61,7 @@
 
 
 def _workspace_usages(pool: Pool, now_seconds: float) -> list[WorkspaceUsage]:
-    used = pool.ledger.own_use(now_seconds)
+    used = pool.ledger.own_usage(now_seconds)
     return [WorkspaceUsage(path, round(used[path])) for path in sorted(used)]
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -23,7 +23,7 @@
 from ._request import Outcome
 from ._request_rates import RateObservation, RequestRates
 from ._request_turns import RequestTurns, Standpoint
-from ._shares import ShareLedger
+from ._shares import UsageLedger
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
 #: Upstreams of a hall that must fall silent for this host, and within which time, for
@@ -60,7 +60,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.peers = Membership(settings.peers.dead_after_seconds)
-        self.ledger = ShareLedger(settings.queue.usage_decay_seconds)
+        self.ledger = UsageLedger(settings.queue.usage_decay_seconds)
         self.limits = LimitBook(settings.quota, settings.host.name)
         self.upstreams = UpstreamTable(
             settings.host.hall,
@@ -121,7 +121,7 @@
         upstream = self.upstreams.get(failed.upstream)
         if upstream is None:
             return
-        if event.outcome.is_ill_health:
+        if event.outcome.is_health_failure:
             self._take_down(upstream, event.message, now_seconds)
             if not event.was_closed:
                 self._weigh_hall(upstream, now_seconds)
@@ -349,7 +349,7 @@
 
     def _on_peer_gone(self, event: ev.PeerRemoved, now_seconds: float) -> None:
         self.peers.drop(event.name)
-        self.ledger.hear(event.name, (), now_seconds)
+        self.ledger.replace_peer_usage(event.name, (), now_seconds)
         self.limits.forget(event.name)
         self.notices.forget("peer", event.name, "others speak for it now")
 
@@ -359,7 +359,9 @@
         )
         if is_new:
             self.notices.note("peer", event.name, "heard", "its summary came")
-            self.ledger.hear(event.name, event.summary.workspaces, now_seconds)
+            self.ledger.replace_peer_usage(
+                event.name, event.summary.workspaces, now_seconds
+            )
             self.limits.hear(event.name, event.summary, event.age_seconds, now_seconds)
             self._hear_down(event.summary.down, now_seconds)
             for placed in event.summary.placed:
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -99,7 +99,7 @@
             self._suspects.describe(item),
             self._pool,
             len(self._queue),
-            budget.saved,
+            budget.balance,
             now_seconds,
         )
 
--- a/packages/rampwick-policy/src/rampwick_policy/_request.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request.py
@@ -53,7 +53,7 @@
     MISDIRECTED = "misdirected"
 
     @property
-    def is_ill_health(self) -> bool:
+    def is_health_failure(self) -> bool:
         """Whether the outcome speaks against the upstream's health."""
         return self in (Outcome.UNREACHABLE, Outcome.BROKEN)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_retry.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_retry.py
@@ -8,7 +8,7 @@
 
 #: Retries that may be saved up while nothing fails: about what one runner had under
 #: way when it crashed, so that a single crash loses no work.
-MAX_SAVED = 64.0
+MAX_BALANCE = 64.0
 
 #: Retries earned by time alone while nothing is saved, so that the last requests of
 #: a burst are not stuck when no fresh ones come.
@@ -24,35 +24,35 @@
     """
 
     earned_ratio: float
-    max_saved: float = MAX_SAVED
+    max_balance: float = MAX_BALANCE
     floor_per_second: float = FLOOR_PER_SECOND
-    saved: float = attrs.field(init=False)
+    balance: float = attrs.field(init=False)
     _at_seconds: float | None = None
 
     def __attrs_post_init__(self) -> None:
-        self.saved = self.max_saved / 2
+        self.balance = self.max_balance / 2
 
     def earn(self) -> None:
         """Note a fresh request."""
-        self.saved = min(self.max_saved, self.saved + self.earned_ratio)
+        self.balance = min(self.max_balance, self.balance + self.earned_ratio)
 
     def has_one(self, now_seconds: float) -> bool:
         """Return whether the budget allows another retry now."""
         self._earn_by_time(now_seconds)
-        return self.saved >= 1.0
+        return self.balance >= 1.0
 
     def spend(self, now_seconds: float) -> bool:
         """Take one retry; return whether the budget allows it."""
         if not self.has_one(now_seconds):
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         return True
 
     def _earn_by_time(self, now_seconds: float) -> None:
-        if self._at_seconds is not None and self.saved < 1.0:
+        if self._at_seconds is not None and self.balance < 1.0:
             elapsed_seconds = now_seconds - self._at_seconds
             earned = elapsed_seconds * self.floor_per_second
-            self.saved = min(1.0, self.saved + earned)
+            self.balance = min(1.0, self.balance + earned)
         self._at_seconds = now_seconds
 
 
@@ -69,15 +69,15 @@
         Where the fleet's owners judge all hosts together, each has its part of what
         may be saved up.
         """
-        max_saved = self._max_saved(hosts_count)
+        max_balance = self._max_balance(hosts_count)
         budget = self._by_service.get(service)
         if budget is None:
             budget = self._by_service[service] = RetryBudget(
                 self._settings.budget_ratio * self._settings.margin_ratio,
-                max_saved,
+                max_balance,
                 self._settings.floor_per_second,
             )
-        budget.max_saved = max_saved
+        budget.max_balance = max_balance
         return budget
 
     def is_charged(self, outcome: Outcome) -> bool:
@@ -89,14 +89,14 @@
             return not outcome.never_arrived
         return not outcome.proves_not_run
 
-    def _max_saved(self, hosts_count: int) -> float:
+    def _max_balance(self, hosts_count: int) -> float:
         settings = self._settings
         if settings.fleet_saved_count < 0.0:
             return settings.max_saved_count * settings.margin_ratio
         return settings.fleet_saved_count * settings.margin_ratio / hosts_count
 
     @property
-    def least_saved(self) -> float:
+    def min_balance(self) -> float:
         """Retries left to the service that has the fewest."""
-        saved = (budget.saved for budget in self._by_service.values())
-        return min(saved, default=0.0)
+        balance = (budget.balance for budget in self._by_service.values())
+        return min(balance, default=0.0)
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -41,7 +41,7 @@
 from ._refusals import Refusals
 from ._request import Outcome, RequestLifecycle
 from ._retry import RetryBudgets
-from ._shares import ShareLedger
+from ._shares import UsageLedger
 from ._suspects import Suspects
 from ._upstreams import Upstream, UpstreamTable
 
@@ -144,7 +144,7 @@
         return self.pool.peers
 
     @property
-    def ledger(self) -> ShareLedger:
+    def ledger(self) -> UsageLedger:
         """Use of the pool by workspace."""
         return self.pool.ledger
 
--- a/packages/rampwick-policy/src/rampwick_policy/_shares.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shares.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define(repr=False)
-class DecayedUse(Shown):
+class DecayedUsage(Shown):
     """Priced tokens by tree path, forgotten with a time constant."""
 
     decay_seconds: float
@@ -73,16 +73,16 @@
         self.at_seconds = now_seconds
 
 
-class ShareLedger:
+class UsageLedger:
     """Use of the pool by workspace: this host's own and what its peers tell."""
 
     def __init__(self, decay_seconds: float) -> None:
         self.decay_seconds = decay_seconds
-        self._own = DecayedUse(decay_seconds)
-        self._own_by_workspace = DecayedUse(decay_seconds)
-        self._by_peer: dict[str, DecayedUse] = {}
+        self._own = DecayedUsage(decay_seconds)
+        self._own_by_workspace = DecayedUsage(decay_seconds)
+        self._by_peer: dict[str, DecayedUsage] = {}
         # Sum over all peers, kept up to date so that a look-up costs no walk.
-        self._peers = DecayedUse(decay_seconds)
+        self._peers = DecayedUsage(decay_seconds)
 
     def charge(self, workspace: str, tokens: float, now_seconds: float) -> None:
         """Add priced tokens to a workspace and all its ancestors."""
@@ -90,7 +90,7 @@
             self._own.add(path, tokens, now_seconds)
         self._own_by_workspace.add(workspace, tokens, now_seconds)
 
-    def hear(
+    def replace_peer_usage(
         self, peer: str, usages: Iterable[WorkspaceUsage], now_seconds: float
     ) -> None:
         """Replace what is known of a peer's use."""
@@ -102,9 +102,9 @@
         if known is not None:
             self._peers.add_all(known.snapshot(now_seconds), -1.0, now_seconds)
         self._peers.add_all(tokens, 1.0, now_seconds)
-        self._by_peer[peer] = DecayedUse(self.decay_seconds, now_seconds, tokens)
+        self._by_peer[peer] = DecayedUsage(self.decay_seconds, now_seconds, tokens)
 
-    def own_use(self, now_seconds: float) -> Mapping[str, float]:
+    def own_usage(self, now_seconds: float) -> Mapping[str, float]:
         """Return this host's use by workspace, to tell peers."""
         return self._own_by_workspace.snapshot(now_seconds)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
@@ -38,7 +38,7 @@
     return LATE_QUEUE_RATIO + growth_ratio * (LAST_QUEUE_RATIO - LATE_QUEUE_RATIO)
 
 
-def in_time_until_seconds(item: QueuedRequest) -> float:
+def latest_answer_start_seconds(item: QueuedRequest) -> float:
     """Return when its answer must begin; infinite where no target is known."""
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
@@ -46,7 +46,7 @@
     return item.arrived_at_seconds + target_seconds
 
 
-def begins_by_seconds(item: QueuedRequest) -> float:
+def latest_send_seconds(item: QueuedRequest) -> float:
     """Return when it must be sent to be in time; its deadline if it has no target."""
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
@@ -54,7 +54,7 @@
     return item.arrived_at_seconds + target_seconds * SPENT_RATIO
 
 
-def is_spent(item: QueuedRequest, now_seconds: float) -> bool:
+def cannot_meet_target(item: QueuedRequest, now_seconds: float) -> bool:
     """Return whether it has waited too long to be in time wherever it is sent."""
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -295,7 +295,7 @@
         "peers": peers,
         "open_count": scheduler.open_count,
         "waiting_count": len(scheduler.queue),
-        "retry_budget_count": round(scheduler.budgets.least_saved, 2),
+        "retry_budget_count": round(scheduler.budgets.min_balance, 2),
         "limits": [
             attrs.asdict(state) for state in _read_limits(scheduler, now_seconds)
         ],
--- a/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
@@ -292,7 +292,7 @@
         """Return what links a request's tries in logs, where a runner ended."""
         if self._identity is None or not error.was_closed:
             return {}
-        return {"fingerprint": self._identity.shown}
+        return {"fingerprint": self._identity.fingerprint_hex}
 
     def _note_attempt(self, dispatch: Dispatch, outcome: str) -> None:
         self.parts.metrics.attempts.labels(dispatch.upstream, outcome).inc()
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -154,11 +154,11 @@
         leave(session, 1.0, first.upstream)
         found = session.scheduler.pool.withdrawal(first.upstream, "one", 1.0)
         self.assertEqual(Obstacle.LEAVING, found)
-        before = session.scheduler.budgets.least_saved
+        before = session.scheduler.budgets.min_balance
         failed = AttemptFailed("r1", "r1.1", Outcome.WITHDRAWN, "it leaves")
         (second,) = sent_to(session.do(1.0, failed))
         self.assertNotEqual(first.upstream, second)
-        self.assertEqual(before, session.scheduler.budgets.least_saved)
+        self.assertEqual(before, session.scheduler.budgets.min_balance)
 
     def test_where_all_leave_requests_are_refused_at_once_as_not_run(self):
         session = Session(runners=2, slots=8)
