--- a/packages/rampwick-policy/src/rampwick_policy/_access.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_access.py
@@ -72,14 +72,14 @@
     workspace = view.find_workspace(key_hash)
     if workspace is None:
         return _denied(Verdict.UNKNOWN_KEY, age_seconds, rules)
-    most_seconds = rules.max_key_age_seconds
-    if most_seconds is not None and age_seconds > most_seconds:
+    max_age_seconds = rules.max_key_age_seconds
+    if max_age_seconds is not None and age_seconds > max_age_seconds:
         return Access(Verdict.STALE, route, workspace)
     return Access(Verdict.ALLOWED, route, workspace)
 
 
 def _denied(verdict: Verdict, age_seconds: float, rules: AccessRules) -> Access:
-    most_seconds = rules.max_denial_age_seconds
-    if most_seconds is not None and age_seconds > most_seconds:
+    max_age_seconds = rules.max_denial_age_seconds
+    if max_age_seconds is not None and age_seconds > max_age_seconds:
         return Access(Verdict.STALE)
     return Access(verdict)
--- a/packages/rampwick-policy/src/rampwick_policy/_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_admission.py
@@ -8,7 +8,7 @@
 
 from ._membership import Membership
 from ._queue import WaitingQueue
-from ._shares import DecayedUsage, Standing, UsageLedger
+from ._shares import DecayedUsage, FairnessKey, UsageLedger
 from ._tree import LimitedNode, Workspace
 
 #: Time constant of the rate at which this host gets rid of waiting work.
@@ -24,17 +24,17 @@
 #: Time for which a peer's word of what waits there is believed: two intervals of a
 #: small fleet's summaries. What waits is gone within milliseconds where there is room,
 #: and slots that are left free for it would stand idle.
-WAITING_BELIEVED_SECONDS = 0.5
+MAX_WAITING_REPORT_AGE_SECONDS = 0.5
 
 #: A standing this much lower than another goes first for sure; less is noise.
-ENTITLED_RATIO = 0.9
+PRECEDENCE_RATIO = 0.9
 
 
 @attrs.frozen(repr=False)
-class Rival(Shown):
+class PeerDemand(Shown):
     """A workspace that waits on other hosts."""
 
-    standing: Standing
+    fairness_key: FairnessKey
     waiting_count: int
 
 
@@ -60,7 +60,7 @@
         for path in workspace.lineage:
             self._running[path] = self._running.get(path, 0) + 1
 
-    def note_queue(self, now_seconds: float) -> None:
+    def note_backlog(self, now_seconds: float) -> None:
         """Note whether anything waits; only then is the drain rate a measure.
 
         While nothing waits the rate shows the demand, not what could be served.
@@ -82,11 +82,14 @@
         """Return the attempts open at or below a path."""
         return self._running.get(path, 0)
 
-    def full_limit(self, workspace: Workspace) -> str:
+    def reached_limit(self, workspace: Workspace) -> str:
         """Return the path whose limit on waiting requests is reached, or nothing."""
         for limit in workspace.limits:
-            most = limit.max_waiting_count
-            if most is not None and self._queue.waiting_count(limit.path) >= most:
+            max_count = limit.max_waiting_count
+            if (
+                max_count is not None
+                and self._queue.waiting_count(limit.path) >= max_count
+            ):
                 return limit.path
         return ""
 
@@ -95,17 +98,17 @@
         return all(self._may_start(limit) for limit in workspace.limits)
 
     def _may_start(self, limit: LimitedNode) -> bool:
-        most = limit.max_running_count
-        return most is None or self.running_count(limit.path) < most
+        max_count = limit.max_running_count
+        return max_count is None or self.running_count(limit.path) < max_count
 
-    def standing(self, workspace: Workspace, now_seconds: float) -> Standing:
+    def fairness_key(self, workspace: Workspace, now_seconds: float) -> FairnessKey:
         """Return the workspace's place in line over all hosts."""
-        return self._ledger.standing(workspace, now_seconds)
+        return self._ledger.fairness_key(workspace, now_seconds)
 
-    def rivals(self, service: str, now_seconds: float) -> list[Rival]:
+    def peer_demands(self, service: str, now_seconds: float) -> list[PeerDemand]:
         """Return the workspaces that wait at peers for a service."""
         return [
-            Rival(self.standing(workspace, now_seconds), count)
+            PeerDemand(self.fairness_key(workspace, now_seconds), count)
             for path, count in self._waiting_elsewhere(service, now_seconds).items()
             if (workspace := self.workspaces.get(path)) is not None
         ]
@@ -113,7 +116,7 @@
     def _waiting_elsewhere(self, service: str, now_seconds: float) -> dict[str, int]:
         counts: Counter[str] = Counter()
         for view in self._peers.live(now_seconds):
-            if now_seconds - view.heard_at_seconds > WAITING_BELIEVED_SECONDS:
+            if now_seconds - view.heard_at_seconds > MAX_WAITING_REPORT_AGE_SECONDS:
                 continue
             for waiting in view.summary.waiting:
                 if waiting.service == service:
@@ -142,11 +145,11 @@
         return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait_seconds))
 
 
-def goes_before(standing: Standing, other: Standing) -> bool:
+def precedes(fairness_key: FairnessKey, other: FairnessKey) -> bool:
     """Return whether one standing is lower by more than noise."""
-    for mine, theirs in zip(standing, other, strict=False):
-        if mine < theirs * ENTITLED_RATIO:
+    for mine, theirs in zip(fairness_key, other, strict=False):
+        if mine < theirs * PRECEDENCE_RATIO:
             return True
-        if theirs < mine * ENTITLED_RATIO:
+        if theirs < mine * PRECEDENCE_RATIO:
             return False
     return False
--- a/packages/rampwick-policy/src/rampwick_policy/_capacity.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_capacity.py
@@ -4,22 +4,22 @@
 the queue shares them. A dispatch changes them; the next pass builds new ones.
 """
 
-from ._admission import Admission, Rival, goes_before
+from ._admission import Admission, PeerDemand, precedes
 from ._events import RANKED_CLASSES, RequestArrived
 from ._membership import Membership
 from ._placement import Choice, RunnerView, chosen_view
 from ._request_turns import RequestTurns
-from ._shares import Standing
+from ._shares import FairnessKey
 from ._upstreams import Upstream, UpstreamTable
 
 #: Slots beyond the usual ones that urgent requests may use.
-PORTAL_EXTRA_RATIO = 0.25
+URGENT_EXTRA_RATIO = 0.25
 
 #: Share of a runner's slots by which an entitled request may exceed them.
-ENTITLED_EXTRA_RATIO = 0.125
+PRECEDENCE_EXTRA_RATIO = 0.125
 
 
-class Room:
+class CapacitySnapshot:
     """Views of the upstreams at one moment."""
 
     def __init__(
@@ -27,17 +27,17 @@
         upstreams: UpstreamTable,
         peers: Membership,
         admission: Admission,
-        turns: RequestTurns,
+        rate_limiter: RequestTurns,
         now_seconds: float,
     ) -> None:
         self._upstreams = upstreams
-        self._turns = turns
+        self._rate_limiter = rate_limiter
         self._peers = peers
         self._admission = admission
         self._now_seconds = now_seconds
-        self._part_ratio = peers.own_part_ratio(now_seconds)
+        self._share_ratio = peers.own_part_ratio(now_seconds)
         self._views: dict[tuple[str, str, bool], list[RunnerView]] = {}
-        self._rivals: dict[str, list[Rival]] = {}
+        self._peer_demands: dict[str, list[PeerDemand]] = {}
 
     def views(self, arrival: RequestArrived) -> list[RunnerView]:
         """Return the upstreams that could serve a request."""
@@ -48,38 +48,38 @@
             self._views[key] = self._build(arrival.service, model, is_urgent)
         return self._views[key]
 
-    def has_any(self, views: list[RunnerView]) -> bool:
+    def any_has_headroom(self, views: list[RunnerView]) -> bool:
         """Return whether any of the upstreams might take another request."""
-        return any(_has_room(view) for view in views)
+        return any(_has_headroom(view) for view in views)
 
-    def may_take(
+    def may_dispatch(
         self,
         service: str,
         choice: Choice,
         views: list[RunnerView],
-        standing: Standing,
+        fairness_key: FairnessKey,
     ) -> bool:
         """Return whether a request of this standing may go where it was placed."""
-        rivals = self._list_rivals(service)
+        peer_demands = self._demands_for(service)
         view = chosen_view(choice, views)
         if not view.has_slot:
-            return self._may_exceed(view, rivals, standing)
+            return self._may_exceed(view, peer_demands, fairness_key)
         # Leave free slots to requests elsewhere that should go first. If nobody
         # elsewhere waits for them, all are free to take: nothing stays idle.
-        entitled = sum(
-            rival.waiting_count
-            for rival in rivals
-            if goes_before(rival.standing, standing)
+        preceding_count = sum(
+            demand.waiting_count
+            for demand in peer_demands
+            if precedes(demand.fairness_key, fairness_key)
         )
         free = sum(max(0, item.slots_count - item.running_count) for item in views)
-        return free > entitled
+        return free > preceding_count
 
-    def may_take_late(
+    def may_dispatch_late(
         self,
         service: str,
         choice: Choice,
         views: list[RunnerView],
-        standing: Standing,
+        fairness_key: FairnessKey,
         queue_ratio: float,
     ) -> bool:
         """Return whether one that is late already may go where it was placed.
@@ -91,16 +91,16 @@
         if view.prefill_queue_seconds > queue_ratio * view.max_prefill_queue_seconds:
             return False
         if queue_ratio > 1.0:
-            return _has_room(view)
-        return self.may_take(service, choice, views, standing)
+            return _has_headroom(view)
+        return self.may_dispatch(service, choice, views, fairness_key)
 
     def _build(self, service: str, model: str, is_urgent: bool) -> list[RunnerView]:
-        extra_ratio = PORTAL_EXTRA_RATIO if is_urgent else 0.0
+        extra_ratio = URGENT_EXTRA_RATIO if is_urgent else 0.0
         return [
             self._upstreams.view(
                 upstream,
                 self._peers,
-                self._part_ratio,
+                self._share_ratio,
                 extra_ratio,
                 self._now_seconds,
             )
@@ -109,30 +109,39 @@
             and self._upstreams.is_open(upstream, self._now_seconds)
             # An upstream in need names one number for all hosts: unread, or kept to by
             # each host alone, it gets several times what it takes.
-            and self._turns.may_send(upstream, self._now_seconds)
+            and self._rate_limiter.may_send(upstream, self._now_seconds)
         ]
 
-    def _list_rivals(self, service: str) -> list[Rival]:
-        if service not in self._rivals:
-            self._rivals[service] = self._admission.rivals(service, self._now_seconds)
-        return self._rivals[service]
+    def _demands_for(self, service: str) -> list[PeerDemand]:
+        if service not in self._peer_demands:
+            self._peer_demands[service] = self._admission.peer_demands(
+                service, self._now_seconds
+            )
+        return self._peer_demands[service]
 
     def _may_exceed(
-        self, view: RunnerView, rivals: list[Rival], standing: Standing
+        self,
+        view: RunnerView,
+        peer_demands: list[PeerDemand],
+        fairness_key: FairnessKey,
     ) -> bool:
         # A full runner's slots are held by hosts whose work may be less entitled.
         # One request over the line makes them see it, without any slot left idle.
         upstream = self._upstreams.get(view.name)
-        if upstream is None or not _has_room(view):
+        if upstream is None or not _has_headroom(view):
             return False
         if not upstream.own_attempts:
             return True
-        is_first = not any(goes_before(item.standing, standing) for item in rivals)
-        return is_first and any(goes_before(standing, item.standing) for item in rivals)
+        is_first = not any(
+            precedes(item.fairness_key, fairness_key) for item in peer_demands
+        )
+        return is_first and any(
+            precedes(fairness_key, item.fairness_key) for item in peer_demands
+        )
 
 
-def _has_room(view: RunnerView) -> bool:
-    extra_slots = max(1, int(view.slots_count * ENTITLED_EXTRA_RATIO))
+def _has_headroom(view: RunnerView) -> bool:
+    extra_slots = max(1, int(view.slots_count * PRECEDENCE_EXTRA_RATIO))
     # Twice the usual prefill queue is the most that an entitled request may face.
     return (
         view.running_count < view.slots_count + extra_slots
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -13,7 +13,7 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._capacity import Room
+from ._capacity import CapacitySnapshot
 from ._forecasts import Forecasts
 from ._moves import Move
 from ._placement import (
@@ -31,7 +31,7 @@
 from ._reasons import KEPT_APART, NO_RETRY_LEFT, NO_UPSTREAM
 from ._request import RunState
 from ._retry import RetryBudgets
-from ._shares import Standing
+from ._shares import FairnessKey
 from ._suspects import Suspects
 from ._timeliness import (
     cannot_meet_target,
@@ -51,11 +51,11 @@
 LOOKAHEAD_COUNT = 4
 
 #: Wait after which a request pays half the price to have its prefix cached.
-PATIENCE_SECONDS = 2.0
+MISS_PRICE_HALVING_SECONDS = 2.0
 
 
 @attrs.frozen(repr=False)
-class Hopeless(Shown):
+class DeadlineUnreachable(Shown):
     """A request, out of its line already, that can't begin before its deadline."""
 
     item: QueuedRequest
@@ -108,20 +108,20 @@
 
     def next_decision(
         self, only_path: str, now_seconds: float
-    ) -> ev.Dispatch | Hopeless | None:
+    ) -> ev.Dispatch | DeadlineUnreachable | None:
         """Return the next request to send or give up, or none for now.
 
         ``only_path`` restricts the look to one workspace; empty looks at all.
         """
         pool = self._pool
-        room = Room(
+        capacity = CapacitySnapshot(
             pool.upstreams, pool.peers, self._admission, pool.turns, now_seconds
         )
         for is_late, priority_class in itertools.product(
             (False, True), ev.RANKED_CLASSES
         ):
             decision = self._next_of_class(
-                priority_class, is_late, only_path, room, now_seconds
+                priority_class, is_late, only_path, capacity, now_seconds
             )
             if decision is not None:
                 return decision
@@ -132,13 +132,13 @@
         priority_class: str,
         is_late: bool,
         only_path: str,
-        room: Room,
+        capacity: CapacitySnapshot,
         now_seconds: float,
-    ) -> ev.Dispatch | Hopeless | None:
-        paths = self._queue.workspaces_waiting(priority_class)
+    ) -> ev.Dispatch | DeadlineUnreachable | None:
+        paths = self._queue.waiting_workspaces(priority_class)
         if only_path:
             paths = [path for path in paths if path == only_path]
-        for standing, path, workspace in self._lines(
+        for fairness_key, path, workspace in self._lines(
             priority_class, paths, now_seconds
         ):
             if not self._admission.may_start(workspace):
@@ -149,20 +149,22 @@
                     item for item in line if not cannot_meet_target(item, now_seconds)
                 )
             for _, item in zip(range(LOOKAHEAD_COUNT), line, strict=False):
-                action = self._try_dispatch(item, is_late, standing, room, now_seconds)
+                action = self._try_dispatch(
+                    item, is_late, fairness_key, capacity, now_seconds
+                )
                 if action is not None:
                     return action
         return None
 
     def _lines(
         self, priority_class: str, paths: list[str], now_seconds: float
-    ) -> list[tuple[Standing, str, Workspace]]:
+    ) -> list[tuple[FairnessKey, str, Workspace]]:
         lines = []
         for path in paths:
             first = next(self._queue.line(priority_class, path))
             workspace = first.arrival.workspace
-            standing = self._admission.standing(workspace, now_seconds)
-            lines.append((standing, path, workspace))
+            fairness_key = self._admission.fairness_key(workspace, now_seconds)
+            lines.append((fairness_key, path, workspace))
         lines.sort(key=lambda line: line[:2])
         return lines
 
@@ -170,42 +172,44 @@
         self,
         item: QueuedRequest,
         is_late: bool,
-        standing: Standing,
-        room: Room,
+        fairness_key: FairnessKey,
+        capacity: CapacitySnapshot,
         now_seconds: float,
-    ) -> ev.Dispatch | Hopeless | None:
+    ) -> ev.Dispatch | DeadlineUnreachable | None:
         arrival = item.arrival
-        views = room.views(arrival)
+        views = capacity.views(arrival)
         if not views:
             forecast = self._forecasts.find(arrival, now_seconds)
-            item.strand(forecast.reason if forecast else NO_UPSTREAM, now_seconds)
+            item.mark_blocked(forecast.reason if forecast else NO_UPSTREAM, now_seconds)
             return None
         budget = self._budgets.of(arrival.service, self._pool.peers.known_hosts_count)
-        if item.needs_budget and not budget.has_one(now_seconds):
-            item.strand(NO_RETRY_LEFT, now_seconds)
+        if item.needs_budget and not budget.has_retry(now_seconds):
+            item.mark_blocked(NO_RETRY_LEFT, now_seconds)
             return None
         fresh = [view for view in views if view.name not in item.tried]
         views = self._suspects.allowed_views(item, fresh or views, now_seconds)
         if not views:
-            item.strand(KEPT_APART, now_seconds)
+            item.mark_blocked(KEPT_APART, now_seconds)
             return None
-        item.unstrand()
-        if not room.has_any(views):
+        item.clear_blocked()
+        if not capacity.any_has_headroom(views):
             return None
         choice = self._choose(item, views, now_seconds)
-        begins_seconds = _begins_seconds(arrival, choice, views, now_seconds)
-        if begins_seconds > arrival.deadline_seconds:
+        answer_start_seconds = _answer_start_seconds(
+            arrival, choice, views, now_seconds
+        )
+        if answer_start_seconds > arrival.deadline_seconds:
             self._queue.remove(item)
-            return Hopeless(item)
-        if not is_late and begins_seconds > latest_answer_start_seconds(item):
+            return DeadlineUnreachable(item)
+        if not is_late and answer_start_seconds > latest_answer_start_seconds(item):
             return None
-        terms = (arrival.service, choice, views, standing)
+        terms = (arrival.service, choice, views, fairness_key)
         if is_late:
             queue_ratio = late_queue_ratio(item, now_seconds)
-            may_take = room.may_take_late(*terms, queue_ratio)
+            may_dispatch = capacity.may_dispatch_late(*terms, queue_ratio)
         else:
-            may_take = room.may_take(*terms)
-        if not may_take:
+            may_dispatch = capacity.may_dispatch(*terms)
+        if not may_dispatch:
             return None
         if item.needs_budget:
             budget.spend(now_seconds)
@@ -220,7 +224,7 @@
             price = self._settings.miss_price
         # Who has waited long settles for a runner that must compute more.
         waited_seconds = now_seconds - item.arrived_at_seconds
-        price /= 1.0 + waited_seconds / PATIENCE_SECONDS
+        price /= 1.0 + waited_seconds / MISS_PRICE_HALVING_SECONDS
         if arrival.chain is None:
             no_chain = PrefixChain(checkpoints=(), total_tokens=1)
             return self._service_placement.choose(no_chain, views, price, now_seconds)
@@ -239,8 +243,8 @@
         assert upstream is not None
         attempt_id = f"{item.request_id}.{item.lifecycle.attempts_count + 1}"
         self._queue.remove(item)
-        is_again = item.lifecycle.run_state >= RunState.MAYBE_RUN
-        item.counted = self._pool.limits.note_sent(item.counted, is_again, now_seconds)
+        is_rerun = item.lifecycle.run_state >= RunState.MAYBE_RUN
+        item.counted = self._pool.limits.note_sent(item.counted, is_rerun, now_seconds)
         item.lifecycle.start(attempt_id)
         item.needs_budget = False
         item.upstream = upstream.name
@@ -252,7 +256,7 @@
             attempt_id,
             choice.missing_tokens,
             now_seconds,
-            is_alone=_is_alone(choice),
+            is_alone=_measures_prefill_speed(choice),
         )
         self._note_import(attempt_id, item, choice)
         answer_tokens = self._answers.expect(item.arrival)
@@ -293,7 +297,7 @@
         self._pool.moves.begin(attempt_id, move)
 
 
-def _is_alone(choice: Choice) -> bool:
+def _measures_prefill_speed(choice: Choice) -> bool:
     """Return whether how long a prompt takes tells how fast its runner reads."""
     return (
         choice.missing_tokens >= MIN_TOKENS
@@ -302,7 +306,7 @@
     )
 
 
-def _begins_seconds(
+def _answer_start_seconds(
     arrival: ev.RequestArrived,
     choice: Choice,
     views: list[RunnerView],
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -35,15 +35,15 @@
     #: Why there is no open upstream.
     reason: str
 
-    def send_at_seconds(self, before_count: int) -> float:
+    def send_at_seconds(self, ahead_count: int) -> float:
         """Return when a request goes that has so many before it; infinite if never."""
-        if not before_count or not self.requests_per_second:
+        if not ahead_count or not self.requests_per_second:
             return self.first_at_seconds
-        return self.first_at_seconds + before_count / self.requests_per_second
+        return self.first_at_seconds + ahead_count / self.requests_per_second
 
 
 #: Forecast for an upstream that takes what comes, or may do so in a moment.
-ANY_MOMENT = Forecast(0.0, math.inf, "")
+IMMEDIATE = Forecast(0.0, math.inf, "")
 
 #: Reasons by how much they say about when a request can be sent.
 REASONS = (AT_RATE, PAUSED, NO_UPSTREAM)
@@ -62,10 +62,10 @@
     """Looks ahead for requests; it shares the scheduler's parts."""
 
     def __init__(
-        self, upstreams: UpstreamTable, turns: RequestTurns, queue: WaitingQueue
+        self, upstreams: UpstreamTable, rate_limiter: RequestTurns, queue: WaitingQueue
     ) -> None:
         self._upstreams = upstreams
-        self._turns = turns
+        self._rate_limiter = rate_limiter
         self._queue = queue
 
     @property
@@ -73,7 +73,9 @@
         """Whether any upstream has said anything that a forecast could rest on."""
         upstreams = self._upstreams
         return bool(
-            len(self._turns.rates) or len(upstreams.departures) or len(upstreams.pauses)
+            len(self._rate_limiter.rates)
+            or len(upstreams.departures)
+            or len(upstreams.pauses)
         )
 
     def find(self, arrival: RequestArrived, now_seconds: float) -> Forecast | None:
@@ -89,7 +91,7 @@
             if not serves(upstream, arrival.service, model):
                 continue
             forecast = self._forecast(upstream, now_seconds)
-            if forecast is ANY_MOMENT:
+            if forecast is IMMEDIATE:
                 return None
             if forecast is not None:
                 known.append(forecast)
@@ -100,23 +102,27 @@
         obstacle = self._upstreams.obstacle(upstream, now_seconds)
         if obstacle is Obstacle.LEAVING:
             return Forecast(math.inf, 0.0, NO_UPSTREAM)
-        turn_at_seconds = self._turns.next_at_seconds(upstream, now_seconds)
-        is_limited = turn_at_seconds is not None
-        rate = self._turns.own_rate(upstream, now_seconds) if is_limited else math.inf
+        allowed_at_seconds = self._rate_limiter.next_at_seconds(upstream, now_seconds)
+        is_limited = allowed_at_seconds is not None
+        rate = (
+            self._rate_limiter.own_rate(upstream, now_seconds)
+            if is_limited
+            else math.inf
+        )
         if obstacle is Obstacle.PAUSED:
             resumes_at_seconds = upstream.paused_until_seconds
-            if turn_at_seconds is not None:
-                resumes_at_seconds = max(resumes_at_seconds, turn_at_seconds)
+            if allowed_at_seconds is not None:
+                resumes_at_seconds = max(resumes_at_seconds, allowed_at_seconds)
             return Forecast(resumes_at_seconds, rate, PAUSED)
-        if obstacle is None and turn_at_seconds is not None:
-            return Forecast(turn_at_seconds, rate, AT_RATE)
+        if obstacle is None and allowed_at_seconds is not None:
+            return Forecast(allowed_at_seconds, rate, AT_RATE)
         if obstacle is None:
-            return ANY_MOMENT
+            return IMMEDIATE
         is_soon = self._upstreams.may_open_soon(upstream, now_seconds)
-        return ANY_MOMENT if is_soon and not is_limited else None
+        return IMMEDIATE if is_soon and not is_limited else None
 
-    def postpone(
-        self, item: QueuedRequest, before_count: int, now_seconds: float
+    def find_postponement(
+        self, item: QueuedRequest, ahead_count: int, now_seconds: float
     ) -> Postponement | None:
         """Return when a request that can't be in time is to come back.
 
@@ -125,17 +131,17 @@
         forecast = self.find(item.arrival, now_seconds)
         if forecast is None:
             return None
-        return _postpone(item, forecast, before_count, now_seconds)
+        return _postponement(item, forecast, ahead_count, now_seconds)
 
-    def postpone_on_arrival(
+    def find_postponement_on_arrival(
         self, item: QueuedRequest, now_seconds: float
     ) -> Postponement | None:
         """Return the same for one that arrives behind all that wait for its service."""
         forecast = self.find(item.arrival, now_seconds)
         if forecast is None:
             return None
-        before_count = self._waiting_count(item.arrival.service)
-        return _postpone(item, forecast, before_count, now_seconds)
+        ahead_count = self._waiting_count(item.arrival.service)
+        return _postponement(item, forecast, ahead_count, now_seconds)
 
     def _waiting_count(self, service: str) -> int:
         counts = self._queue.service_counts()
@@ -152,10 +158,10 @@
     )
 
 
-def _postpone(
-    item: QueuedRequest, forecast: Forecast, before_count: int, now_seconds: float
+def _postponement(
+    item: QueuedRequest, forecast: Forecast, ahead_count: int, now_seconds: float
 ) -> Postponement | None:
-    send_at_seconds = forecast.send_at_seconds(before_count)
+    send_at_seconds = forecast.send_at_seconds(ahead_count)
     if send_at_seconds <= latest_send_seconds(item):
         return None
     if forecast.reason == NO_UPSTREAM:
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -82,7 +82,7 @@
         if self._suspects.suspicion(item) is Suspicion.STOPPED:
             self._suspects.note_refused(item, now_seconds)
             return Rejection(ENDS_UPSTREAMS)
-        postponed = self._forecasts.postpone_on_arrival(item, now_seconds)
+        postponed = self._forecasts.find_postponement_on_arrival(item, now_seconds)
         if postponed is not None:
             return Rejection(
                 postponed.reason, retry_after_seconds=postponed.retry_after_seconds
@@ -91,22 +91,22 @@
         if isinstance(counted, OverLimit):
             return Rejection(OVER_LIMIT, counted.path, counted.retry_after_seconds)
         item.counted = counted
-        full = self._admission.full_limit(event.workspace)
-        if full:
-            return Rejection(QUEUE_FULL, full)
+        limit_path = self._admission.reached_limit(event.workspace)
+        if limit_path:
+            return Rejection(QUEUE_FULL, limit_path)
         wait_seconds = self._admission.wait_seconds(event.workspace, now_seconds)
         if now_seconds + wait_seconds > event.deadline_seconds:
             return Rejection(DEADLINE_UNREACHABLE)
         return None
 
-    def make_way(self, item: QueuedRequest) -> QueuedRequest | None:
+    def evict_for(self, item: QueuedRequest) -> QueuedRequest | None:
         """Return whom to refuse for a request: none while the host's queue has room.
 
         It is the last of whoever fills the queue most, taken out of it, or the request.
         """
         if len(self._queue) < self._settings.queue.max_waiting_count:
             return None
-        victim = self._queue.last_of_longest(other_than=item.workspace_path)
+        victim = self._queue.newest_of_longest_queue(other_than=item.workspace_path)
         if victim is None:
             return item
         self._queue.remove(victim)
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -59,7 +59,7 @@
         item.upstream = ""
         self._admission.note_ended(item.arrival.workspace)
 
-    def settle(
+    def charge_actual(
         self, item: QueuedRequest, real_tokens: float, now_seconds: float
     ) -> None:
         """Charge a request for what it cost in place of what it was taken to cost."""
@@ -83,7 +83,7 @@
         attempt_id = item.lifecycle.attempt_id
         if not attempt_id:
             self._queue.remove(item)
-            self._uncount(item)
+            self._refund(item)
             return []
         upstream = self._pool.upstreams.get(item.upstream)
         self.release(item, attempt_id, now_seconds)
@@ -103,10 +103,10 @@
         """Refuse a request that is in no line; its caller is answered at once."""
         item.lifecycle.end()
         self.remove(item)
-        self._uncount(item)
+        self._refund(item)
         return self._refusals.make(item, reason, now_seconds, peer, retry_after_seconds)
 
-    def give_up(
+    def abort(
         self,
         item: QueuedRequest,
         reason: str,
@@ -133,16 +133,16 @@
             if not item.lifecycle.is_waiting or item.lifecycle.has_delivered:
                 continue
             service = item.arrival.service
-            postponed = forecasts.postpone(item, before[service], now_seconds)
+            postponed = forecasts.find_postponement(item, before[service], now_seconds)
             if postponed is None:
                 before[service] += 1
             else:
-                actions += self.give_up(
+                actions += self.abort(
                     item, postponed.reason, now_seconds, postponed.retry_after_seconds
                 )
         return actions
 
-    def _uncount(self, item: QueuedRequest) -> None:
+    def _refund(self, item: QueuedRequest) -> None:
         """Have a request that surely did not run count no more towards limits."""
         if item.lifecycle.run_state <= RunState.REFUSED:
             self._pool.limits.give_back(item.counted)
--- a/packages/rampwick-policy/src/rampwick_policy/_queue.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_queue.py
@@ -32,8 +32,8 @@
     #: What it counts towards limits in tokens.
     counted: list[Counted] = attrs.field(factory=list)
     #: Since when nothing could be done for it, and why; nothing while something can.
-    stranded_at_seconds: float | None = None
-    stranded_reason: str = ""
+    blocked_since_seconds: float | None = None
+    blocked_reason: str = ""
 
     @property
     def request_id(self) -> str:
@@ -45,16 +45,16 @@
         """Path of the workspace."""
         return self.arrival.workspace.path
 
-    def strand(self, reason: str, now_seconds: float) -> None:
+    def mark_blocked(self, reason: str, now_seconds: float) -> None:
         """Note that nothing can be done for it now; it is not held for long so."""
-        if self.stranded_at_seconds is None:
-            self.stranded_at_seconds = now_seconds
-        self.stranded_reason = reason
+        if self.blocked_since_seconds is None:
+            self.blocked_since_seconds = now_seconds
+        self.blocked_reason = reason
 
-    def unstrand(self) -> None:
+    def clear_blocked(self) -> None:
         """Note that it can go as soon as its turn comes."""
-        self.stranded_at_seconds = None
-        self.stranded_reason = ""
+        self.blocked_since_seconds = None
+        self.blocked_reason = ""
 
 
 class WaitingQueue:
@@ -99,7 +99,7 @@
             del lines[item.workspace_path]
         self._adjust(item, sign=-1)
 
-    def last_of_longest(self, other_than: str) -> QueuedRequest | None:
+    def newest_of_longest_queue(self, other_than: str) -> QueuedRequest | None:
         """Return the newest request of the workspace with the longest line.
 
         None if the other workspace's own line is as long.
@@ -112,7 +112,7 @@
                 return next(reversed(lines[path].values()))
         return None
 
-    def workspaces_waiting(self, priority_class: str) -> list[str]:
+    def waiting_workspaces(self, priority_class: str) -> list[str]:
         """Return the paths of the workspaces that wait in a class."""
         return list(self._lines[priority_class])
 
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -23,12 +23,12 @@
 from ._suspects import Suspects
 
 #: Wait for an upstream to come back, or for a retry, before a request is given up.
-STRANDED_SECONDS = 2.0
+MAX_BLOCKED_SECONDS = 2.0
 
 #: The same for a stream that broke midway. Its caller has a part of it and bears a
 #: longer pause, about what an upstream needs to come back; after that it asks again
 #: itself. Without a bound callers were held to their deadlines, 4 s and more.
-MIDWAY_SECONDS = 4.0
+MAX_BLOCKED_STREAM_SECONDS = 4.0
 
 
 class Refusals:
@@ -56,11 +56,13 @@
             return ""
         if now_seconds >= item.arrival.deadline_seconds:
             return DEADLINE_PASSED
-        stranded_at_seconds = item.stranded_at_seconds
-        if stranded_at_seconds is None:
+        blocked_since_seconds = item.blocked_since_seconds
+        if blocked_since_seconds is None:
             return ""
-        is_stranded = now_seconds - stranded_at_seconds > self._hold_seconds(item)
-        return item.stranded_reason if is_stranded else ""
+        is_blocked_too_long = (
+            now_seconds - blocked_since_seconds > self._max_blocked_seconds(item)
+        )
+        return item.blocked_reason if is_blocked_too_long else ""
 
     def make(
         self,
@@ -106,25 +108,25 @@
     def _retry_after_seconds(
         self, item: QueuedRequest, now_seconds: float
     ) -> float | None:
-        may_ask_again = (
+        may_resend = (
             item.arrival.is_repeatable or item.lifecycle.run_state <= RunState.REFUSED
         )
-        if not may_ask_again:
+        if not may_resend:
             return None
         return self._admission.retry_after_seconds(item.arrival.workspace, now_seconds)
 
-    def _hold_seconds(self, item: QueuedRequest) -> float:
+    def _max_blocked_seconds(self, item: QueuedRequest) -> float:
         """Return how long a request waits while no upstream can take it."""
         if item.lifecycle.has_delivered:
-            return MIDWAY_SECONDS
+            return MAX_BLOCKED_STREAM_SECONDS
         target_seconds = item.arrival.latency_target_seconds
-        if item.stranded_reason in (AT_RATE, PAUSED):
+        if item.blocked_reason in (AT_RATE, PAUSED):
             # When it can go is foreseen; it is refused as soon as that is too late.
             return math.inf
-        if target_seconds is None and item.stranded_reason == NO_RETRY_LEFT:
+        if target_seconds is None and item.blocked_reason == NO_RETRY_LEFT:
             # Its caller named nothing but a deadline, and retries are earned by time.
             return math.inf
-        if target_seconds is None or item.stranded_reason == KEPT_APART:
+        if target_seconds is None or item.blocked_reason == KEPT_APART:
             # An upstream that is free of other suspects is a matter of one answer.
-            return STRANDED_SECONDS
+            return MAX_BLOCKED_SECONDS
         return target_seconds * self._settings.hold_ratio
--- a/packages/rampwick-policy/src/rampwick_policy/_retry.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_retry.py
@@ -36,19 +36,19 @@
         """Note a fresh request."""
         self.balance = min(self.max_balance, self.balance + self.earned_ratio)
 
-    def has_one(self, now_seconds: float) -> bool:
+    def has_retry(self, now_seconds: float) -> bool:
         """Return whether the budget allows another retry now."""
-        self._earn_by_time(now_seconds)
+        self._refill(now_seconds)
         return self.balance >= 1.0
 
     def spend(self, now_seconds: float) -> bool:
         """Take one retry; return whether the budget allows it."""
-        if not self.has_one(now_seconds):
+        if not self.has_retry(now_seconds):
             return False
         self.balance -= 1.0
         return True
 
-    def _earn_by_time(self, now_seconds: float) -> None:
+    def _refill(self, now_seconds: float) -> None:
         if self._at_seconds is not None and self.balance < 1.0:
             elapsed_seconds = now_seconds - self._at_seconds
             earned = elapsed_seconds * self.floor_per_second
--- a/packages/rampwick-policy/src/rampwick_policy/_routes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_routes.py
@@ -10,7 +10,7 @@
 from rampwick_schema import Route, Routing, Service
 
 #: Bytes of the hash that spreads requests over a route's services.
-_DRAW_BYTES = 8
+_HASH_BYTES = 8
 
 
 class RouteIndex:
@@ -49,8 +49,8 @@
     The choice depends on the id alone, so that all hosts agree on it.
     """
     total = sum(target.weight for target in route.targets)
-    digest = hashlib.blake2b(request_id.encode(), digest_size=_DRAW_BYTES).digest()
-    draw = int.from_bytes(digest, "big") / 256.0**_DRAW_BYTES * total
+    digest = hashlib.blake2b(request_id.encode(), digest_size=_HASH_BYTES).digest()
+    draw = int.from_bytes(digest, "big") / 256.0**_HASH_BYTES * total
     for target in route.targets:
         draw -= target.weight
         if draw < 0.0:
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -18,8 +18,8 @@
 from ._dispatcher import (
     ANSWER_TOKEN_PRICE,
     AnswerEstimates,
+    DeadlineUnreachable,
     Dispatcher,
-    Hopeless,
 )
 from ._errors import LifecycleError
 from ._forecasts import Forecasts
@@ -46,7 +46,7 @@
 from ._upstreams import Upstream, UpstreamTable
 
 #: Events after which nothing that waits can go any sooner; ticks come anyway.
-QUIET_EVENTS = (ev.AttemptAccepted, ev.LoadReported, ev.CacheReported)
+NON_DISPATCHING_EVENTS = (ev.AttemptAccepted, ev.LoadReported, ev.CacheReported)
 
 
 class Scheduler:
@@ -128,8 +128,8 @@
         """Take one event; return what is to be done, in order."""
         actions = self._handlers[type(event)](event, now_seconds)
         if self.suspects.judge(now_seconds):
-            actions += self._stop_suspects(now_seconds)
-        self.admission.note_queue(now_seconds)
+            actions += self._refuse_quarantined(now_seconds)
+        self.admission.note_backlog(now_seconds)
         actions += self._fill(event, now_seconds)
         return actions
 
@@ -207,7 +207,7 @@
                     rejection.retry_after_seconds,
                 )
             ]
-        victim = self._intake.make_way(item)
+        victim = self._intake.evict_for(item)
         if victim is not item:
             self.queue.add(item)
         if victim is None:
@@ -250,7 +250,7 @@
         self._requests.release(item, event.attempt_id, now_seconds)
         failed = Incarnation(peer, item.incarnation)
         self.pool.note_failure(failed, event, now_seconds)
-        self._requests.settle(item, 0.0, now_seconds)
+        self._requests.charge_actual(item, 0.0, now_seconds)
         if not item.lifecycle.may_retry(now_seconds):
             refusal = self._requests.refuse(
                 item, UPSTREAM_FAILED, now_seconds, peer=peer
@@ -274,7 +274,7 @@
         if chain is None:
             return []
         missing = max(0, event.prompt_tokens - event.cached_tokens)
-        self._requests.settle(
+        self._requests.charge_actual(
             item, missing + ANSWER_TOKEN_PRICE * event.answer_tokens, now_seconds
         )
         self._answers.learn(item.workspace_path, event.answer_tokens)
@@ -338,16 +338,16 @@
         self, event: ev.CrashUpdateReceived, now_seconds: float
     ) -> list[ev.Action]:
         if self.suspects.hear(event.update, now_seconds):
-            return self._stop_suspects(now_seconds)
+            return self._refuse_quarantined(now_seconds)
         return []
 
-    def _stop_suspects(self, now_seconds: float) -> list[ev.Action]:
+    def _refuse_quarantined(self, now_seconds: float) -> list[ev.Action]:
         """Refuse what is stopped, be it waiting or under way."""
         actions: list[ev.Action] = []
         for item in self._requests:
             if self.suspects.suspicion(item) is Suspicion.STOPPED:
                 self.suspects.note_refused(item, now_seconds)
-                actions += self._requests.give_up(item, ENDS_UPSTREAMS, now_seconds)
+                actions += self._requests.abort(item, ENDS_UPSTREAMS, now_seconds)
         return actions
 
     def _on_tree(self, event: ev.TreeChanged, now_seconds: float) -> list[ev.Action]:
@@ -365,18 +365,18 @@
         self.suspects.book.sweep(now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
-            actions += self._check_hope(item, now_seconds)
+            actions += self._abort_if_due(item, now_seconds)
         if self._forecasts.is_needed:
             actions += self._requests.refuse_unsendable(self._forecasts, now_seconds)
         return actions
 
-    def _check_hope(self, item: QueuedRequest, now_seconds: float) -> list[ev.Action]:
+    def _abort_if_due(self, item: QueuedRequest, now_seconds: float) -> list[ev.Action]:
         reason = self._refusals.find_reason(item, now_seconds)
-        return self._requests.give_up(item, reason, now_seconds) if reason else []
+        return self._requests.abort(item, reason, now_seconds) if reason else []
 
     def _fill(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
         """Dispatch what may go now, and refuse what can't be served in time."""
-        if not len(self.queue) or isinstance(event, QUIET_EVENTS):
+        if not len(self.queue) or isinstance(event, NON_DISPATCHING_EVENTS):
             return []
         # What waited before an arrival was found blocked then; only its own line
         # can have something new.
@@ -385,7 +385,7 @@
             only_path = event.workspace.path
         actions: list[ev.Action] = []
         while decision := self._dispatcher.next_decision(only_path, now_seconds):
-            if isinstance(decision, Hopeless):
+            if isinstance(decision, DeadlineUnreachable):
                 refusal = self._requests.refuse(
                     decision.item, DEADLINE_UNREACHABLE, now_seconds
                 )
--- a/packages/rampwick-policy/src/rampwick_policy/_shares.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shares.py
@@ -22,7 +22,7 @@
 NEGLIGIBLE_TOKENS = 0.5
 
 #: What compares two workspaces: use over weight at each level from the top.
-Standing = tuple[float, ...]
+FairnessKey = tuple[float, ...]
 
 
 @attrs.define(repr=False)
@@ -112,7 +112,7 @@
         """Return the decayed tokens at a path over all hosts heard of."""
         return self._own.get(path, now_seconds) + self._peers.get(path, now_seconds)
 
-    def standing(self, workspace: Workspace, now_seconds: float) -> Standing:
+    def fairness_key(self, workspace: Workspace, now_seconds: float) -> FairnessKey:
         """Return the workspace's place in line; the least one goes first."""
         pairs = zip(workspace.lineage, workspace.weights, strict=True)
         return tuple(
--- a/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
@@ -13,16 +13,16 @@
 
 #: Part of its latency target after which a request that still waits counts as late: the
 #: rest is what sending it and reading a short prompt take.
-SPENT_RATIO = 0.75
+MAX_WAIT_RATIO = 0.75
 
 #: Part of a runner's usual queue of prompts up to which it is sent what is late
 #: already: a request that arrives next then finds the larger part of the queue free.
-LATE_QUEUE_RATIO = 0.33
+MIN_LATE_QUEUE_RATIO = 0.33
 
 
 #: The same when all of its time is spent: more than the usual queue, so that a flood of
 #: requests that can be in time does not keep it waiting until its deadline.
-LAST_QUEUE_RATIO = 1.5
+MAX_LATE_QUEUE_RATIO = 1.5
 
 
 def late_queue_ratio(item: QueuedRequest, now_seconds: float) -> float:
@@ -35,7 +35,9 @@
     waited_seconds = now_seconds - item.arrived_at_seconds
     # Nothing of the growth in the first half of its time, all of it at the end.
     growth_ratio = max(0.0, 2.0 * waited_seconds / max(0.001, allowed_seconds) - 1.0)
-    return LATE_QUEUE_RATIO + growth_ratio * (LAST_QUEUE_RATIO - LATE_QUEUE_RATIO)
+    return MIN_LATE_QUEUE_RATIO + growth_ratio * (
+        MAX_LATE_QUEUE_RATIO - MIN_LATE_QUEUE_RATIO
+    )
 
 
 def latest_answer_start_seconds(item: QueuedRequest) -> float:
@@ -51,7 +53,7 @@
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
         return item.arrival.deadline_seconds
-    return item.arrived_at_seconds + target_seconds * SPENT_RATIO
+    return item.arrived_at_seconds + target_seconds * MAX_WAIT_RATIO
 
 
 def cannot_meet_target(item: QueuedRequest, now_seconds: float) -> bool:
@@ -59,4 +61,4 @@
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
         return False
-    return now_seconds - item.arrived_at_seconds > target_seconds * SPENT_RATIO
+    return now_seconds - item.arrived_at_seconds > target_seconds * MAX_WAIT_RATIO
