--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of rampwick: pure state machines that know no I/O and no clock."""
+"""Policies of rampwick: pure state machines without I/O or clock access."""
 
 from ._access import (
     Access as Access,
--- a/packages/rampwick-policy/src/rampwick_policy/_access.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_access.py
@@ -1,8 +1,8 @@
-"""Whether a request on a route may run, by the configuration in force and its age.
+"""Access decisions for requests, by the current configuration and its age.
 
-A host that can't confirm its configuration may miss that a key was taken away. So a
-request with a key needs one that was confirmed lately, and nobody is told that a
-route or key is unknown by a configuration that may be old.
+A host that can't confirm its configuration may miss that a key was revoked. Therefore
+a request with a key requires a recently confirmed configuration, and a route or key is
+not rejected as unknown if the configuration may be outdated.
 """
 
 import enum
@@ -15,32 +15,32 @@
 
 
 class Verdict(enum.Enum):
-    """What the configuration says of a request."""
+    """Result of an access decision."""
 
     ALLOWED = "allowed"
-    #: No configuration is known yet.
+    #: No configuration has been loaded yet.
     NO_CONFIGURATION = "no_configuration"
     UNKNOWN_ROUTE = "unknown_route"
     NO_KEY = "no_key"
     UNKNOWN_KEY = "unknown_key"
-    #: The configuration is too old to say.
+    #: The configuration is too old to decide.
     STALE = "stale_configuration"
 
 
 @attrs.frozen(repr=False)
 class AccessRules(Shown):
-    """How old a configuration may be; ages count from its last confirmation."""
+    """Maximum ages of a configuration, counted from its last confirmation."""
 
-    #: Age up to which keys are honoured; none sets no bound.
+    #: Age up to which keys are accepted; ``None`` sets no bound.
     max_key_age_seconds: float | None = None
-    #: Age up to which an unknown route or key is believed to be unknown; none sets
-    #: no bound.
+    #: Age up to which a request with an unknown route or key is rejected as such;
+    #: ``None`` sets no bound.
     max_denial_age_seconds: float | None = None
 
 
 @attrs.frozen(repr=False)
 class Access(Shown):
-    """The verdict on a request, with what it may use."""
+    """The verdict on a request, with its route and workspace if they are known."""
 
     verdict: Verdict
     route: Route | None = None
@@ -56,7 +56,7 @@
     age_seconds: float,
     rules: AccessRules,
 ) -> Access:
-    """Return what the configuration says of a request.
+    """Return whether a request is allowed by the configuration.
 
     ``age_seconds`` is the time since the configuration was last confirmed.
     """
--- a/packages/rampwick-policy/src/rampwick_policy/_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_admission.py
@@ -1,4 +1,4 @@
-"""Who may go next: limits, entitlement among hosts, and how long a wait will be."""
+"""Admission: limits on requests, fairness across hosts and estimated waiting times."""
 
 from collections import Counter
 
@@ -11,35 +11,35 @@
 from ._shares import DecayedUsage, FairnessKey, UsageLedger
 from ._tree import LimitedNode, Workspace
 
-#: Time constant of the rate at which this host gets rid of waiting work.
+#: Time constant of the rate at which this host's queue drains.
 DRAIN_SECONDS = 5.0
 
-#: Time for which work must have been waiting before that rate is believed.
+#: Time for which requests must have been queued before that rate is used.
 MIN_BACKLOG_SECONDS = 2.0
 
-#: Bounds of what callers are told to wait before they come back.
+#: Bounds of the ``Retry-After`` value sent to callers.
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 60.0
 
-#: Time for which a peer's word of what waits there is believed: two intervals of a
-#: small fleet's summaries. What waits is gone within milliseconds where there is room,
-#: and slots that are left free for it would stand idle.
+#: Age up to which a peer's report of its waiting requests is used: two summary
+#: intervals of a small fleet. Requests leave the queue within milliseconds where there
+#: is capacity, and slots reserved for them after that would stay idle.
 MAX_WAITING_REPORT_AGE_SECONDS = 0.5
 
-#: A standing this much lower than another goes first for sure; less is noise.
+#: Ratio below which one usage counts as lower than another; the rest is noise.
 PRECEDENCE_RATIO = 0.9
 
 
 @attrs.frozen(repr=False)
 class PeerDemand(Shown):
-    """A workspace that waits on other hosts."""
+    """Requests of one workspace that wait at peers."""
 
     fairness_key: FairnessKey
     waiting_count: int
 
 
 class Admission:
-    """Limits and shares over this host's queue and what peers told."""
+    """Applies limits and fair shares to this host's queue and its peers' reports."""
 
     def __init__(
         self, queue: WaitingQueue, ledger: UsageLedger, peers: Membership
@@ -55,15 +55,15 @@
     def note_started(
         self, workspace: Workspace, tokens: float, now_seconds: float
     ) -> None:
-        """Note that waiting work went to an upstream."""
+        """Record that a waiting request was sent to an upstream."""
         self._drain.add("", tokens, now_seconds)
         for path in workspace.lineage:
             self._running[path] = self._running.get(path, 0) + 1
 
     def note_backlog(self, now_seconds: float) -> None:
-        """Note whether anything waits; only then is the drain rate a measure.
+        """Record whether requests wait; the drain rate is valid only while some do.
 
-        While nothing waits the rate shows the demand, not what could be served.
+        With an empty queue the rate measures the demand, not the capacity.
         """
         if not len(self._queue):
             self._backlog_since_seconds = None
@@ -72,18 +72,18 @@
             self._drain = DecayedUsage(DRAIN_SECONDS, at_seconds=now_seconds)
 
     def note_ended(self, workspace: Workspace) -> None:
-        """Note that an attempt of a workspace ended."""
+        """Record that an attempt of a workspace ended."""
         for path in workspace.lineage:
             self._running[path] -= 1
             if not self._running[path]:
                 del self._running[path]
 
     def running_count(self, path: str) -> int:
-        """Return the attempts open at or below a path."""
+        """Return the number of open attempts at or below a path."""
         return self._running.get(path, 0)
 
     def reached_limit(self, workspace: Workspace) -> str:
-        """Return the path whose limit on waiting requests is reached, or nothing."""
+        """Return the path whose limit on waiting requests is reached, or ``""``."""
         for limit in workspace.limits:
             max_count = limit.max_waiting_count
             if (
@@ -94,7 +94,7 @@
         return ""
 
     def may_start(self, workspace: Workspace) -> bool:
-        """Return whether limits on running requests let another one start."""
+        """Return whether the limits on running requests allow another one."""
         return all(self._may_start(limit) for limit in workspace.limits)
 
     def _may_start(self, limit: LimitedNode) -> bool:
@@ -102,18 +102,18 @@
         return max_count is None or self.running_count(limit.path) < max_count
 
     def fairness_key(self, workspace: Workspace, now_seconds: float) -> FairnessKey:
-        """Return the workspace's place in line over all hosts."""
+        """Return the workspace's usage by level over all hosts; the lowest is first."""
         return self._ledger.fairness_key(workspace, now_seconds)
 
     def peer_demands(self, service: str, now_seconds: float) -> list[PeerDemand]:
-        """Return the workspaces that wait at peers for a service."""
+        """Return the workspaces with requests for a service that wait at peers."""
         return [
             PeerDemand(self.fairness_key(workspace, now_seconds), count)
-            for path, count in self._waiting_elsewhere(service, now_seconds).items()
+            for path, count in self._waiting_at_peers(service, now_seconds).items()
             if (workspace := self.workspaces.get(path)) is not None
         ]
 
-    def _waiting_elsewhere(self, service: str, now_seconds: float) -> dict[str, int]:
+    def _waiting_at_peers(self, service: str, now_seconds: float) -> dict[str, int]:
         counts: Counter[str] = Counter()
         for view in self._peers.live(now_seconds):
             if now_seconds - view.heard_at_seconds > MAX_WAITING_REPORT_AGE_SECONDS:
@@ -124,7 +124,7 @@
         return counts
 
     def wait_seconds(self, workspace: Workspace, now_seconds: float) -> float:
-        """Return how long a request that arrives now will wait, by the drain rate."""
+        """Estimate from the drain rate how long a request that arrives now waits."""
         waiting = self._queue.waiting_tokens(workspace.path)
         tokens_per_second = self._drained_tokens_per_second(now_seconds)
         if not waiting or tokens_per_second is None:
@@ -140,16 +140,16 @@
         return max(1.0, self._drain.get("", now_seconds)) / elapsed_seconds
 
     def retry_after_seconds(self, workspace: Workspace, now_seconds: float) -> float:
-        """Return when coming back has a chance: once today's queue is gone."""
+        """Return the time until the present queue is expected to be empty, bounded."""
         wait_seconds = self.wait_seconds(workspace, now_seconds)
         return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait_seconds))
 
 
 def precedes(fairness_key: FairnessKey, other: FairnessKey) -> bool:
-    """Return whether one standing is lower by more than noise."""
-    for mine, theirs in zip(fairness_key, other, strict=False):
-        if mine < theirs * PRECEDENCE_RATIO:
+    """Return whether a fairness key is lower than another by more than noise."""
+    for value, other_value in zip(fairness_key, other, strict=False):
+        if value < other_value * PRECEDENCE_RATIO:
             return True
-        if theirs < mine * PRECEDENCE_RATIO:
+        if other_value < value * PRECEDENCE_RATIO:
             return False
     return False
--- a/packages/rampwick-policy/src/rampwick_policy/_capacity.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_capacity.py
@@ -1,7 +1,7 @@
-"""Room at the upstreams: who may take a slot now, seen once for a whole pass.
+"""Capacity of the upstreams: which requests may use a slot now.
 
 Building the views of all upstreams costs more than most decisions, so one pass over
-the queue shares them. A dispatch changes them; the next pass builds new ones.
+the queue shares them. A dispatch makes them outdated; the next pass builds new ones.
 """
 
 from ._admission import Admission, PeerDemand, precedes
@@ -12,15 +12,15 @@
 from ._shares import FairnessKey
 from ._upstreams import Upstream, UpstreamTable
 
-#: Slots beyond the usual ones that urgent requests may use.
+#: Additional slots for urgent requests, as a share of an upstream's slots.
 URGENT_EXTRA_RATIO = 0.25
 
-#: Share of a runner's slots by which an entitled request may exceed them.
+#: Share of a runner's slots by which a request that precedes others may exceed them.
 PRECEDENCE_EXTRA_RATIO = 0.125
 
 
 class CapacitySnapshot:
-    """Views of the upstreams at one moment."""
+    """Load of the upstreams and demand of the peers at one moment."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._peer_demands: dict[str, list[PeerDemand]] = {}
 
     def views(self, arrival: RequestArrived) -> list[RunnerView]:
-        """Return the upstreams that could serve a request."""
+        """Return views of the upstreams that can serve a request."""
         model = arrival.scope.model if arrival.scope else ""
         is_urgent = arrival.priority_class == RANKED_CLASSES[0]
         key = (arrival.service, model, is_urgent)
@@ -49,7 +49,7 @@
         return self._views[key]
 
     def any_has_headroom(self, views: list[RunnerView]) -> bool:
-        """Return whether any of the upstreams might take another request."""
+        """Return whether any of the upstreams may accept another request."""
         return any(_has_headroom(view) for view in views)
 
     def may_dispatch(
@@ -59,13 +59,13 @@
         views: list[RunnerView],
         fairness_key: FairnessKey,
     ) -> bool:
-        """Return whether a request of this standing may go where it was placed."""
+        """Return whether a request with this fairness key may go to its choice."""
         peer_demands = self._demands_for(service)
         view = chosen_view(choice, views)
         if not view.has_slot:
             return self._may_exceed(view, peer_demands, fairness_key)
-        # Leave free slots to requests elsewhere that should go first. If nobody
-        # elsewhere waits for them, all are free to take: nothing stays idle.
+        # Reserve free slots for requests at peers that precede this one. Without
+        # such requests every free slot may be used, so that none stays idle.
         preceding_count = sum(
             demand.waiting_count
             for demand in peer_demands
@@ -82,10 +82,10 @@
         fairness_key: FairnessKey,
         queue_ratio: float,
     ) -> bool:
-        """Return whether one that is late already may go where it was placed.
+        """Return whether a late request may go to its choice.
 
-        ``queue_ratio`` is the part of the usual queue of prompts that it may find;
-        above one it waits for nobody else any more.
+        ``queue_ratio`` limits the prefill queue ahead of it, relative to the usual
+        limit. Above one the demand of peers is ignored.
         """
         view = chosen_view(choice, views)
         if view.prefill_queue_seconds > queue_ratio * view.max_prefill_queue_seconds:
@@ -107,8 +107,9 @@
             for upstream in self._upstreams
             if serves(upstream, service, model)
             and self._upstreams.is_open(upstream, self._now_seconds)
-            # An upstream in need names one number for all hosts: unread, or kept to by
-            # each host alone, it gets several times what it takes.
+            # An overloaded upstream reports one rate for all hosts together. If hosts
+            # ignored it, or each used it in full, the upstream would receive several
+            # times the rate that it accepts.
             and self._rate_limiter.may_send(upstream, self._now_seconds)
         ]
 
@@ -125,8 +126,9 @@
         peer_demands: list[PeerDemand],
         fairness_key: FairnessKey,
     ) -> bool:
-        # A full runner's slots are held by hosts whose work may be less entitled.
-        # One request over the line makes them see it, without any slot left idle.
+        # The slots of a full runner may be used by hosts whose requests come later in
+        # the fair order. One request above the limit makes the load visible to them
+        # without leaving a slot idle.
         upstream = self._upstreams.get(view.name)
         if upstream is None or not _has_headroom(view):
             return False
@@ -142,7 +144,7 @@
 
 def _has_headroom(view: RunnerView) -> bool:
     extra_slots = max(1, int(view.slots_count * PRECEDENCE_EXTRA_RATIO))
-    # Twice the usual prefill queue is the most that an entitled request may face.
+    # A request that precedes others accepts up to twice the usual prefill queue.
     return (
         view.running_count < view.slots_count + extra_slots
         and view.prefill_queue_seconds < 2 * view.max_prefill_queue_seconds
@@ -150,7 +152,7 @@
 
 
 def serves(upstream: Upstream, service: str, model: str) -> bool:
-    """Return whether an upstream is of a service, or has a model."""
+    """Return whether an upstream belongs to a service, or serves a model."""
     if service and upstream.entry.group != service:
         return False
     if model:
--- a/packages/rampwick-policy/src/rampwick_policy/_claims.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_claims.py
@@ -1,8 +1,8 @@
-"""At-most-once claims: which arrivals own their idempotency key.
+"""At-most-once claims, which assign idempotency keys to requests.
 
-A claim is won only by the conditional write that put it on the platform. These
-functions decide what that write shall hold and read off who won; they are the same
-for every host, so two hosts that race settle by whose write took effect.
+A claim is won only by the conditional write that stored it on the platform. These
+functions compute the content of that write and which claims it wins. They are the same
+on every host, so a race between hosts is decided by whose write took effect.
 """
 
 import hashlib
@@ -12,22 +12,23 @@
 
 from rampwick_schema import Claim, ClaimShard, Shown
 
-#: How far the hosts' clocks may differ; a claim stays this much past its expiry.
+#: Largest assumed difference between the hosts' clocks. A claim is kept for this long
+#: after its expiry.
 CLOCK_MARGIN_SECONDS = 60.0
 
 
 @attrs.frozen(repr=False)
 class ClaimDecision(Shown):
-    """What to write to the shard, and how each wanted claim fares if it succeeds."""
+    """The new content of a shard, and the result of each claim if it is written."""
 
     shard: ClaimShard
     won: frozenset[str]
-    #: Write ids of claims whose key another arrival owns.
+    #: Write IDs of claims whose key is owned by another request.
     lost: frozenset[str]
 
     @property
     def needs_write(self) -> bool:
-        """Whether anything was won that the shard does not hold yet."""
+        """Whether a claim was won, so that the shard has to be written."""
         return bool(self.won)
 
 
@@ -45,10 +46,10 @@
 def decide_claims(
     shard: ClaimShard, wanted: Iterable[Claim], now_seconds: float
 ) -> ClaimDecision:
-    """Return the shard with the wanted claims added where the key is free.
+    """Return the shard with the wanted claims added whose keys are free.
 
-    A claim that the shard holds under the same write id is won already: its write
-    took effect although the answer was lost.
+    A claim that is stored with the same write ID is won: its write took effect although
+    the response was lost.
     """
     held = {
         claim.key_hash: claim
@@ -59,8 +60,8 @@
     lost: set[str] = set()
     for claim in wanted:
         owner = held.setdefault(claim.key_hash, claim)
-        side = won if owner.write_id == claim.write_id else lost
-        side.add(claim.write_id)
+        result = won if owner.write_id == claim.write_id else lost
+        result.add(claim.write_id)
     return ClaimDecision(
         shard=ClaimShard(claims=list(held.values())),
         won=frozenset(won),
@@ -69,7 +70,7 @@
 
 
 def withdraw_claims(shard: ClaimShard, write_ids: Iterable[str]) -> ClaimShard:
-    """Return the shard without the claims of arrivals that surely did not run."""
+    """Return the shard without the claims of requests that certainly did not run."""
     withdrawn = set(write_ids)
-    kept = [claim for claim in shard.claims if claim.write_id not in withdrawn]
-    return ClaimShard(claims=kept)
+    remaining = [claim for claim in shard.claims if claim.write_id not in withdrawn]
+    return ClaimShard(claims=remaining)
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -1,8 +1,8 @@
-"""Which waiting request goes next, and where.
+"""Selection of the next waiting request and of its upstream.
 
-Those that can still be in time go before those that are late; among them classes go in
-order, workspaces by their standing, requests by arrival. A request goes to the runner
-that placement chooses, or waits for it.
+Requests that can still meet their latency target are dispatched before late ones.
+Within each group the order is priority class, then the fairness key of the workspace,
+then arrival. A request is sent to the runner that placement chooses, or waits for it.
 """
 
 import itertools
@@ -40,48 +40,50 @@
 )
 from ._tree import Workspace
 
-#: What an answer token costs in prompt tokens: it holds a slot for a whole step.
+#: Price of an answer token in prompt tokens: it occupies a slot for a whole step.
 ANSWER_TOKEN_PRICE = 4.0
 
-#: Answer tokens assumed for a workspace before it has had an answer.
+#: Answer tokens assumed for a workspace before its first answer.
 FIRST_ANSWER_TOKENS = 64.0
+
+#: Weight of the latest answer in the moving average of answer lengths.
 ANSWER_SMOOTHING = 0.1
 
-#: Requests of one workspace that are tried for a free runner in one go.
+#: Requests of one workspace and class that are considered in one pass.
 LOOKAHEAD_COUNT = 4
 
-#: Wait after which a request pays half the price to have its prefix cached.
+#: Queueing time after which the price of a prefix cache miss is halved.
 MISS_PRICE_HALVING_SECONDS = 2.0
 
 
 @attrs.frozen(repr=False)
 class DeadlineUnreachable(Shown):
-    """A request, out of its line already, that can't begin before its deadline."""
+    """A request, removed from the queue, that can't start before its deadline."""
 
     item: QueuedRequest
 
 
 class AnswerEstimates:
-    """How long each workspace's answers are, learnt from the last ones."""
+    """Moving averages of the answer lengths of each workspace."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, float] = {}
 
     def expect(self, arrival: ev.RequestArrived) -> float:
-        """Return the tokens that a request's answer is taken to have."""
+        """Return the expected number of tokens of a request's answer."""
         if arrival.chain is None:
             return 1.0
-        learned = self._tokens.get(arrival.workspace.path, FIRST_ANSWER_TOKENS)
-        return min(learned, arrival.max_answer_tokens or learned)
+        estimated = self._tokens.get(arrival.workspace.path, FIRST_ANSWER_TOKENS)
+        return min(estimated, arrival.max_answer_tokens or estimated)
 
-    def learn(self, path: str, tokens: int) -> None:
-        """Note the length of a workspace's answer."""
-        known = self._tokens.get(path, FIRST_ANSWER_TOKENS)
-        self._tokens[path] = known + ANSWER_SMOOTHING * (tokens - known)
+    def record(self, path: str, tokens: int) -> None:
+        """Record the length of a workspace's answer."""
+        previous = self._tokens.get(path, FIRST_ANSWER_TOKENS)
+        self._tokens[path] = previous + ANSWER_SMOOTHING * (tokens - previous)
 
 
 class Dispatcher:
-    """Chooses among what waits; it shares its parts with the scheduler."""
+    """Chooses waiting requests to send; shares its components with the scheduler."""
 
     def __init__(
         self,
@@ -109,9 +111,9 @@
     def next_decision(
         self, only_path: str, now_seconds: float
     ) -> ev.Dispatch | DeadlineUnreachable | None:
-        """Return the next request to send or give up, or none for now.
+        """Return the next request to send or to refuse; ``None`` if there is none.
 
-        ``only_path`` restricts the look to one workspace; empty looks at all.
+        ``only_path`` restricts the search to one workspace; empty searches all.
         """
         pool = self._pool
         capacity = CapacitySnapshot(
@@ -138,17 +140,19 @@
         paths = self._queue.waiting_workspaces(priority_class)
         if only_path:
             paths = [path for path in paths if path == only_path]
-        for fairness_key, path, workspace in self._lines(
+        for fairness_key, path, workspace in self._order_workspaces(
             priority_class, paths, now_seconds
         ):
             if not self._admission.may_start(workspace):
                 continue
-            line = self._queue.line(priority_class, path)
+            requests = self._queue.workspace_queue(priority_class, path)
             if not is_late:
-                line = (
-                    item for item in line if not cannot_meet_target(item, now_seconds)
+                requests = (
+                    item
+                    for item in requests
+                    if not cannot_meet_target(item, now_seconds)
                 )
-            for _, item in zip(range(LOOKAHEAD_COUNT), line, strict=False):
+            for _, item in zip(range(LOOKAHEAD_COUNT), requests, strict=False):
                 action = self._try_dispatch(
                     item, is_late, fairness_key, capacity, now_seconds
                 )
@@ -156,17 +160,17 @@
                     return action
         return None
 
-    def _lines(
+    def _order_workspaces(
         self, priority_class: str, paths: list[str], now_seconds: float
     ) -> list[tuple[FairnessKey, str, Workspace]]:
-        lines = []
+        ordered = []
         for path in paths:
-            first = next(self._queue.line(priority_class, path))
+            first = next(self._queue.workspace_queue(priority_class, path))
             workspace = first.arrival.workspace
             fairness_key = self._admission.fairness_key(workspace, now_seconds)
-            lines.append((fairness_key, path, workspace))
-        lines.sort(key=lambda line: line[:2])
-        return lines
+            ordered.append((fairness_key, path, workspace))
+        ordered.sort(key=lambda entry: entry[:2])
+        return ordered
 
     def _try_dispatch(
         self,
@@ -186,7 +190,7 @@
         if item.needs_budget and not budget.has_retry(now_seconds):
             item.mark_blocked(NO_RETRY_LEFT, now_seconds)
             return None
-        fresh = [view for view in views if view.name not in item.tried]
+        fresh = [view for view in views if view.name not in item.tried_upstreams]
         views = self._suspects.allowed_views(item, fresh or views, now_seconds)
         if not views:
             item.mark_blocked(KEPT_APART, now_seconds)
@@ -222,7 +226,7 @@
         price = arrival.workspace.miss_price
         if price is None:
             price = self._settings.miss_price
-        # Who has waited long settles for a runner that must compute more.
+        # The longer a request has waited, the more cache misses it accepts.
         waited_seconds = now_seconds - item.arrived_at_seconds
         price /= 1.0 + waited_seconds / MISS_PRICE_HALVING_SECONDS
         if arrival.chain is None:
@@ -298,7 +302,7 @@
 
 
 def _measures_prefill_speed(choice: Choice) -> bool:
-    """Return whether how long a prompt takes tells how fast its runner reads."""
+    """Return whether the time to the first token measures the prefill speed."""
     return (
         choice.missing_tokens >= MIN_TOKENS
         and not choice.imported_tokens
@@ -312,7 +316,7 @@
     views: list[RunnerView],
     now_seconds: float,
 ) -> float:
-    """Return when the answer begins if the request is sent where it was placed now."""
+    """Return when the answer starts if the request is sent to its choice now."""
     if arrival.chain is None:
         return now_seconds
     prefill_seconds = chosen_view(choice, views).prefill_seconds(choice.missing_tokens)
--- a/packages/rampwick-policy/src/rampwick_policy/_errors.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_errors.py
@@ -1,15 +1,15 @@
-"""Errors of the decisions."""
+"""Exceptions of the policy package."""
 
 from rampwick_schema import RampwickError
 
 
 class TreeError(RampwickError):
-    """A tree or a change to it is invalid; nothing of it may take effect."""
+    """A tree or a change to it is invalid and must not be applied."""
 
 
 class ConflictError(RampwickError):
-    """Somebody else changed the tree first; the text says what they changed."""
+    """The tree was changed concurrently; the message names the changes."""
 
 
 class LifecycleError(RampwickError):
-    """An event came that a request in its state can't have."""
+    """An event is invalid in the request's present state."""
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -1,4 +1,4 @@
-"""What the scheduler is told and what it answers: its typed events and actions."""
+"""Events that the scheduler processes and actions that it returns."""
 
 import attrs
 
@@ -22,46 +22,46 @@
 from ._roles import Neighbours
 from ._tree import TreeView, Workspace
 
-#: Classes of requests, the most urgent first.
+#: Priority classes that callers can request, the most urgent first.
 PRIORITY_CLASSES = ("portal", "interactive", "batch")
 
-#: Names of all ranks of urgency; routes may use more of them than callers can name.
+#: All priority classes, the most urgent first; routes may use more than callers can.
 RANKED_CLASSES = (*PRIORITY_CLASSES, *(f"rank-{rank}" for rank in range(3, 10)))
 
 
 @attrs.frozen(repr=False)
 class RequestArrived(Shown):
-    """A caller's checked request enters the queue."""
+    """A caller's validated request arrived."""
 
     request_id: str
     workspace: Workspace
     priority_class: str
     deadline_seconds: float
     is_repeatable: bool
-    #: Prompt of a model request; none for a plain service.
+    #: Prompt of a model request; ``None`` for a plain service.
     chain: PrefixChain | None = None
     scope: Scope | None = None
-    #: Service that is called; empty where the model alone says who can serve it.
+    #: Service that is called; empty if any upstream with the model can serve it.
     service: str = ""
-    #: Upstreams on which it may run; none leaves it to the settings.
+    #: Number of upstreams on which it may run; ``None`` uses the settings.
     max_attempts_count: int | None = None
-    #: Whether a stream that broke after its first piece may go on elsewhere.
+    #: Whether another upstream may continue a stream that broke after its first piece.
     is_resumable: bool = False
-    #: Time within which an answer is worth most; none if it is not known.
+    #: Time within which the answer should start; ``None`` if there is no target.
     latency_target_seconds: float | None = None
     #: Largest answer that the caller allows.
     max_answer_tokens: int = 0
-    #: Tokens of prompt and answer as the caller names them; none if it names none.
+    #: Tokens of prompt and answer as declared by the caller; ``None`` if not declared.
     declared_tokens: int | None = None
-    #: Whether it has waited for what the whole fleet is asked, and was told to peers.
+    #: Whether it was published to peers and held until the fleet's demand was known.
     was_held: bool = False
-    #: What its caller's other tries have in common with it; none if it is not known.
+    #: Identity shared by the caller's retries; ``None`` if it is not known.
     identity: RequestIdentity | None = None
 
 
 @attrs.frozen(repr=False)
 class AttemptAccepted(Shown):
-    """The upstream began to answer, from the life it names."""
+    """The upstream started to answer, from the incarnation that it reports."""
 
     request_id: str
     attempt_id: str
@@ -69,7 +69,7 @@
 
 @attrs.frozen(repr=False)
 class AttemptDelivered(Shown):
-    """The first piece of the answer is about to go to the caller."""
+    """The first piece of the answer is about to be sent to the caller."""
 
     request_id: str
     attempt_id: str
@@ -77,23 +77,23 @@
 
 @attrs.frozen(repr=False)
 class AttemptFailed(Shown):
-    """An attempt ended without its whole answer."""
+    """An attempt ended without a complete answer."""
 
     request_id: str
     attempt_id: str
     outcome: Outcome
     message: str
-    #: Whether the caller has pieces of the answer already.
+    #: Whether the caller has received pieces of the answer.
     has_delivered: bool = False
-    #: When the upstream says to come back; nothing if it did not say.
+    #: Retry delay requested by the upstream; ``None`` if it requested none.
     retry_after_seconds: float | None = None
-    #: Whether the upstream closed or reset the connection, as one does that ends.
+    #: Whether the upstream closed or reset the connection, as in a crash.
     was_closed: bool = False
 
 
 @attrs.frozen(repr=False)
 class AttemptStalled(Shown):
-    """An upstream has not begun to answer an attempt for a while."""
+    """An upstream has not started to answer an attempt within the expected time."""
 
     request_id: str
     attempt_id: str
@@ -101,27 +101,27 @@
 
 @attrs.frozen(repr=False)
 class AttemptDone(Shown):
-    """An attempt brought its whole answer."""
+    """An attempt returned its complete answer."""
 
     request_id: str
     attempt_id: str
     cached_tokens: int = 0
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    #: For how long its connection is kept; nothing if it was closed.
+    #: Time for which its idle connection stays open; 0 if it was closed.
     connection_idle_seconds: float = 0.0
 
 
 @attrs.frozen(repr=False)
 class RequestCancelled(Shown):
-    """The caller went away."""
+    """The caller disconnected."""
 
     request_id: str
 
 
 @attrs.frozen(repr=False)
 class LoadReported(Shown):
-    """An upstream answered a probe; plain services send no report."""
+    """An upstream answered a probe; the report is ``None`` for plain services."""
 
     upstream: str
     report: LoadReport | None
@@ -137,7 +137,7 @@
 
 @attrs.frozen(repr=False)
 class HostListRead(Shown):
-    """The platform's list was read."""
+    """A version of the platform's host list was read."""
 
     host_list: HostList
 
@@ -150,22 +150,22 @@
     hall: str
     incarnation: int
     summary: Summary
-    #: How old it is already, where others have put it together.
+    #: Age of the summary, if it was aggregated by another host.
     age_seconds: float = 0.0
 
 
 @attrs.frozen(repr=False)
 class PeerRemoved(Shown):
-    """What a peer said counts no more: another tells it, or it has left."""
+    """A peer's summary no longer applies: a relay covers it, or the peer has left."""
 
     name: str
 
 
 @attrs.frozen(repr=False)
 class WeightsReported(Shown):
-    """An upstream showed which weights it has: by an answer, or through a peer.
+    """The weights version of an upstream, from its response or from a peer.
 
-    Only the upstream's own word may lower what is known.
+    Only a report by the upstream itself may lower the known version.
     """
 
     upstream: str
@@ -176,83 +176,83 @@
 
 @attrs.frozen(repr=False)
 class WeightsLoadOrdered(Shown):
-    """A runner was told to load weights; until then it serves nothing."""
+    """A runner was ordered to load weights; it serves no requests until it has."""
 
     upstream: str
     incarnation: str
     weights_version: int
-    #: When the load is over at the latest, even if nothing is heard of it.
+    #: Time after which loading counts as finished, even without a report.
     until_seconds: float
 
 
 @attrs.frozen(repr=False)
 class CacheReported(Shown):
-    """An engine's or a store's own word on its cache, read here or by a peer."""
+    """Changes reported by an engine's or a store's cache, read here or by a peer."""
 
     upstream: str
     changes: tuple[CacheChanges, ...]
-    #: Whether everything that was known before is to be forgotten.
+    #: Whether the changes replace all previous knowledge of the cache.
     is_reset: bool = False
 
 
 @attrs.frozen(repr=False)
 class TargetsReceived(Shown):
-    """The weights that the runners shall have."""
+    """The target weights of the runners."""
 
     targets: tuple[WeightsTarget, ...]
-    #: Who says so, as logs tell it.
+    #: Source of the targets, for logs.
     source: str = ""
-    #: Steady time at which they were surely the newest; none if a peer told them.
+    #: Monotonic time at which they were certainly current; ``None`` from a peer.
     read_at_seconds: float | None = None
-    #: When versions were named, as a peer tells it.
+    #: Times at which versions became targets, as reported by a peer.
     named: tuple[NamedWeights, ...] = ()
-    #: Whether they could not be read right before.
+    #: Whether the previous read failed.
     is_after_failure: bool = False
 
 
 @attrs.frozen(repr=False)
 class RateLimitReported(Shown):
-    """An answer named the requests that its upstream takes, or named none any more."""
+    """A response reported the rate limit of its upstream, or the end of the limit."""
 
     upstream: str
-    #: Life that answered; empty where lives are not told apart.
+    #: Incarnation that answered; empty if incarnations are not distinguished.
     incarnation: str
-    #: Requests a second from all hosts together; none if it names no rate.
+    #: Requests per second from all hosts together; ``None`` without a limit.
     requests_per_second: float | None
-    #: When the request was sent that it answers.
+    #: When the request of this response was sent.
     asked_at_seconds: float
 
 
 @attrs.frozen(repr=False)
 class RateLimitUpdateReceived(Shown):
-    """A peer tells which rates upstreams name."""
+    """A peer sent the rate limits that upstreams reported."""
 
     update: RateLimitUpdate
 
 
 @attrs.frozen(repr=False)
 class UpstreamSignalled(Shown):
-    """An upstream announced its shutdown, or asked this host for a pause."""
+    """An upstream announced its shutdown, or requested a pause from this host."""
 
     upstream: str
-    #: Incarnation that answered; empty where incarnations are not told apart.
+    #: Incarnation that answered; empty if incarnations are not distinguished.
     incarnation: str
     is_leaving: bool = False
     pause_seconds: float | None = None
-    #: Which answer says so, for logs.
-    source: str = "its answer says so"
+    #: Response that carried the signal, for logs.
+    source: str = "reported in its answer"
 
 
 @attrs.frozen(repr=False)
 class LeavingUpdateReceived(Shown):
-    """A peer knows of upstreams that announced their shutdown."""
+    """A peer reported upstreams that announced their shutdown."""
 
     update: LeavingUpdate
 
 
 @attrs.frozen(repr=False)
 class PeersChanged(Shown):
-    """The host hears other hosts than before, or begins to leave."""
+    """The set of live peers changed, or this host began to shut down."""
 
     neighbours: Neighbours
     is_leaving: bool
@@ -260,14 +260,14 @@
 
 @attrs.frozen(repr=False)
 class CrashUpdateReceived(Shown):
-    """A peer tells of upstreams that end under requests."""
+    """A peer reported upstreams that crashed under requests."""
 
     update: CrashUpdate
 
 
 @attrs.frozen(repr=False)
 class TreeChanged(Shown):
-    """Another revision of the tree is in force here."""
+    """Another revision of the tree took effect on this host."""
 
     view: TreeView
 
@@ -313,32 +313,32 @@
     attempt_id: str
     upstream: str
     address: str
-    #: Life that the choice relied on; empty for plain services.
+    #: Incarnation that the choice is based on; empty for plain services.
     incarnation: str = ""
     weights_version: int = 0
     choice: Choice | None = None
-    #: Address of a cache from which the upstream shall take what it misses.
+    #: Address of a cache from which the upstream imports missing prefixes.
     import_address: str = ""
-    #: Address of a store to which it shall save what the prompt shares.
+    #: Address of a store to which the upstream saves the shared prefix of the prompt.
     save_address: str = ""
 
 
 @attrs.frozen(repr=False)
 class Refuse(Shown):
-    """Give the caller its final answer: an error, at once."""
+    """Answer the caller with an error immediately; this is its final answer."""
 
     request_id: str
     reason: str
     run_state: RunState
     retry_after_seconds: float | None = None
     peer: str = ""
-    #: What it rests on, for logs.
+    #: State that the refusal is based on, for logs.
     evidence: str = ""
 
 
 @attrs.frozen(repr=False)
 class CancelAttempt(Shown):
-    """Stop an attempt at its upstream; nobody waits for it any more."""
+    """Cancel an attempt at its upstream, because its answer is no longer needed."""
 
     request_id: str
     attempt_id: str
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -1,6 +1,7 @@
-"""When a request can be sent, where no upstream that could serve it takes it now.
+"""Forecasts of when a request can be sent, if no upstream accepts it now.
 
-Without a forecast it would wait for room that can't come in time, until its deadline.
+Without a forecast, requests would wait until their deadlines for capacity that can't
+become available in time.
 """
 
 import math
@@ -18,48 +19,51 @@
 from ._timeliness import latest_send_seconds
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
-#: Bounds of what callers are told to wait: long enough for another turn, short enough
-#: to try a host that has more of them.
+#: Bounds of the ``Retry-After`` value: long enough for the rate limiter to allow one
+#: more request, short enough that callers try a host with a larger share of the rate.
 MIN_RETRY_AFTER_SECONDS = 0.5
 MAX_RETRY_AFTER_SECONDS = 10.0
 
 
 @attrs.frozen(repr=False)
 class Forecast(Shown):
-    """What this host may send to upstreams none of which is open and unlimited."""
+    """When this host may send requests, if every upstream is limited or unavailable."""
 
-    #: When the first request may go; infinite if none may.
+    #: When the first request may be sent; infinite if none may.
     first_at_seconds: float
-    #: Requests that may go afterwards; 0 if that is not known.
+    #: Rate at which further requests may be sent; 0 if it is not known.
     requests_per_second: float
-    #: Why there is no open upstream.
+    #: Why no upstream accepts requests now.
     reason: str
 
     def send_at_seconds(self, ahead_count: int) -> float:
-        """Return when a request goes that has so many before it; infinite if never."""
+        """Return when a request is sent that has ``ahead_count`` others ahead of it.
+
+        Infinite if it is never sent.
+        """
         if not ahead_count or not self.requests_per_second:
             return self.first_at_seconds
         return self.first_at_seconds + ahead_count / self.requests_per_second
 
 
-#: Forecast for an upstream that takes what comes, or may do so in a moment.
+#: Forecast for an upstream that accepts all requests, or may do so shortly.
 IMMEDIATE = Forecast(0.0, math.inf, "")
 
-#: Reasons by how much they say about when a request can be sent.
+#: Reasons, the most specific about the time of sending first.
 REASONS = (AT_RATE, PAUSED, NO_UPSTREAM)
 
 
 @attrs.frozen(repr=False)
 class Postponement(Shown):
-    """A request can't be sent in time; its caller is to come back."""
+    """A request can't be sent in time, so that its caller has to retry later."""
 
     reason: str
-    #: Time until then; none if nothing is known of it.
+    #: Time until the retry; ``None`` if it is not known.
     retry_after_seconds: float | None
 
 
 class Forecasts:
-    """Looks ahead for requests; it shares the scheduler's parts."""
+    """Forecasts when requests can be sent; shares the scheduler's components."""
 
     def __init__(
         self, upstreams: UpstreamTable, rate_limiter: RequestTurns, queue: WaitingQueue
@@ -70,7 +74,7 @@
 
     @property
     def is_needed(self) -> bool:
-        """Whether any upstream has said anything that a forecast could rest on."""
+        """Whether any upstream has a rate limit, a pause or a pending shutdown."""
         upstreams = self._upstreams
         return bool(
             len(self._rate_limiter.rates)
@@ -79,14 +83,14 @@
         )
 
     def find(self, arrival: RequestArrived, now_seconds: float) -> Forecast | None:
-        """Return the forecast for a request; none if any upstream takes what comes.
+        """Return the forecast for a request; ``None`` if an upstream accepts it now.
 
-        One that does counts, too, if it was open a moment ago and may be again.
+        An upstream that was available recently and may be so again counts as well.
         """
         if not self.is_needed:
             return None
         model = arrival.scope.model if arrival.scope else ""
-        known = []
+        forecasts = []
         for upstream in self._upstreams:
             if not serves(upstream, arrival.service, model):
                 continue
@@ -94,11 +98,11 @@
             if forecast is IMMEDIATE:
                 return None
             if forecast is not None:
-                known.append(forecast)
-        return _combine(known, now_seconds) if known else None
+                forecasts.append(forecast)
+        return _combine(forecasts, now_seconds) if forecasts else None
 
     def _forecast(self, upstream: Upstream, now_seconds: float) -> Forecast | None:
-        """Return the forecast for one upstream; none if it is out for longer."""
+        """Return the forecast for one upstream; ``None`` if it is down for longer."""
         obstacle = self._upstreams.obstacle(upstream, now_seconds)
         if obstacle is Obstacle.LEAVING:
             return Forecast(math.inf, 0.0, NO_UPSTREAM)
@@ -124,9 +128,9 @@
     def find_postponement(
         self, item: QueuedRequest, ahead_count: int, now_seconds: float
     ) -> Postponement | None:
-        """Return when a request that can't be in time is to come back.
+        """Return the postponement of a request that can't be sent in time.
 
-        None if it can, or if it hangs on no forecast.
+        ``None`` if it can, or if no forecast applies to it.
         """
         forecast = self.find(item.arrival, now_seconds)
         if forecast is None:
@@ -136,7 +140,7 @@
     def find_postponement_on_arrival(
         self, item: QueuedRequest, now_seconds: float
     ) -> Postponement | None:
-        """Return the same for one that arrives behind all that wait for its service."""
+        """Return the same for an arriving request, behind all others of its service."""
         forecast = self.find(item.arrival, now_seconds)
         if forecast is None:
             return None
@@ -148,12 +152,12 @@
         return sum(count for (_, name), count in counts.items() if name == service)
 
 
-def _combine(known: Sequence[Forecast], now_seconds: float) -> Forecast:
-    first_at_seconds = min(item.first_at_seconds for item in known)
-    reasons = {item.reason for item in known}
+def _combine(forecasts: Sequence[Forecast], now_seconds: float) -> Forecast:
+    first_at_seconds = min(item.first_at_seconds for item in forecasts)
+    reasons = {item.reason for item in forecasts}
     return Forecast(
         max(now_seconds, first_at_seconds),
-        sum(item.requests_per_second for item in known),
+        sum(item.requests_per_second for item in forecasts),
         next(reason for reason in REASONS if reason in reasons),
     )
 
--- a/packages/rampwick-policy/src/rampwick_policy/_identity.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_identity.py
@@ -1,29 +1,30 @@
-"""What makes two tries the same request: who asks, where, and with which body."""
+"""Identity of a request over the caller's retries: workspace, target and body."""
 
 import hashlib
 
 import attrs
 
-#: Length of a fingerprint: two of a million requests are alike by chance once in 2**88.
+#: Length of a fingerprint. The probability that any two of a million requests collide
+#: is about 2**-88.
 FINGERPRINT_BYTES = 16
 
 
 @attrs.define(eq=False, repr=False)
 class RequestIdentity:
-    """A request as its caller repeats it, under whatever id and at whatever host."""
+    """What a caller's retries of a request share, regardless of request ID and host."""
 
     workspace_path: str
-    #: Host and path with its query, as the caller named them.
+    #: Host and path with its query, as sent by the caller.
     target: str
     body: bytes
     _fingerprint: bytes = b""
 
     @property
     def fingerprint(self) -> bytes:
-        """Hash of what makes the request; worked out when it is asked for first.
+        """Hash of the identity, computed on first use.
 
-        Few requests are ever asked for it: those whose runner ended, and those that
-        arrive while such ones are remembered.
+        Few requests need it: those whose runner crashed, and those that arrive while
+        such requests are remembered.
         """
         if not self._fingerprint:
             digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
@@ -38,5 +39,5 @@
 
     @property
     def fingerprint_hex(self) -> str:
-        """The fingerprint as logs and operators name it."""
+        """The fingerprint in hexadecimal, as in logs and commands."""
         return self.fingerprint.hex()
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -1,4 +1,4 @@
-"""Which arriving requests get a place in line, and which are refused at once."""
+"""Checks on arriving requests: which are queued, and which are refused at once."""
 
 import attrs
 
@@ -24,17 +24,17 @@
 
 @attrs.frozen(repr=False)
 class Rejection(Shown):
-    """Why a request gets no place in line."""
+    """Why an arriving request is refused."""
 
     reason: str
-    #: Path whose limit it is, if it is one.
+    #: Path whose limit is reached, if the reason is a limit.
     peer: str = ""
-    #: When there is room again, where the reason tells.
+    #: Time until there is capacity again, if the reason determines it.
     retry_after_seconds: float | None = None
 
 
 class Intake:
-    """Looks at requests as they arrive; it shares the scheduler's parts."""
+    """Checks requests on arrival; shares the scheduler's components."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._forecasts = forecasts
 
     def new_item(self, event: ev.RequestArrived, now_seconds: float) -> QueuedRequest:
-        """Return an arriving request with its state."""
+        """Return a queue item with the initial state of an arriving request."""
         lifecycle = RequestLifecycle(
             request_id=event.request_id,
             deadline_seconds=event.deadline_seconds,
@@ -74,9 +74,10 @@
         )
 
     def check(self, item: QueuedRequest, now_seconds: float) -> Rejection | None:
-        """Return why a request gets no place; one that does counts from now on.
+        """Return why a request is refused; otherwise charge it to its limits.
 
-        What is over a limit waits nowhere: those within theirs would wait behind it.
+        Requests over a limit are not queued, because requests within their limits
+        would wait behind them.
         """
         event = item.arrival
         if self._suspects.suspicion(item) is Suspicion.STOPPED:
@@ -100,9 +101,10 @@
         return None
 
     def evict_for(self, item: QueuedRequest) -> QueuedRequest | None:
-        """Return whom to refuse for a request: none while the host's queue has room.
+        """Return the request to refuse so that the queue keeps its size, or ``None``.
 
-        It is the last of whoever fills the queue most, taken out of it, or the request.
+        If the queue is full, this is the newest request of the workspace with the
+        longest queue, removed from it, or the arriving request itself.
         """
         if len(self._queue) < self._settings.queue.max_waiting_count:
             return None
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -1,4 +1,7 @@
-"""Requests without a final answer: how each leaves its upstream, its line, the host."""
+"""Requests without a final answer, and the ways in which they end.
+
+Ending a request removes it from its upstream, its queue and the host's table.
+"""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -14,7 +17,7 @@
 
 
 class OpenRequests:
-    """The requests of one host by id; it shares the scheduler's parts."""
+    """The open requests of one host by ID; shares the scheduler's components."""
 
     def __init__(
         self,
@@ -42,15 +45,15 @@
         return self._items.get(request_id)
 
     def add(self, item: QueuedRequest) -> None:
-        """Take a request in."""
+        """Add a request."""
         self._items[item.request_id] = item
 
     def remove(self, item: QueuedRequest) -> None:
-        """Let go of a request that has its final answer."""
+        """Remove a request that has its final answer."""
         self._items.pop(item.request_id, None)
 
     def release(self, item: QueuedRequest, attempt_id: str, now_seconds: float) -> None:
-        """Note that a request is at its upstream no more."""
+        """Release the upstream resources of an attempt that ended."""
         self._pool.moves.end(attempt_id)
         self._suspects.note_left(item)
         upstream = self._pool.upstreams.get(item.upstream)
@@ -62,13 +65,13 @@
     def charge_actual(
         self, item: QueuedRequest, real_tokens: float, now_seconds: float
     ) -> None:
-        """Charge a request for what it cost in place of what it was taken to cost."""
+        """Replace the estimated charge of a request by its actual cost."""
         difference = real_tokens - item.charged_tokens
         self._pool.ledger.charge(item.workspace_path, difference, now_seconds)
         item.charged_tokens = 0.0
 
     def cancel(self, item: QueuedRequest, event: ev.AttemptFailed) -> list[ev.Action]:
-        """Stop what an upstream may still do for an attempt that failed."""
+        """Cancel a failed attempt that may still run at its upstream."""
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is None or event.outcome.proves_not_run:
             return []
@@ -78,7 +81,7 @@
         ]
 
     def drop(self, item: QueuedRequest, now_seconds: float) -> list[ev.Action]:
-        """Take a request out of its line, or cancel its attempt."""
+        """Remove a request from its queue, or cancel its attempt."""
         self.remove(item)
         attempt_id = item.lifecycle.attempt_id
         if not attempt_id:
@@ -100,7 +103,7 @@
         peer: str = "",
         retry_after_seconds: float | None = None,
     ) -> ev.Refuse:
-        """Refuse a request that is in no line; its caller is answered at once."""
+        """Refuse a request that is not queued; its caller is answered at once."""
         item.lifecycle.end()
         self.remove(item)
         self._refund(item)
@@ -113,10 +116,10 @@
         now_seconds: float,
         retry_after_seconds: float | None = None,
     ) -> list[ev.Action]:
-        """Refuse a request that waits or is under way, and cancel its attempt."""
+        """Refuse a request that is queued or under way, and cancel its attempt."""
         dropped = self.drop(item, now_seconds)
         if dropped and item.lifecycle.run_state < RunState.MAYBE_RUN:
-            # Under way and unanswered: nobody knows whether it ran.
+            # It was under way without an answer, so it may have run.
             item.lifecycle.run_state = RunState.MAYBE_RUN
         refusal = self.refuse(
             item, reason, now_seconds, retry_after_seconds=retry_after_seconds
@@ -126,7 +129,7 @@
     def refuse_unsendable(
         self, forecasts: Forecasts, now_seconds: float
     ) -> list[ev.Action]:
-        """Refuse what waits and, by its forecast, can't be sent in time."""
+        """Refuse queued requests that, by their forecast, can't be sent in time."""
         actions: list[ev.Action] = []
         before: Counter[str] = Counter()
         for item in self:
@@ -143,7 +146,7 @@
         return actions
 
     def _refund(self, item: QueuedRequest) -> None:
-        """Have a request that surely did not run count no more towards limits."""
+        """Refund the limit charges of a request that certainly did not run."""
         if item.lifecycle.run_state <= RunState.REFUSED:
             self._pool.limits.give_back(item.counted)
             item.counted = []
--- a/packages/rampwick-policy/src/rampwick_policy/_queue.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_queue.py
@@ -1,4 +1,7 @@
-"""Requests that wait for an upstream, by class, then workspace, then arrival."""
+"""The queue of requests that wait for an upstream.
+
+Requests are ordered by priority class, then workspace, then arrival.
+"""
 
 from collections.abc import Iterator
 
@@ -13,31 +16,32 @@
 
 @attrs.define(repr=False)
 class QueuedRequest(Shown):
-    """A request with its state; it keeps its place in line over retries."""
+    """A request with its state; it keeps its place in the queue over retries."""
 
     arrival: RequestArrived
     lifecycle: RequestLifecycle
     arrived_at_seconds: float
-    #: Priced tokens that the request is taken to need.
+    #: Estimated cost in priced tokens.
     expected_tokens: float
-    #: Whether its next attempt must be paid from the retry budget.
+    #: Whether its next attempt is charged to the retry budget.
     needs_budget: bool = False
-    #: Upstreams that had an attempt; another one goes first.
-    tried: set[str] = attrs.field(factory=set)
-    #: Upstream of the current attempt, its life, when that was sent, and its charge.
+    #: Upstreams that had an attempt; others are preferred for the next one.
+    tried_upstreams: set[str] = attrs.field(factory=set)
+    #: Upstream of the current attempt, its incarnation, the time at which the attempt
+    #: was sent, and the priced tokens charged for it.
     upstream: str = ""
     incarnation: str = ""
     sent_at_seconds: float = 0.0
     charged_tokens: float = 0.0
-    #: What it counts towards limits in tokens.
+    #: Charges against the token limits.
     counted: list[Counted] = attrs.field(factory=list)
-    #: Since when nothing could be done for it, and why; nothing while something can.
+    #: Since when and why no upstream can be used for it; unset while one can.
     blocked_since_seconds: float | None = None
     blocked_reason: str = ""
 
     @property
     def request_id(self) -> str:
-        """Id of the request."""
+        """ID of the request."""
         return self.arrival.request_id
 
     @property
@@ -46,13 +50,13 @@
         return self.arrival.workspace.path
 
     def mark_blocked(self, reason: str, now_seconds: float) -> None:
-        """Note that nothing can be done for it now; it is not held for long so."""
+        """Mark the request as blocked; it is refused if that lasts too long."""
         if self.blocked_since_seconds is None:
             self.blocked_since_seconds = now_seconds
         self.blocked_reason = reason
 
     def clear_blocked(self) -> None:
-        """Note that it can go as soon as its turn comes."""
+        """Mark the request as ready to be dispatched in its order."""
         self.blocked_since_seconds = None
         self.blocked_reason = ""
 
@@ -61,7 +65,7 @@
     """All waiting requests of this host."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, dict[str, dict[str, QueuedRequest]]] = {
+        self._queues: dict[str, dict[str, dict[str, QueuedRequest]]] = {
             name: {} for name in RANKED_CLASSES
         }
         self._counts: dict[str, int] = {}
@@ -73,52 +77,54 @@
         return self._count
 
     def __iter__(self) -> Iterator[QueuedRequest]:
-        for lines in self._lines.values():
-            for line in lines.values():
-                yield from line.values()
+        for queues in self._queues.values():
+            for queue in queues.values():
+                yield from queue.values()
 
     def add(self, item: QueuedRequest) -> None:
-        """Append a request to its line."""
-        lines = self._lines[item.arrival.priority_class]
-        lines.setdefault(item.workspace_path, {})[item.request_id] = item
+        """Append a request to its workspace's queue."""
+        queues = self._queues[item.arrival.priority_class]
+        queues.setdefault(item.workspace_path, {})[item.request_id] = item
         self._adjust(item, sign=1)
 
     def add_first(self, item: QueuedRequest) -> None:
-        """Put a request at the head of its line, as after a failed attempt."""
-        lines = self._lines[item.arrival.priority_class]
-        line = lines.get(item.workspace_path, {})
-        lines[item.workspace_path] = {item.request_id: item, **line}
+        """Insert a request at the head of its queue, as after a failed attempt."""
+        queues = self._queues[item.arrival.priority_class]
+        queue = queues.get(item.workspace_path, {})
+        queues[item.workspace_path] = {item.request_id: item, **queue}
         self._adjust(item, sign=1)
 
     def remove(self, item: QueuedRequest) -> None:
-        """Take a request out of its line."""
-        lines = self._lines[item.arrival.priority_class]
-        line = lines[item.workspace_path]
-        del line[item.request_id]
-        if not line:
-            del lines[item.workspace_path]
+        """Remove a request from its queue."""
+        queues = self._queues[item.arrival.priority_class]
+        queue = queues[item.workspace_path]
+        del queue[item.request_id]
+        if not queue:
+            del queues[item.workspace_path]
         self._adjust(item, sign=-1)
 
     def newest_of_longest_queue(self, other_than: str) -> QueuedRequest | None:
-        """Return the newest request of the workspace with the longest line.
+        """Return the newest request of the workspace with the longest queue.
 
-        None if the other workspace's own line is as long.
+        ``None`` unless it is longer than ``other_than``'s by more than one request.
         """
         path = max(self._counts, key=lambda name: self._counts[name])
         if self._counts[path] <= self._counts.get(other_than, 0) + 1:
             return None
-        for lines in reversed(self._lines.values()):
-            if path in lines:
-                return next(reversed(lines[path].values()))
+        for queues in reversed(self._queues.values()):
+            if path in queues:
+                return next(reversed(queues[path].values()))
         return None
 
     def waiting_workspaces(self, priority_class: str) -> list[str]:
-        """Return the paths of the workspaces that wait in a class."""
-        return list(self._lines[priority_class])
+        """Return the paths of the workspaces with waiting requests in a class."""
+        return list(self._queues[priority_class])
 
-    def line(self, priority_class: str, path: str) -> Iterator[QueuedRequest]:
-        """Yield a workspace's requests in a class, the first in line first."""
-        yield from self._lines[priority_class].get(path, {}).values()
+    def workspace_queue(
+        self, priority_class: str, path: str
+    ) -> Iterator[QueuedRequest]:
+        """Yield a workspace's waiting requests in a class, in queue order."""
+        yield from self._queues[priority_class].get(path, {}).values()
 
     def counts(self) -> dict[str, int]:
         """Return the number of waiting requests by workspace."""
@@ -138,7 +144,7 @@
         )
 
     def waiting_tokens(self, path: str) -> float:
-        """Return the priced tokens that wait for one workspace."""
+        """Return the priced tokens of one workspace's waiting requests."""
         return self._tokens.get(path, 0.0)
 
     def _adjust(self, item: QueuedRequest, sign: int) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_reasons.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_reasons.py
@@ -1,13 +1,17 @@
-"""Why requests are refused, as callers and logs are told it."""
+"""Reasons for refusals, as sent to callers and written to logs."""
 
 OVER_LIMIT = "over_limit"
 QUEUE_FULL = "queue_full"
 DEADLINE_UNREACHABLE = "deadline_unreachable"
 DEADLINE_PASSED = "deadline_passed"
 UPSTREAM_FAILED = "upstream_failed"
+#: The request is quarantined, because upstreams crashed under it.
 ENDS_UPSTREAMS = "ends_upstreams"
 NO_UPSTREAM = "no_upstream"
 NO_RETRY_LEFT = "no_retry_left"
+#: The request is isolated, and no upstream without another such request is available.
 KEPT_APART = "kept_apart"
+#: All upstreams limit their request rate, and the rate is used up.
 AT_RATE = "upstreams_at_rate"
+#: All upstreams have requested a pause.
 PAUSED = "upstreams_paused"
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -1,4 +1,4 @@
-"""When a request is given up, and what its caller is told."""
+"""Refusals: when an open request is refused, and the content of the refusal."""
 
 import math
 
@@ -22,17 +22,17 @@
 from ._retry import RetryBudgets
 from ._suspects import Suspects
 
-#: Wait for an upstream to come back, or for a retry, before a request is given up.
+#: Time for which a request may wait without a usable upstream or retry budget.
 MAX_BLOCKED_SECONDS = 2.0
 
-#: The same for a stream that broke midway. Its caller has a part of it and bears a
-#: longer pause, about what an upstream needs to come back; after that it asks again
-#: itself. Without a bound callers were held to their deadlines, 4 s and more.
+#: The same for a stream that broke after its first piece. Its caller accepts a longer
+#: pause, about the time that an upstream needs to restart, and then retries itself.
+#: Without a bound callers had to wait until their deadlines, 4 s and more.
 MAX_BLOCKED_STREAM_SECONDS = 4.0
 
 
 class Refusals:
-    """Finds the requests without hope and says why; it shares the scheduler's parts."""
+    """Decides on refusals and builds them; shares the scheduler's components."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._suspects = suspects
 
     def find_reason(self, item: QueuedRequest, now_seconds: float) -> str:
-        """Return why a request without answer is to be given up now, or nothing."""
+        """Return why an unanswered request is to be refused now, or ``""``."""
         if item.lifecycle.has_delivered and item.lifecycle.attempt_id:
             return ""
         if now_seconds >= item.arrival.deadline_seconds:
@@ -72,14 +72,15 @@
         peer: str,
         retry_after_seconds: float | None = None,
     ) -> ev.Refuse:
-        """Return the refusal of a request that is in no line any more.
+        """Return the refusal of a request that is no longer queued.
 
-        ``retry_after_seconds`` stands where the reason tells when to come back.
+        ``retry_after_seconds`` is given if the reason determines it.
         """
         if retry_after_seconds is None and reason != ENDS_UPSTREAMS:
             retry_after_seconds = self._retry_after_seconds(item, now_seconds)
         if reason == OVER_LIMIT:
-            # It hangs on no upstream, and a hot workspace is refused by the thousand.
+            # A limit does not depend on upstreams, and describing them is too expensive
+            # if thousands of requests of one workspace are refused.
             evidence = describe_limit(self._pool.limits.state(peer, now_seconds))
         else:
             evidence = self._describe(item, now_seconds)
@@ -116,17 +117,18 @@
         return self._admission.retry_after_seconds(item.arrival.workspace, now_seconds)
 
     def _max_blocked_seconds(self, item: QueuedRequest) -> float:
-        """Return how long a request waits while no upstream can take it."""
+        """Return how long a request may wait while no upstream is usable for it."""
         if item.lifecycle.has_delivered:
             return MAX_BLOCKED_STREAM_SECONDS
         target_seconds = item.arrival.latency_target_seconds
         if item.blocked_reason in (AT_RATE, PAUSED):
-            # When it can go is foreseen; it is refused as soon as that is too late.
+            # The forecast refuses it as soon as it can't be sent in time.
             return math.inf
         if target_seconds is None and item.blocked_reason == NO_RETRY_LEFT:
-            # Its caller named nothing but a deadline, and retries are earned by time.
+            # The caller set only a deadline, and the budget refills with time.
             return math.inf
         if target_seconds is None or item.blocked_reason == KEPT_APART:
-            # An upstream that is free of other suspects is a matter of one answer.
+            # An upstream without another suspected request is available as soon as one
+            # such request is answered.
             return MAX_BLOCKED_SECONDS
         return target_seconds * self._settings.hold_ratio
--- a/packages/rampwick-policy/src/rampwick_policy/_request.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request.py
@@ -1,4 +1,4 @@
-"""Life of one request: what is known of its dispatch, and its one final answer."""
+"""Lifecycle of one request: its attempts, its run state and its one final answer."""
 
 import enum
 
@@ -8,14 +8,14 @@
 
 from ._errors import LifecycleError
 
-#: Attempts beyond those that ran: so often may upstreams refuse one request.
+#: Attempts allowed in addition to those that ran: refusals of one request by upstreams.
 MAX_REFUSALS = 4
 
 
 class RunState(enum.IntEnum):
-    """What is known of whether a request ran; it only ever rises.
+    """What is known about whether a request ran; it never decreases.
 
-    Only the first two allow an answer that says the request was not run.
+    Only with the first two may an answer state that the request was not run.
     """
 
     NOT_SENT = 0
@@ -26,7 +26,7 @@
 
     @property
     def was_run(self) -> str:
-        """What an error answer says: ``no``, ``maybe`` or ``yes``."""
+        """Value in an error answer: ``no``, ``maybe`` or ``yes``."""
         if self <= RunState.REFUSED:
             return "no"
         return "yes" if self >= RunState.RUNNING else "maybe"
@@ -36,35 +36,35 @@
     """How an attempt ended."""
 
     DONE = "done"
-    #: The connection was never made; the upstream is ill.
+    #: The connection was not established; the upstream is unhealthy.
     UNREACHABLE = "unreachable"
-    #: It was not sent, since the upstream has come to want no more requests.
+    #: The request was not sent, because the upstream stopped accepting requests.
     WITHDRAWN = "withdrawn"
-    #: The upstream said that it did not run the request; it is not ill.
+    #: The upstream reported that it did not run the request; it is healthy.
     BUSY = "busy"
-    #: The upstream broke off or fell silent; it may have run the request.
+    #: The connection broke or stalled; the upstream may have run the request.
     BROKEN = "broken"
-    #: The caller's time ran out first; it may have run the request.
+    #: The deadline passed first; the upstream may have run the request.
     EXPIRED = "expired"
-    #: The upstream answered from another life than the one it was chosen for.
+    #: The upstream answered from another incarnation than the one it was chosen for.
     STALE = "stale"
-    #: The upstream is another than the one asked for, or in another life, and said
-    #: that it did not run the request.
+    #: The request reached another upstream or incarnation than intended, which
+    #: reported that it did not run the request.
     MISDIRECTED = "misdirected"
 
     @property
     def is_health_failure(self) -> bool:
-        """Whether the outcome speaks against the upstream's health."""
+        """Whether the outcome indicates that the upstream is unhealthy."""
         return self in (Outcome.UNREACHABLE, Outcome.BROKEN)
 
     @property
     def proves_not_run(self) -> bool:
-        """Whether the attempt surely did not run."""
+        """Whether the attempt certainly did not run."""
         return self.never_arrived or self in (Outcome.BUSY, Outcome.MISDIRECTED)
 
     @property
     def never_arrived(self) -> bool:
-        """Whether the upstream never saw the attempt."""
+        """Whether the upstream never received the attempt."""
         return self in (Outcome.UNREACHABLE, Outcome.WITHDRAWN)
 
 
@@ -72,17 +72,17 @@
 class RequestLifecycle(Shown):
     """State machine of one request over all its attempts.
 
-    Events of an attempt other than the current one return false and change
-    nothing: late and crossed events can't reach the caller.
+    Events of an attempt other than the current one return ``False`` and change
+    nothing, so that delayed and reordered events have no effect on the caller.
     """
 
     request_id: str
     deadline_seconds: float
     #: Whether the request may run again after an attempt that may have run.
     is_repeatable: bool
-    #: Upstreams on which the request may run.
+    #: Number of upstreams on which the request may run.
     max_attempts_count: int
-    #: Whether the rest of a stream may come from another upstream.
+    #: Whether another upstream may continue a stream that broke.
     is_resumable: bool = False
     run_state: RunState = RunState.NOT_SENT
     attempt_id: str = ""
@@ -98,7 +98,7 @@
         return not self.has_ended and not self.attempt_id
 
     def start(self, attempt_id: str) -> None:
-        """Note that an attempt is handed to the network."""
+        """Record that an attempt is passed to the network."""
         if not self.is_waiting:
             raise LifecycleError(
                 f"{self.request_id} is not waiting", step="start attempt"
@@ -111,31 +111,34 @@
         self.attempts_count += 1
 
     def accept(self, attempt_id: str) -> bool:
-        """Note that the upstream has begun to answer."""
+        """Record that the upstream has started to answer."""
         if not self._is_current(attempt_id):
             return False
         self.run_state = max(self.run_state, RunState.RUNNING)
         return True
 
     def deliver(self, attempt_id: str) -> bool:
-        """Note that a first piece goes to the caller; no other attempt follows."""
+        """Record that a first piece is sent to the caller.
+
+        No other attempt follows, unless the request is resumable.
+        """
         if not self._is_current(attempt_id):
             return False
         self.has_delivered = True
         return True
 
     def fail(self, attempt_id: str, outcome: Outcome) -> bool:
-        """Note that an attempt ended without its whole answer."""
+        """Record that an attempt ended without a complete answer."""
         if not self._is_current(attempt_id):
             return False
         self.attempt_id = ""
-        known = RunState.REFUSED if outcome.proves_not_run else RunState.MAYBE_RUN
-        self.run_state = max(self.run_state, known)
+        observed = RunState.REFUSED if outcome.proves_not_run else RunState.MAYBE_RUN
+        self.run_state = max(self.run_state, observed)
         self.runs_count += not outcome.proves_not_run
         return True
 
     def may_retry(self, now_seconds: float) -> bool:
-        """Return whether another attempt is allowed, the budget apart."""
+        """Return whether another attempt is allowed, apart from the retry budget."""
         may_run_again = self.is_repeatable or self.run_state <= RunState.REFUSED
         return (
             self.is_waiting
@@ -147,14 +150,14 @@
         )
 
     def finish(self, attempt_id: str) -> bool:
-        """Note the whole answer; return whether it is the final one."""
+        """Record the complete answer; return whether it is the final one."""
         if not self._is_current(attempt_id):
             return False
         self.run_state = RunState.DONE
         return self.end()
 
     def end(self) -> bool:
-        """Give the final answer; return false if there was one already."""
+        """Record the final answer; return ``False`` if there was one already."""
         if self.has_ended:
             return False
         self.has_ended = True
--- a/packages/rampwick-policy/src/rampwick_policy/_retry.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_retry.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries are a share of fresh requests, whatever fails."""
+"""Retry budgets, which bound retries to a share of new requests."""
 
 import attrs
 
@@ -6,21 +6,21 @@
 
 from ._request import Outcome
 
-#: Retries that may be saved up while nothing fails: about what one runner had under
-#: way when it crashed, so that a single crash loses no work.
+#: Balance that a budget may reach while nothing fails: about the number of requests
+#: that one runner had under way when it crashed, so that a single crash loses none.
 MAX_BALANCE = 64.0
 
-#: Retries earned by time alone while nothing is saved, so that the last requests of
-#: a burst are not stuck when no fresh ones come.
+#: Refill rate of an exhausted budget, so that the last requests of a burst can be
+#: retried when no new ones arrive.
 FLOOR_PER_SECOND = 0.5
 
 
 @attrs.define(repr=False)
 class RetryBudget(Shown):
-    """Each fresh request earns a part of a retry; each retry spends a whole one.
+    """Retry budget: each new request earns a fraction of a retry, each retry costs one.
 
-    In any span of time no more retries go out than were saved up, plus the earned
-    share of the span's requests, plus the floor.
+    In any period the number of retries is at most the balance at its start, plus the
+    earned share of the requests in the period, plus the floor.
     """
 
     earned_ratio: float
@@ -33,7 +33,7 @@
         self.balance = self.max_balance / 2
 
     def earn(self) -> None:
-        """Note a fresh request."""
+        """Add the share that a new request earns."""
         self.balance = min(self.max_balance, self.balance + self.earned_ratio)
 
     def has_retry(self, now_seconds: float) -> bool:
@@ -42,7 +42,7 @@
         return self.balance >= 1.0
 
     def spend(self, now_seconds: float) -> bool:
-        """Take one retry; return whether the budget allows it."""
+        """Charge one retry; return whether the budget allows it."""
         if not self.has_retry(now_seconds):
             return False
         self.balance -= 1.0
@@ -57,17 +57,16 @@
 
 
 class RetryBudgets:
-    """One budget for each service, so that one ill service spends only its own."""
+    """Retry budgets by service; failures of one service use up only its own budget."""
 
     def __init__(self, settings: RetrySettings) -> None:
         self._settings = settings
         self._by_service: dict[str, RetryBudget] = {}
 
     def of(self, service: str, hosts_count: int) -> RetryBudget:
-        """Return a service's budget; the empty name is that of all models.
+        """Return a service's budget; the empty name stands for all models.
 
-        Where the fleet's owners judge all hosts together, each has its part of what
-        may be saved up.
+        If the balance is limited for the whole fleet, each host has an equal share.
         """
         max_balance = self._max_balance(hosts_count)
         budget = self._by_service.get(service)
@@ -81,9 +80,10 @@
         return budget
 
     def is_charged(self, outcome: Outcome) -> bool:
-        """Return whether another attempt after this one is paid from the budget.
+        """Return whether a retry after this outcome is charged to the budget.
 
-        A refusal costs the fleet next to nothing, but its owner may count it.
+        A refusal costs the fleet almost nothing, but its operator may count the retry
+        that follows.
         """
         if self._settings.charges_refusals:
             return not outcome.never_arrived
@@ -97,6 +97,6 @@
 
     @property
     def min_balance(self) -> float:
-        """Retries left to the service that has the fewest."""
-        balance = (budget.balance for budget in self._by_service.values())
-        return min(balance, default=0.0)
+        """Balance of the service with the fewest retries left."""
+        balances = (budget.balance for budget in self._by_service.values())
+        return min(balances, default=0.0)
--- a/packages/rampwick-policy/src/rampwick_policy/_routes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_routes.py
@@ -1,7 +1,7 @@
-"""Finding the route of a request, and the service that takes it.
+"""Selection of the route of a request, and of the service that receives it.
 
-A ``RouteIndex`` is built once for each revision of the configuration and answers
-look-ups from maps.
+A ``RouteIndex`` is built once for each revision of the configuration, so that lookups
+are dictionary accesses.
 """
 
 import hashlib
@@ -9,12 +9,12 @@
 
 from rampwick_schema import Route, Routing, Service
 
-#: Bytes of the hash that spreads requests over a route's services.
+#: Bytes of the hash that distributes requests over a route's services.
 _HASH_BYTES = 8
 
 
 class RouteIndex:
-    """Routes, services and stores of one revision, by what they are asked for."""
+    """Routes and services of one revision, indexed by host and by name."""
 
     def __init__(self, routing: Routing) -> None:
         self.routing = routing
@@ -27,7 +27,7 @@
         return len(self.routing.routes)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` whose prefix of ``path`` is the longest."""
+        """Return the route of ``host`` with the longest matching prefix of ``path``."""
         routes = self._by_host.get(host)
         if not routes:
             return None
@@ -39,14 +39,14 @@
         return None
 
     def service(self, name: str) -> Service | None:
-        """Return a service by its name."""
+        """Return the service with this name, or ``None``."""
         return self._services.get(name)
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """Return the service that takes a request, by the weights of the route.
+    """Return the service that receives a request, by the weights of the route.
 
-    The choice depends on the id alone, so that all hosts agree on it.
+    The choice depends only on the request ID, so all hosts make the same choice.
     """
     total = sum(target.weight for target in route.targets)
     digest = hashlib.blake2b(request_id.encode(), digest_size=_HASH_BYTES).digest()
@@ -59,18 +59,20 @@
 
 
 def routing_problems(routing: Routing) -> Iterator[str]:
-    """Yield what makes a routing table unusable, one short text for each problem."""
+    """Yield a short text for each problem that makes a routing table invalid."""
     names = {service.name for service in routing.services}
     owners: dict[tuple[str, str], str] = {}
     for route in routing.routes:
         prefix = route.path_prefix
         if not (prefix.startswith("/") and prefix.endswith("/")):
-            yield f"route {route.name}: path_prefix {prefix!r} must be between slashes"
+            yield (
+                f"route {route.name}: path_prefix {prefix!r} must start and end with /"
+            )
         owner = owners.setdefault((route.host, prefix), route.name)
         if owner != route.name:
             yield f"route {route.name}: same host and path_prefix as {owner}"
         if not sum(target.weight for target in route.targets) > 0.0:
-            yield f"route {route.name}: its services have no weight"
+            yield f"route {route.name}: total weight of its services is not positive"
         for target in route.targets:
             if target.service not in names:
                 yield f"route {route.name}: unknown service {target.service!r}"
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -1,9 +1,9 @@
-"""The decisions of one host: events in, actions out.
+"""The request scheduler of one host, which turns events into actions.
 
-The scheduler owns the queue and the state of every request; what it knows of upstreams
-and peers is in its pool, and its dispatcher chooses who goes where. It does no I/O and
-reads no clock. Whoever drives it hands it each event with the present time and carries
-out the actions it returns, in their order.
+The scheduler owns the queue and the state of every request. Its pool holds the state of
+upstreams and peers, and its dispatcher assigns requests to upstreams. It does no I/O
+and reads no clock: the caller passes each event with the current time and performs the
+returned actions in order.
 """
 
 from collections.abc import Callable
@@ -45,12 +45,12 @@
 from ._suspects import Suspects
 from ._upstreams import Upstream, UpstreamTable
 
-#: Events after which nothing that waits can go any sooner; ticks come anyway.
+#: Events that can't make a waiting request dispatchable; the next tick follows anyway.
 NON_DISPATCHING_EVENTS = (ev.AttemptAccepted, ev.LoadReported, ev.CacheReported)
 
 
 class Scheduler:
-    """State machine of one host's decisions."""
+    """State machine that queues, dispatches, retries and refuses requests."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
             ev.AttemptAccepted: self._on_accepted,
             ev.AttemptDelivered: self._on_delivered,
             ev.AttemptFailed: self._on_failed,
-            ev.AttemptStalled: self._on_silent,
+            ev.AttemptStalled: self._on_stalled,
             ev.AttemptDone: self._on_done,
             ev.RequestCancelled: self._on_cancelled,
             ev.LoadReported: self._on_reported,
@@ -120,22 +120,22 @@
             ev.LeavingUpdateReceived: self._on_pool_event,
             ev.PeersChanged: self._on_pool_event,
             ev.CrashUpdateReceived: self._on_crashes_received,
-            ev.TreeChanged: self._on_tree,
+            ev.TreeChanged: self._on_tree_changed,
             ev.Tick: self._on_tick,
         }
 
     def handle(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
-        """Take one event; return what is to be done, in order."""
+        """Process one event; return the actions to perform, in order."""
         actions = self._handlers[type(event)](event, now_seconds)
         if self.suspects.judge(now_seconds):
             actions += self._refuse_quarantined(now_seconds)
         self.admission.note_backlog(now_seconds)
-        actions += self._fill(event, now_seconds)
+        actions += self._dispatch_waiting(event, now_seconds)
         return actions
 
     @property
     def upstreams(self) -> UpstreamTable:
-        """The upstreams that may be given work."""
+        """The upstreams that may receive requests."""
         return self.pool.upstreams
 
     @property
@@ -145,38 +145,38 @@
 
     @property
     def ledger(self) -> UsageLedger:
-        """Use of the pool by workspace."""
+        """Usage of the pool by workspace."""
         return self.pool.ledger
 
     @property
     def limits(self) -> LimitBook:
-        """Limits in tokens, kept with the other hosts."""
+        """Token limits, enforced together with the other hosts."""
         return self.pool.limits
 
     @property
     def knowledge(self) -> CacheKnowledge:
-        """What the runners' caches are believed to hold."""
+        """Estimated contents of the runners' caches."""
         return self.pool.knowledge
 
     def running_count(self, upstream: Upstream) -> int:
-        """Return the attempts open at an upstream, those of peers included."""
+        """Return the number of open attempts at an upstream, including peers'."""
         load = self.peers.load_of(upstream.name, upstream.life_name)
         return len(upstream.own_attempts) + load.running_count
 
     def lifecycle(self, request_id: str) -> RequestLifecycle | None:
-        """Return the state of a request that has no final answer yet."""
+        """Return the lifecycle of a request that has no final answer yet."""
         item = self._requests.get(request_id)
         return item.lifecycle if item else None
 
     @property
     def open_count(self) -> int:
-        """Requests without a final answer."""
+        """Number of requests without a final answer."""
         return len(self._requests)
 
     def summary(
         self, sequence: int, revision: int, is_leaving: bool, now_seconds: float
     ) -> Summary:
-        """Return what peers are told; updates of placements are sent once."""
+        """Return the summary for peers; it includes each placement update only once."""
         return own_summary(
             self.pool,
             self.queue.service_counts(),
@@ -243,7 +243,7 @@
         if item is None or not item.lifecycle.fail(event.attempt_id, event.outcome):
             return []
         peer = item.upstream
-        item.tried.add(peer)
+        item.tried_upstreams.add(peer)
         if event.was_closed and self.upstreams.has_ended(peer, now_seconds):
             self.suspects.note_end(item, now_seconds)
         actions = self._requests.cancel(item, event)
@@ -277,7 +277,7 @@
         self._requests.charge_actual(
             item, missing + ANSWER_TOKEN_PRICE * event.answer_tokens, now_seconds
         )
-        self._answers.learn(item.workspace_path, event.answer_tokens)
+        self._answers.record(item.workspace_path, event.answer_tokens)
         if upstream is not None and upstream.life is not None:
             self.pool.caches.note_answer(upstream.name, upstream.life, chain, event)
         return []
@@ -290,7 +290,7 @@
             return []
         return self._requests.drop(item, now_seconds)
 
-    def _on_silent(
+    def _on_stalled(
         self, event: ev.AttemptStalled, now_seconds: float
     ) -> list[ev.Action]:
         item = self._requests.get(event.request_id)
@@ -301,7 +301,7 @@
     def _on_probe_failed(
         self, event: ev.ProbeFailed, now_seconds: float
     ) -> list[ev.Action]:
-        """Take an upstream down, and what may be repeated away from it."""
+        """Mark an upstream as down, and fail its attempts that may be repeated."""
         self.pool.hear(event, now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
@@ -315,7 +315,7 @@
                 actions += self._on_failed(failed, now_seconds)
         return actions
 
-    # Reports of others, and time.
+    # Upstreams, peers and time.
 
     def _on_pool_event(self, event: PoolEvent, now_seconds: float) -> list[ev.Action]:
         self.pool.hear(event, now_seconds)
@@ -332,7 +332,7 @@
             )
         return []
 
-    # Requests that upstreams end under.
+    # Requests under which upstreams crash.
 
     def _on_crashes_received(
         self, event: ev.CrashUpdateReceived, now_seconds: float
@@ -342,7 +342,7 @@
         return []
 
     def _refuse_quarantined(self, now_seconds: float) -> list[ev.Action]:
-        """Refuse what is stopped, be it waiting or under way."""
+        """Refuse quarantined requests, queued or under way."""
         actions: list[ev.Action] = []
         for item in self._requests:
             if self.suspects.suspicion(item) is Suspicion.STOPPED:
@@ -350,7 +350,9 @@
                 actions += self._requests.abort(item, ENDS_UPSTREAMS, now_seconds)
         return actions
 
-    def _on_tree(self, event: ev.TreeChanged, now_seconds: float) -> list[ev.Action]:
+    def _on_tree_changed(
+        self, event: ev.TreeChanged, now_seconds: float
+    ) -> list[ev.Action]:
         self.admission.workspaces = event.view.workspaces
         self.limits.apply(event.view.workspaces, now_seconds)
         self.pool.imports.apply(event.view.routes)
@@ -374,12 +376,12 @@
         reason = self._refusals.find_reason(item, now_seconds)
         return self._requests.abort(item, reason, now_seconds) if reason else []
 
-    def _fill(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
-        """Dispatch what may go now, and refuse what can't be served in time."""
+    def _dispatch_waiting(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
+        """Dispatch requests that may be sent now; refuse those that are too late."""
         if not len(self.queue) or isinstance(event, NON_DISPATCHING_EVENTS):
             return []
-        # What waited before an arrival was found blocked then; only its own line
-        # can have something new.
+        # Requests that waited before an arrival could not be dispatched then, and the
+        # arrival changes only the queue of its own workspace.
         only_path = ""
         if isinstance(event, ev.RequestArrived):
             only_path = event.workspace.path
--- a/packages/rampwick-policy/src/rampwick_policy/_shares.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shares.py
@@ -1,12 +1,12 @@
-"""Fair shares down the tree by decayed use.
-
-A workspace's use is the priced tokens that all hosts served for it, forgotten with a
-time constant. Among the waiting workspaces the one with the least use for its weight
-goes first, compared level by level from the top of the tree. With use u and weight w
-kept level, service rates settle in proportion to the weights; a workspace that was
-idle may catch up at most one time constant of its share. The counters follow the
-virtual token counters of VTC (Sheng et al., OSDI 2024); decay replaces the lift of
-returning workspaces, since hosts can't agree on a lift without a service.
+"""Hierarchical fair queueing by decayed usage.
+
+A workspace's usage is the number of priced tokens that all hosts served for it, with
+exponential decay. Among the waiting workspaces the one with the lowest usage per weight
+is served first, compared level by level from the root of the tree. Keeping usage per
+weight equal makes service rates converge to the proportions of the weights. A workspace
+that was idle may catch up by at most one time constant of its share. The counters
+follow the virtual token counters of VTC (Sheng et al., OSDI 2024); decay replaces the
+lift of returning workspaces, because hosts can't agree on a lift without a coordinator.
 """
 
 import math
@@ -18,30 +18,30 @@
 
 from ._tree import Workspace, lineage
 
-#: Use below this many tokens is forgotten.
+#: Usage below this number of tokens is dropped.
 NEGLIGIBLE_TOKENS = 0.5
 
-#: What compares two workspaces: use over weight at each level from the top.
+#: Order of workspaces in fair queueing: usage per weight at each level from the root.
 FairnessKey = tuple[float, ...]
 
 
 @attrs.define(repr=False)
 class DecayedUsage(Shown):
-    """Priced tokens by tree path, forgotten with a time constant."""
+    """Priced tokens by tree path, decaying exponentially."""
 
     decay_seconds: float
     at_seconds: float = 0.0
     _tokens: dict[str, float] = attrs.field(factory=dict)
 
     def add(self, path: str, tokens: float, now_seconds: float) -> None:
-        """Add tokens at a path; negative ones give back an estimate."""
+        """Add tokens at a path; a negative number corrects an estimate."""
         self._advance(now_seconds)
         self._tokens[path] = max(0.0, self._tokens.get(path, 0.0) + tokens)
 
     def add_all(
         self, tokens: Mapping[str, float], sign: float, now_seconds: float
     ) -> None:
-        """Add the tokens of many paths, or take them away with a negative sign."""
+        """Add the tokens of several paths, or subtract them with a negative sign."""
         self._advance(now_seconds)
         own = self._tokens
         for path, count in tokens.items():
@@ -55,13 +55,13 @@
         )
 
     def snapshot(self, now_seconds: float) -> Mapping[str, float]:
-        """Return all paths with use that still counts."""
+        """Return the tokens of all paths with usage that is not negligible."""
         self._advance(now_seconds)
         return self._tokens
 
     def _advance(self, now_seconds: float) -> None:
         elapsed_seconds = now_seconds - self.at_seconds
-        # Advancing rarely keeps the cost away from single requests.
+        # Decay is applied rarely, so that its cost is not paid by each request.
         if elapsed_seconds < self.decay_seconds / 100:
             return
         factor = math.exp(-elapsed_seconds / self.decay_seconds)
@@ -74,14 +74,14 @@
 
 
 class UsageLedger:
-    """Use of the pool by workspace: this host's own and what its peers tell."""
+    """Usage of the pool by workspace: this host's own and that reported by peers."""
 
     def __init__(self, decay_seconds: float) -> None:
         self.decay_seconds = decay_seconds
         self._own = DecayedUsage(decay_seconds)
         self._own_by_workspace = DecayedUsage(decay_seconds)
         self._by_peer: dict[str, DecayedUsage] = {}
-        # Sum over all peers, kept up to date so that a look-up costs no walk.
+        # Sum over all peers, updated with each report, so that a lookup is cheap.
         self._peers = DecayedUsage(decay_seconds)
 
     def charge(self, workspace: str, tokens: float, now_seconds: float) -> None:
@@ -93,27 +93,27 @@
     def replace_peer_usage(
         self, peer: str, usages: Iterable[WorkspaceUsage], now_seconds: float
     ) -> None:
-        """Replace what is known of a peer's use."""
+        """Replace a peer's reported usage."""
         tokens: dict[str, float] = {}
         for usage in usages:
             for path in lineage(usage.workspace):
                 tokens[path] = tokens.get(path, 0.0) + usage.used_tokens
-        known = self._by_peer.get(peer)
-        if known is not None:
-            self._peers.add_all(known.snapshot(now_seconds), -1.0, now_seconds)
+        previous = self._by_peer.get(peer)
+        if previous is not None:
+            self._peers.add_all(previous.snapshot(now_seconds), -1.0, now_seconds)
         self._peers.add_all(tokens, 1.0, now_seconds)
         self._by_peer[peer] = DecayedUsage(self.decay_seconds, now_seconds, tokens)
 
     def own_usage(self, now_seconds: float) -> Mapping[str, float]:
-        """Return this host's use by workspace, to tell peers."""
+        """Return this host's usage by workspace, for its summaries."""
         return self._own_by_workspace.snapshot(now_seconds)
 
     def used_tokens(self, path: str, now_seconds: float) -> float:
-        """Return the decayed tokens at a path over all hosts heard of."""
+        """Return the decayed tokens at a path over all known hosts."""
         return self._own.get(path, now_seconds) + self._peers.get(path, now_seconds)
 
     def fairness_key(self, workspace: Workspace, now_seconds: float) -> FairnessKey:
-        """Return the workspace's place in line; the least one goes first."""
+        """Return the workspace's fairness key; the lowest one is served first."""
         pairs = zip(workspace.lineage, workspace.weights, strict=True)
         return tuple(
             self.used_tokens(path, now_seconds) / weight for path, weight in pairs
--- a/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
@@ -1,39 +1,38 @@
-"""Who can still be answered in time, and what room the others leave to them.
+"""Scheduling of requests with and without a chance to meet their latency target.
 
-It answers a burst, and all hosts coming back at once: for some seconds more prompts
-wait than the runners can read within their callers' latency targets. Served by arrival,
-each of them waits behind those that are late already, until nearly all are late. Those
-that can still be in time go first instead; the others are served in the room that is
-left, for as long as their deadlines last.
+In a burst, or when all hosts start at the same time, more prompts wait for some seconds
+than the runners can prefill within the latency targets. In order of arrival each of
+them waits behind requests that are late already, until nearly all are late. Therefore
+requests that can still meet their target go first; late ones use the remaining capacity
+until their deadlines.
 """
 
 import math
 
 from ._queue import QueuedRequest
 
-#: Part of its latency target after which a request that still waits counts as late: the
-#: rest is what sending it and reading a short prompt take.
+#: Share of the latency target after which a waiting request counts as late: the rest is
+#: the time for sending it and for the prefill of a short prompt.
 MAX_WAIT_RATIO = 0.75
 
-#: Part of a runner's usual queue of prompts up to which it is sent what is late
-#: already: a request that arrives next then finds the larger part of the queue free.
+#: Share of a runner's usual prefill queue up to which late requests are sent to it, so
+#: that the larger part of the queue stays free for the next arriving request.
 MIN_LATE_QUEUE_RATIO = 0.33
 
-
-#: The same when all of its time is spent: more than the usual queue, so that a flood of
-#: requests that can be in time does not keep it waiting until its deadline.
+#: The same for a request at its deadline: more than the usual queue, so that overload
+#: by requests that can meet their target does not hold it back until its deadline.
 MAX_LATE_QUEUE_RATIO = 1.5
 
 
 def late_queue_ratio(item: QueuedRequest, now_seconds: float) -> float:
-    """Return the part of a runner's usual queue up to which a late one is sent there.
+    """Return the share of a runner's usual prefill queue that a late request may meet.
 
-    It grows while the request waits: one that was held in vain until its deadline has
-    cost its caller all of its time.
+    It grows while the request waits, because a request that is refused only at its
+    deadline has cost its caller all of its time.
     """
     allowed_seconds = item.arrival.deadline_seconds - item.arrived_at_seconds
     waited_seconds = now_seconds - item.arrived_at_seconds
-    # Nothing of the growth in the first half of its time, all of it at the end.
+    # 0 in the first half of the time allowed, then linear up to 1 at the deadline.
     growth_ratio = max(0.0, 2.0 * waited_seconds / max(0.001, allowed_seconds) - 1.0)
     return MIN_LATE_QUEUE_RATIO + growth_ratio * (
         MAX_LATE_QUEUE_RATIO - MIN_LATE_QUEUE_RATIO
@@ -41,7 +40,7 @@
 
 
 def latest_answer_start_seconds(item: QueuedRequest) -> float:
-    """Return when its answer must begin; infinite where no target is known."""
+    """Return the latest start of an answer in time; infinite without a target."""
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
         return math.inf
@@ -49,7 +48,10 @@
 
 
 def latest_send_seconds(item: QueuedRequest) -> float:
-    """Return when it must be sent to be in time; its deadline if it has no target."""
+    """Return the latest time of sending a request in time.
+
+    Without a latency target this is its deadline.
+    """
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
         return item.arrival.deadline_seconds
@@ -57,7 +59,7 @@
 
 
 def cannot_meet_target(item: QueuedRequest, now_seconds: float) -> bool:
-    """Return whether it has waited too long to be in time wherever it is sent."""
+    """Return whether a request has waited too long to meet its target anywhere."""
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
         return False
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -82,9 +82,12 @@
 class ValidationTest(TestCase):
     def test_bad_routes_are_refused_with_their_names(self):
         for bad, text in (
-            (route("r", prefix="/x"), "between slashes"),
+            (route("r", prefix="/x"), "must start and end with /"),
             (route("r", targets=[WeightedService("nobody")]), "'nobody'"),
-            (route("r", targets=[WeightedService("s", 0.0)]), "no weight"),
+            (
+                route("r", targets=[WeightedService("s", 0.0)]),
+                "total weight of its services is not positive",
+            ),
         ):
             error = self.assertRaises(TreeError, make_view, bad)
             self.assertIn(text, str(error))
