--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -220,7 +220,7 @@
     #: Requests per second from all hosts together; ``None`` without a limit.
     requests_per_second: float | None
     #: When the request of this response was sent.
-    asked_at_seconds: float
+    sent_at_seconds: float
 
 
 @attrs.frozen(repr=False)
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -289,7 +289,7 @@
         word = RateObservation(
             event.incarnation,
             event.requests_per_second,
-            event.asked_at_seconds,
+            event.sent_at_seconds,
             now_seconds,
         )
         self.rates.take_answer(event.upstream, word, now_seconds)
