--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Routes, keys and how old a configuration may be."""
+"""Routes, keys, the age limits of a configuration, and answers during shutdown."""
 
 import hashlib
 
@@ -42,7 +42,7 @@
 
 
 class RouteIndexTest(TestCase):
-    def test_the_longest_prefix_of_the_host_wins(self):
+    def test_longest_prefix_of_the_host_is_selected(self):
         index = RouteIndex(
             Routing(
                 [route("short"), route("long", prefix="/x/y/"), route("o", "b.example")]
@@ -54,7 +54,7 @@
         self.assertIsNone(index.find("a.example", "/x"))
         self.assertIsNone(index.find("c.example", "/x/1"))
 
-    def test_a_split_follows_its_weights_and_every_host_agrees(self):
+    def test_split_follows_its_weights_and_is_equal_on_every_host(self):
         split = route("r", targets=[WeightedService("s", 90), WeightedService("t", 10)])
         drawn = [choose_service(split, f"request-{number}") for number in range(2000)]
         self.assertEqual(
@@ -63,14 +63,14 @@
         )
         self.assertTrue(120 < drawn.count("t") < 280, drawn.count("t"))
 
-    def test_a_service_without_weight_gets_nothing(self):
+    def test_service_with_zero_weight_gets_no_requests(self):
         split = route("r", targets=[WeightedService("s", 0), WeightedService("t", 1)])
         drawn = {choose_service(split, f"request-{number}") for number in range(200)}
         self.assertEqual({"t"}, drawn)
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.sampled_from(["", "x", "y", "xx"]), max_size=4))
-    def test_look_up_agrees_with_trying_every_route(self, parts):
+    def test_lookup_agrees_with_a_linear_search(self, parts):
         prefixes = ["/", "/x/", "/x/y/", "/xx/", "/y/x/"]
         routes = [route(prefix, prefix=prefix) for prefix in prefixes]
         path = "/" + "/".join(parts)
@@ -80,7 +80,7 @@
 
 
 class ValidationTest(TestCase):
-    def test_bad_routes_are_refused_with_their_names(self):
+    def test_error_for_an_invalid_route_names_it(self):
         for bad, text in (
             (route("r", prefix="/x"), "must start and end with /"),
             (route("r", targets=[WeightedService("nobody")]), "'nobody'"),
@@ -93,28 +93,28 @@
             self.assertIn(text, str(error))
             self.assertIn("r", str(error))
 
-    def test_two_routes_with_one_prefix_are_refused(self):
+    def test_duplicate_prefixes_are_rejected(self):
         error = self.assertRaises(TreeError, make_view, route("a"), route("b"))
         self.assertIn("same host and path_prefix", str(error))
 
 
 class AccessTest(TestCase):
-    def test_without_a_configuration_nothing_is_said_of_routes_or_keys(self):
+    def test_without_a_configuration_no_route_or_key_is_unknown(self):
         view = make_view(revision=0)
         self.assertIs(Verdict.NO_CONFIGURATION, decide(view).verdict)
 
-    def test_a_key_needs_a_configuration_that_was_confirmed_lately(self):
+    def test_key_requires_a_recently_confirmed_configuration(self):
         view = make_view(route("r"))
         self.assertIs(Verdict.ALLOWED, decide(view, age=3.5).verdict)
         self.assertIs(Verdict.STALE, decide(view, age=3.6).verdict)
 
-    def test_a_public_route_is_served_by_an_old_configuration(self):
+    def test_public_route_is_served_with_an_old_configuration(self):
         view = make_view(route("r", is_public=True))
         access = decide(view, key_hash=None, age=3600.0)
         self.assertIs(Verdict.ALLOWED, access.verdict)
         self.assertEqual("/", access.workspace.path)
 
-    def test_nobody_is_told_unknown_by_an_old_configuration(self):
+    def test_old_configuration_does_not_reject_as_unknown(self):
         view = make_view(route("r"))
         other = hashlib.sha256(b"other").hexdigest()
         self.assertIs(Verdict.UNKNOWN_KEY, decide(view, key_hash=other).verdict)
@@ -122,41 +122,42 @@
         self.assertIs(Verdict.UNKNOWN_ROUTE, decide(view, path="/y/").verdict)
         self.assertIs(Verdict.STALE, decide(view, path="/y/", age=1.1).verdict)
 
-    def test_a_key_that_is_missing_is_missing_whatever_the_age(self):
+    def test_missing_key_is_reported_at_any_age(self):
         view = make_view(route("r"))
         self.assertIs(Verdict.NO_KEY, decide(view, key_hash=None, age=9.0).verdict)
 
 
-class CacheWallTest(TestCase):
-    def walls(self, **isolated):
+class CacheDomainTest(TestCase):
+    def domains(self, **isolated):
         nodes = {"/": Node()}
         for name, is_isolated in isolated.items():
             nodes[f"/{name}"] = Node(is_workspace=True, is_isolated=is_isolated)
         view = make_view(nodes=nodes)
         return {path: item.cache_wall for path, item in view.workspaces.items()}
 
-    def test_isolated_workspaces_share_with_nobody(self):
-        walls = self.walls(a=False, b=False, c=True, d=True)
-        self.assertEqual(walls["/a"], walls["/b"])
-        self.assertEqual(3, len(set(walls.values())))
+    def test_isolated_workspaces_have_their_own_cache_domain(self):
+        domains = self.domains(a=False, b=False, c=True, d=True)
+        self.assertEqual(domains["/a"], domains["/b"])
+        self.assertEqual(3, len(set(domains.values())))
 
-    def test_what_was_shared_is_left_behind_when_one_becomes_isolated(self):
-        before = self.walls(a=False, b=False)
-        after = self.walls(a=False, b=True)
+    def test_isolating_a_workspace_changes_all_cache_domains(self):
+        before = self.domains(a=False, b=False)
+        after = self.domains(a=False, b=True)
         self.assertNotIn(after["/b"], before.values())
         self.assertNotEqual(before["/a"], after["/a"])
 
 
-class LeavingTest(TestCase):
-    def test_only_what_will_surely_be_done_is_still_taken(self):
+class ShutdownTest(TestCase):
+    def test_only_requests_that_finish_before_the_shutdown_are_accepted(self):
         terms = {"latency_target_seconds": 0.5, "now_seconds": 10.0}
         self.assertTrue(fits_before(13.0, max_answer_tokens=50, **terms))
         self.assertFalse(fits_before(12.0, max_answer_tokens=50, **terms))
         self.assertTrue(fits_before(11.0, max_answer_tokens=0, **terms))
 
-    def test_after_slow_answers_less_is_taken(self):
-        # Answers of 36 tokens took 6.4 s after an outage of the store; a host with 4 s
-        # left took such requests on kept connections and cut them.
+    def test_fewer_requests_are_accepted_after_slow_answers(self):
+        # After an outage of the store, answers of 36 tokens took 6.4 s. A host that
+        # shut down in 4 s accepted such requests on keep-alive connections and cut
+        # their answers.
         pace = AnswerPace()
         terms = {"latency_target_seconds": 0.515, "now_seconds": 10.0}
         self.assertTrue(fits_before(14.5, max_answer_tokens=36, **terms))
@@ -169,7 +170,7 @@
             fits_before(14.5, max_answer_tokens=0, pace_ratio=ratio, **terms)
         )
 
-    def test_slow_answers_are_forgotten(self):
+    def test_slow_answers_expire(self):
         pace = AnswerPace()
         pace.note(6.4, latency_target_seconds=0.5, answer_tokens=36, now_seconds=10.0)
         self.assertGreater(pace.worst_ratio(11.0), 2.9)
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -421,7 +421,7 @@
     def test_another_life_of_the_runner_is_not_limited(self):
         session = Session(runners=1, slots=8)
         self.name_rate(session, 0.0, 0.0, "lektor-1")
-        session.report(0.1, "lektor-1", life="two", slots=8)
+        session.report(0.1, "lektor-1", incarnation="two", slots=8)
         self.assertEqual(["lektor-1"], self.sent_to(session.arrive(0.2, "r0")))
 
     def test_a_host_that_is_no_sender_refuses_all(self):
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -129,7 +129,7 @@
     def test_its_next_incarnation_takes_requests(self):
         session = Session(runners=1, slots=8)
         leave(session, 1.0, "lektor-1")
-        session.report(2.0, "lektor-1", life="two", slots=8)
+        session.report(2.0, "lektor-1", incarnation="two", slots=8)
         self.assertEqual(["lektor-1"], sent_to(session.arrive(2.1, "r1")))
         leave(session, 3.0, "lektor-1", life="one")
         self.assertEqual(["lektor-1"], sent_to(session.arrive(3.1, "r2")))
@@ -139,7 +139,7 @@
         session.do(1.0, ProbeFailed("lektor-1", "silent"))
         update = LeavingUpdate([LeavingUpstream("lektor-1", "one")])
         session.do(1.1, LeavingUpdateReceived(update))
-        session.report(2.0, "lektor-1", life="one", slots=8)
+        session.report(2.0, "lektor-1", incarnation="one", slots=8)
         upstreams = session.scheduler.upstreams
         self.assertTrue(upstreams.is_leaving(upstreams.get("lektor-1"), 2.0))
 
--- a/tests/test_requests_within_a_pause.py
+++ b/tests/test_requests_within_a_pause.py
@@ -94,7 +94,7 @@
         session = Session(runners=1, slots=8)
         self.pause(session, 1.0, "lektor-1", seconds=30.0)
         self.assertEqual([], session.arrive(1.1, "r1"))
-        report = session.report(1.2, "lektor-1", life="two", slots=8)
+        report = session.report(1.2, "lektor-1", incarnation="two", slots=8)
         sent = report + session.do(1.3, Tick())
         self.assertEqual(["lektor-1"], self.sent_to(sent))
 
@@ -138,7 +138,7 @@
         self.assertIsInstance(refusal, Refuse)
         self.assertEqual(10.0, refusal.retry_after_seconds)
         # The next one starts in time: nothing waits for the hour to pass.
-        session.report(2.0, "lektor-1", life="two", slots=8)
+        session.report(2.0, "lektor-1", incarnation="two", slots=8)
         self.assertEqual(["lektor-1"], self.sent_to(session.arrive(2.1, "r2")))
 
     def test_a_paused_service_gets_no_health_probe(self):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Whole sessions of the scheduler as golden files, and its rules one by one."""
+"""The scheduler: complete event sequences as golden files, and single rules."""
 
 import math
 
@@ -48,7 +48,7 @@
 
 
 class Session:
-    """A scheduler with runners, and a log of what it was told and answered."""
+    """A scheduler with runners, and a log of its events and actions."""
 
     def __init__(self, runners=2, slots=2, extra=""):
         settings = parse_settings(
@@ -73,8 +73,8 @@
         self.view = TreeView(Tree(1, self.nodes))
         self.do(0.0, TreeChanged(self.view))
 
-    def report(self, at, name, life="one", slots=2):
-        report = LoadReport(life, "m", 1, slots, 0, 0, 8000.0, 60_000)
+    def report(self, at, name, incarnation="one", slots=2):
+        report = LoadReport(incarnation, "m", 1, slots, 0, 0, 8000.0, 60_000)
         return self.do(at, LoadReported(name, report))
 
     def workspace(self, path) -> Workspace:
@@ -127,8 +127,8 @@
     """Return an action as one line of a golden file."""
     if isinstance(action, Dispatch):
         choice = action.choice
-        held = f"cached {choice.cached_tokens} missing {choice.missing_tokens}"
-        return f"Dispatch {action.attempt_id} to {action.upstream} {held}"
+        tokens = f"cached {choice.cached_tokens} missing {choice.missing_tokens}"
+        return f"Dispatch {action.attempt_id} to {action.upstream} {tokens}"
     if isinstance(action, Refuse):
         after = action.retry_after_seconds
         back = "never" if after is None else f"{after:.1f}"
@@ -145,7 +145,7 @@
     def check(self, session):
         self.assertTrue("\n".join(session.lines) == self.snapshot)
 
-    def test_a_guide_finds_its_runner_again(self):
+    def test_later_prompt_with_the_same_prefix_uses_its_runner(self):
         session = Session()
         session.arrive(1.0, "r1")
         session.done(1.2, "r1")
@@ -154,7 +154,7 @@
         session.arrive(3.0, "r3", path="/h/b")
         self.check(session)
 
-    def test_a_crash_fails_over_and_comes_back_on_a_ramp(self):
+    def test_crash_fails_over_and_restart_ramps_up(self):
         session = Session(slots=8)
         for number in range(3):
             session.arrive(1.0, f"r{number}")
@@ -168,11 +168,11 @@
         for number in range(3):
             session.done(1.7, f"r{number}", attempt=2)
         session.do(1.8, ProbeFailed(busy, "refused"))
-        session.report(2.2, busy, life="two", slots=8)
+        session.report(2.2, busy, incarnation="two", slots=8)
         session.arrive(2.3, "r9", text="something quite different " * 60)
         self.check(session)
 
-    def test_a_marked_request_is_not_repeated(self):
+    def test_non_repeatable_request_is_not_retried(self):
         session = Session()
         session.arrive(1.0, "r1", is_repeatable=False)
         session.do(1.1, AttemptAccepted("r1", "r1.1"))
@@ -181,7 +181,7 @@
         session.do(2.1, AttemptFailed("r2", "r2.1", Outcome.BUSY, "429"))
         self.check(session)
 
-    def test_deadlines_cancel_and_answer_at_once(self):
+    def test_passed_deadline_cancels_and_refuses(self):
         session = Session(runners=1, slots=1)
         session.arrive(1.0, "r1", deadline=3.0)
         session.arrive(1.0, "r2", deadline=1.0)
@@ -197,7 +197,7 @@
     def kinds(self, actions):
         return [type(action).__name__ for action in actions]
 
-    def test_classes_go_before_each_other_and_shares_within(self):
+    def test_priority_classes_are_ordered(self):
         session = Session(runners=1, slots=1)
         session.arrive(1.0, "first")
         for number, name in enumerate(["batch", "interactive", "portal"]):
@@ -205,7 +205,7 @@
         waiting = [item.request_id for item in session.scheduler.queue]
         self.assertEqual(["interactive", "batch"], waiting[-2:])
 
-    def test_used_less_goes_first(self):
+    def test_workspace_with_less_usage_goes_first(self):
         session = Session(runners=1, slots=1)
         session.arrive(1.0, "a1")
         session.arrive(1.0, "a2")
@@ -215,7 +215,7 @@
         order = [line for line in session.lines if "Dispatch" in line]
         self.assertIn("b1", order[-1])
 
-    def test_full_queue_refuses_whoever_fills_it_most(self):
+    def test_full_queue_refuses_the_workspace_with_the_longest_queue(self):
         session = Session(runners=1, slots=1, extra="[queue]\nmax_waiting_count = 3\n")
         for number in range(6):
             session.arrive(1.0, f"a{number}")
@@ -228,7 +228,7 @@
         self.assertEqual("queue_full", refused.reason)
         self.assertEqual("NOT_SENT", refused.run_state.name)
 
-    def test_limit_on_running_holds_a_subtree(self):
+    def test_running_limit_applies_to_a_subtree(self):
         session = Session(runners=2, slots=8)
         session.nodes["/h"] = Node(max_running_count=2)
         session.put_tree()
@@ -238,7 +238,7 @@
             actions += session.arrive(1.0, f"r{number}", path=path)
         self.assertEqual(["Dispatch"] * 2, self.kinds(actions))
 
-    def test_limit_on_tokens_counts_what_peers_sent(self):
+    def test_token_limit_counts_usage_of_peers(self):
         session = Session(runners=2, slots=8)
         session.nodes["/h/a"] = Node(is_workspace=True, tokens_per_second=1000.0)
         session.put_tree()
@@ -248,64 +248,64 @@
         (refused,) = session.arrive(20.0, "r1")
         self.assertEqual(("over_limit", "/h/a"), (refused.reason, refused.peer))
         self.assertEqual("NOT_SENT", refused.run_state.name)
-        # After a while the use has left the window and the request may go.
+        # Later the usage has left the window and the request is dispatched.
         summary = Summary(2, 1, 1, False, [], [], [])
         session.do(40.0, PeerSummaryReceived("entry-2", "trnava", 1, summary))
         self.assertEqual(["Dispatch"], self.kinds(session.arrive(40.0, "r2")))
 
-    def test_peers_work_counts_against_the_slots(self):
+    def test_requests_of_peers_occupy_slots(self):
         session = Session(runners=1, slots=2)
         usage = [UpstreamUsage("lektor-1", "one/1", 3, 0)]
         summary = Summary(1, 1, 1, False, [], usage, [])
         session.do(1.0, PeerSummaryReceived("entry-2", "trnava", 1, summary))
         self.assertEqual([], session.arrive(1.0, "r1"))
-        other_life = attrs.evolve(
+        other_incarnation = attrs.evolve(
             summary, sequence=2, upstreams=[UpstreamUsage("lektor-1", "old/1", 3, 0)]
         )
         actions = session.do(
-            1.1, PeerSummaryReceived("entry-2", "trnava", 1, other_life)
+            1.1, PeerSummaryReceived("entry-2", "trnava", 1, other_incarnation)
         )
         self.assertEqual(["Dispatch"], self.kinds(actions))
 
-    def hear_of_waiting(self, session, at, service):
-        """Have a peer say that a workspace that used less waits for a service."""
+    def report_waiting(self, session, at, service):
+        """Report from a peer a waiting workspace with less usage."""
         usage = [WorkspaceUsage("/h/a", 50_000)]
         waiting = [WaitingCount("/h/b", service, 100)]
         summary = Summary(1, 1, 1, False, usage, [], [], waiting=waiting)
         session.do(at, PeerSummaryReceived("entry-2", "trnava", 1, summary))
 
-    def test_slots_are_left_to_those_who_wait_for_the_same_service(self):
+    def test_slots_are_reserved_for_requests_for_the_same_service(self):
         session = Session(runners=2, slots=8)
-        self.hear_of_waiting(session, 1.0, service="")
+        self.report_waiting(session, 1.0, service="")
         self.assertEqual([], session.arrive(1.0, "r1"))
 
-    def test_slots_are_not_left_to_those_who_wait_for_another_service(self):
-        # Seen on a grown fleet: calls to a plain service with 18 of 24 slots free
-        # waited for their whole 1.5 s, since prompts waited for engines elsewhere.
+    def test_slots_are_not_reserved_for_requests_for_another_service(self):
+        # On a large fleet, calls to a plain service with 18 of 24 slots free waited
+        # for all of their 1.5 s, because prompts waited for engines at peers.
         session = Session(runners=2, slots=8)
-        self.hear_of_waiting(session, 1.0, service="portal")
+        self.report_waiting(session, 1.0, service="portal")
         self.assertEqual(["Dispatch"], self.kinds(session.arrive(1.0, "r1")))
 
-    def test_slots_are_not_left_to_those_who_waited_some_time_ago(self):
+    def test_outdated_reports_of_waiting_requests_reserve_no_slots(self):
         session = Session(runners=2, slots=8)
-        self.hear_of_waiting(session, 1.0, service="")
+        self.report_waiting(session, 1.0, service="")
         self.assertEqual([], session.arrive(1.2, "r1"))
         self.assertEqual(["Dispatch"], self.kinds(session.do(1.6, Tick())))
 
-    def test_long_prefill_is_not_queued_behind(self):
+    def test_no_request_is_queued_behind_a_long_prefill(self):
         session = Session(runners=1, slots=8)
         self.assertEqual(1, len(session.arrive(1.0, "r1", text="x" * 40_000)))
         self.assertEqual([], session.arrive(1.0, "r2", text="y" * 4_000))
         actions = session.do(2.0, AttemptDelivered("r1", "r1.1"))
         self.assertEqual(["Dispatch"], self.kinds(actions))
 
-    def test_answer_that_can_not_begin_in_time_is_refused_at_once(self):
+    def test_unreachable_deadline_is_refused_immediately(self):
         session = Session(runners=1, slots=8)
         (action,) = session.arrive(1.0, "r1", text="x" * 400_000, deadline=2.0)
         self.assertEqual("deadline_unreachable", action.reason)
         self.assertIsNotNone(action.retry_after_seconds)
 
-    def test_nothing_waits_for_ever_without_an_upstream(self):
+    def test_request_without_an_upstream_is_refused_after_a_while(self):
         session = Session(runners=0)
         session.arrive(1.0, "r1")
         self.assertEqual([], session.do(2.0, Tick()))
@@ -314,9 +314,9 @@
             ("no_upstream", "NOT_SENT"), (action.reason, action.run_state.name)
         )
 
-    def test_nothing_is_held_for_a_retry_that_the_fleet_has_not(self):
-        # Seen on a grown fleet: a request that a loading runner had turned away
-        # waited 3.7 s of its 4 for the budget, beside 34 runners that were up.
+    def test_request_without_retry_budget_is_refused_within_its_target(self):
+        # On a large fleet, a request refused by a runner that was loading weights
+        # waited 3.7 s of its 4 s for retry budget while 34 runners were up.
         session = Session(
             extra="[retry]\nmax_saved_count = 0.0\nfloor_per_second = 0.0\n"
             "charges_refusals = true\n"
@@ -332,7 +332,7 @@
         )
         self.assertIsNotNone(action.retry_after_seconds)
 
-    def test_late_news_of_an_older_attempt_changes_nothing(self):
+    def test_late_event_of_an_earlier_attempt_is_ignored(self):
         session = Session()
         session.arrive(1.0, "r1")
         session.do(1.1, AttemptFailed("r1", "r1.1", Outcome.BROKEN, "reset"))
@@ -341,7 +341,7 @@
         assert lifecycle is not None
         self.assertFalse(lifecycle.has_ended)
 
-    def test_retries_stay_within_the_budget(self):
+    def test_retries_are_bounded_by_the_budget(self):
         budget = RetryBudget(0.1)
         while budget.spend(0.0):
             continue
@@ -351,14 +351,14 @@
             spent += budget.spend(0.0)
         self.assertLessEqual(spent, 101)
 
-    def test_an_empty_budget_earns_slowly_by_time(self):
+    def test_empty_budget_refills_with_time(self):
         budget = RetryBudget(0.1)
         while budget.spend(0.0):
             continue
         self.assertFalse(budget.spend(0.5))
         self.assertTrue(budget.spend(5.0))
 
-    def test_hot_prefix_spreads_when_its_runner_is_full(self):
+    def test_hot_prefix_is_spread_when_its_runner_is_full(self):
         session = Session(runners=2, slots=2)
         sent = []
         for number in range(4):
@@ -369,7 +369,7 @@
 
 
 class ProbeTimesTest(TestCase):
-    """When upstreams are asked how they are, where they are asked by need only."""
+    """Probe times if upstreams are probed only on demand."""
 
     def setUp(self):
         super().setUp()
@@ -379,17 +379,17 @@
     def probed(self, at):
         return [entry.name for entry in self.table.due_probes(at)]
 
-    def test_nobody_is_asked_while_all_are_well(self):
+    def test_healthy_upstreams_are_not_probed(self):
         self.assertEqual([], self.probed(1.0))
         self.assertEqual(math.inf, self.table.probe_pause(1.0))
 
-    def test_one_that_is_down_is_asked_less_and_less_often(self):
+    def test_upstream_that_is_down_is_probed_with_backoff(self):
         now = 10.0
-        self.session.do(now, ProbeFailed("lektor-1", "silent"))
+        self.session.do(now, ProbeFailed("lektor-1", "timeout"))
         pauses = []
         for _ in range(8):
             self.assertEqual(["lektor-1"], self.probed(now))
-            self.session.do(now, ProbeFailed("lektor-1", "silent"))
+            self.session.do(now, ProbeFailed("lektor-1", "timeout"))
             self.assertEqual([], self.probed(now))
             pauses.append(self.table.probe_pause(now))
             now += pauses[-1] + 1e-6
@@ -398,11 +398,11 @@
         self.assertEqual(2.0, pauses[-1])
 
 
-class DownNewsTest(TestCase):
-    """What hosts tell each other of upstreams that are down, and what they make of it.
+class DownReportsTest(TestCase):
+    """Reports of upstreams that are down, sent to and received from peers.
 
-    Seen on a grown fleet: hosts with a slow link told of one runner after another, and
-    all 78 hosts asked each of them again and again: 29,704 probes in a day.
+    On a large fleet, hosts with a slow link reported one runner after another as down,
+    and all 78 hosts probed each of them repeatedly: 29,704 probes in a day.
     """
 
     def setUp(self):
@@ -410,41 +410,41 @@
         self.session = Session(runners=4)
         self.scheduler = self.session.scheduler
 
-    def told(self, at):
+    def reported_down(self, at):
         return self.scheduler.summary(1, 1, False, at).down
 
     def fail(self, name, *times):
         for at in times:
-            self.session.do(at, ProbeFailed(name, "silent"))
+            self.session.do(at, ProbeFailed(name, "timeout"))
 
-    def test_one_failure_is_no_news_a_second_is(self):
+    def test_upstream_is_reported_after_its_second_failure(self):
         self.fail("lektor-1", 1.0)
-        self.assertEqual([], self.told(1.1))
+        self.assertEqual([], self.reported_down(1.1))
         self.fail("lektor-1", 1.3)
-        self.assertEqual(["lektor-1"], self.told(1.4))
+        self.assertEqual(["lektor-1"], self.reported_down(1.4))
 
-    def test_it_is_news_for_a_moment_only_however_often_it_fails(self):
+    def test_upstream_that_keeps_failing_is_reported_only_briefly(self):
         self.fail("lektor-1", 1.0, 1.3, 2.0, 2.9)
-        self.assertEqual([], self.told(3.0))
+        self.assertEqual([], self.reported_down(3.0))
 
-    def test_a_host_that_reaches_few_upstreams_tells_of_none(self):
+    def test_host_that_reaches_few_upstreams_reports_none(self):
         for name in ("lektor-1", "lektor-2", "lektor-3"):
             self.fail(name, 1.0, 1.3)
-        self.assertEqual([], self.told(1.4))
+        self.assertEqual([], self.reported_down(1.4))
 
-    def hear_down(self, at):
+    def receive_down_report(self, at):
         summary = Summary(1, 1, 1, False, [], [], [], ["lektor-1"])
         self.session.do(at, PeerSummaryReceived("entry-2", "trnava", 1, summary))
         return self.scheduler.upstreams.get("lektor-1").is_suspected
 
-    def test_a_peers_word_has_an_upstream_asked(self):
-        self.assertTrue(self.hear_down(5.0))
+    def test_report_of_a_peer_makes_an_upstream_suspected(self):
+        self.assertTrue(self.receive_down_report(5.0))
 
-    def test_a_word_that_names_most_upstreams_says_more_of_who_found_them(self):
-        # A relay puts together what each of its hosts found, one here and one there.
-        # All 90 hosts suspected all 49 upstreams by such a word ("beliefs: upstream is
-        # suspected ... a peer says so", 40 lines within a millisecond), five times in
-        # 18 s: nothing was sent until 4,400 probes had come back.
+    def test_report_of_most_upstreams_is_ignored(self):
+        # A relay merges the reports of its hosts, each of which may name few upstreams.
+        # By such a report all 90 hosts suspected all 49 upstreams, five times in 18 s
+        # (40 log lines "upstream is suspected" within a millisecond). No request was
+        # sent until 4,400 probes had been answered.
         names = ["lektor-1", "lektor-2", "lektor-3"]
         summary = Summary(1, 1, 1, False, [], [], [], names)
         self.session.do(5.0, PeerSummaryReceived("fleet", "", 1, summary))
@@ -452,33 +452,33 @@
             item.name for item in self.scheduler.upstreams if item.is_suspected
         ]
         self.assertEqual([], suspected)
-        few = attrs.evolve(summary, sequence=2, down=names[:2])
-        self.session.do(5.3, PeerSummaryReceived("fleet", "", 1, few))
+        fewer = attrs.evolve(summary, sequence=2, down=names[:2])
+        self.session.do(5.3, PeerSummaryReceived("fleet", "", 1, fewer))
         suspected = [
             item.name for item in self.scheduler.upstreams if item.is_suspected
         ]
         self.assertEqual(names[:2], suspected)
 
-    def test_a_peers_word_counts_little_right_after_an_answer(self):
+    def test_report_of_a_peer_is_ignored_right_after_an_answer(self):
         (sent,) = self.session.arrive(4.8, "r1")
         self.session.do(4.9, AttemptDelivered("r1", "r1.1"))
-        known = self.scheduler.upstreams.get(sent.upstream)
-        self.assertTrue(known.is_heard(5.0))
+        chosen = self.scheduler.upstreams.get(sent.upstream)
+        self.assertTrue(chosen.is_heard(5.0))
         summary = Summary(1, 1, 1, False, [], [], [], [sent.upstream])
         self.session.do(5.0, PeerSummaryReceived("entry-2", "trnava", 1, summary))
-        self.assertFalse(known.is_suspected)
+        self.assertFalse(chosen.is_suspected)
         later = attrs.evolve(summary, sequence=2)
         self.session.do(5.6, PeerSummaryReceived("entry-2", "trnava", 1, later))
-        self.assertTrue(known.is_suspected)
+        self.assertTrue(chosen.is_suspected)
 
 
-class KeptConnectionTest(TestCase):
-    """A kept connection decides between runners that are equal otherwise."""
+class IdleConnectionTest(TestCase):
+    """An idle connection decides between otherwise equal runners."""
 
     def setUp(self):
         super().setUp()
         self.session = Session(extra="[placement]\nconnect_price_seconds = 10.0\n")
-        # Two prompts that would go to different runners.
+        # Two prompts whose preferred runners differ.
         homes = {}
         for number in range(50):
             text = f"prompt {number} " * 10
@@ -487,9 +487,9 @@
             self.session.do(1.0, RequestCancelled(f"home-{number}"))
         (self.first, self.text), (self.second, self.other) = homes.items()
 
-    def answer(self, at, rest_seconds):
+    def answer(self, at, idle_seconds):
         self.session.arrive(at, "kept", text=self.text)
-        done = AttemptDone("kept", "kept.1", 0, 580, 8, rest_seconds)
+        done = AttemptDone("kept", "kept.1", 0, 580, 8, idle_seconds)
         self.session.do(at, AttemptDelivered("kept", "kept.1"))
         self.session.do(at, done)
 
@@ -497,19 +497,19 @@
         (sent,) = self.session.arrive(at, "other", text=self.other)
         return sent.upstream
 
-    def test_the_runner_with_a_resting_connection_is_chosen(self):
-        self.answer(2.0, rest_seconds=4.0)
+    def test_runner_with_an_idle_connection_is_chosen(self):
+        self.answer(2.0, idle_seconds=4.0)
         self.assertEqual(self.first, self.home_of_other(5.0))
 
-    def test_a_connection_that_rested_too_long_counts_no_more(self):
-        self.answer(2.0, rest_seconds=4.0)
+    def test_expired_idle_connection_is_ignored(self):
+        self.answer(2.0, idle_seconds=4.0)
         self.assertEqual(self.second, self.home_of_other(7.0))
 
-    def test_a_connection_that_was_closed_counts_not_at_all(self):
-        self.answer(2.0, rest_seconds=0.0)
+    def test_closed_connection_is_ignored(self):
+        self.answer(2.0, idle_seconds=0.0)
         self.assertEqual(self.second, self.home_of_other(3.0))
 
-    def test_a_connection_in_use_counts_no_more(self):
-        self.answer(2.0, rest_seconds=4.0)
+    def test_connection_in_use_is_ignored(self):
+        self.answer(2.0, idle_seconds=4.0)
         self.session.arrive(2.5, "busy", text=self.text)
         self.assertEqual(self.second, self.home_of_other(3.0))
--- a/tests/test_timeliness.py
+++ b/tests/test_timeliness.py
@@ -1,4 +1,4 @@
-"""Who goes first when not all can be in time, and what short cuts are left."""
+"""Order of requests if not all can meet their target, and prefill speed estimates."""
 
 from testtools import TestCase
 
@@ -27,7 +27,7 @@
 
 
 class Host:
-    """A scheduler with one runner that reads 10,000 tokens a second."""
+    """A scheduler with one runner that prefills 10,000 tokens per second."""
 
     def __init__(self):
         self.scheduler = Scheduler(parse_settings(SETTINGS, source="t"))
@@ -64,42 +64,42 @@
 
 
 class OrderTest(TestCase):
-    def test_one_that_can_be_in_time_goes_before_one_that_is_late(self):
+    def test_request_that_can_meet_its_target_precedes_a_late_one(self):
         host = Host()
         self.assertEqual(["first"], host.arrive("first", 4000))
         self.assertEqual([], host.arrive("early", 1000, at=1.01))
         self.assertEqual([], host.arrive("fresh", 1000, at=1.55))
-        # The runner's queue is empty again only when "early" has spent its time.
+        # The runner's queue is empty again only when "early" is late.
         self.assertEqual(["fresh"], host.begin("first", 1.6))
         self.assertEqual(["early"], host.begin("fresh", 1.7))
 
-    def test_the_order_is_that_of_arrival_where_no_target_is_known(self):
+    def test_requests_without_a_target_are_sent_in_order_of_arrival(self):
         host = Host()
         host.arrive("first", 4000, target=None)
         host.arrive("early", 1000, at=1.01, target=None)
         host.arrive("fresh", 1000, at=1.55, target=None)
         self.assertEqual(["early", "fresh"], host.begin("first", 1.6))
 
-    def test_what_is_late_leaves_the_larger_part_of_a_queue_to_others(self):
+    def test_late_request_uses_only_the_smaller_part_of_a_queue(self):
         host = Host()
         host.arrive("first", 1500)
-        # 0.15 s wait at the runner, half of what may: too much for one that can't be
-        # in time any more, whatever is done.
+        # The runner has a prefill queue of 0.15 s, half of the limit: too long for a
+        # request that can't meet its target any more.
         self.assertEqual([], host.arrive("huge", 9000, at=1.0))
         self.assertEqual([], host.tick(1.1))
         self.assertEqual(["fresh"], host.arrive("fresh", 1000, at=1.12))
 
-    def test_what_is_late_is_served_as_soon_as_there_is_room(self):
+    def test_late_request_is_sent_when_there_is_capacity(self):
         host = Host()
         host.arrive("first", 1500)
         host.arrive("huge", 9000, at=1.0)
         self.assertEqual(["huge"], host.begin("first", 1.2))
 
-    def test_what_has_little_time_left_is_content_with_less_room(self):
+    def test_late_request_near_its_deadline_accepts_a_longer_queue(self):
         host = Host()
         host.arrive("first", 1500)
         host.arrive("huge", 9000, at=1.0, deadline=9.0)
-        # 0.15 s still wait at the runner, half of what may.
+        # The runner still has a prefill queue of 0.15 s, half of the limit.
         self.assertEqual([], host.tick(3.0))
         self.assertEqual(["huge"], host.tick(7.0))
 
@@ -111,15 +111,15 @@
             speed.note(3000, 3000 / rate + 0.012)
         return speed.tokens_per_second
 
-    def test_it_follows_what_is_observed(self):
+    def test_estimate_converges_to_the_observed_speed(self):
         self.assertLess(abs(self.learn(56_000.0, *[30_000.0] * 30) - 30_000), 3000)
         self.assertLess(abs(self.learn(8_000.0, *[30_000.0] * 40) - 30_000), 3000)
 
-    def test_a_few_wrong_guesses_of_caches_do_not_move_it_far(self):
+    def test_outliers_from_wrong_cache_estimates_have_little_effect(self):
         rates = [30_000.0, 31_000.0, 300_000.0, 29_000.0, 30_000.0, 5_000.0] * 10
         self.assertLess(abs(self.learn(30_000.0, *rates) - 30_000), 4500)
 
-    def test_only_prompts_that_found_nothing_waiting_count(self):
+    def test_only_prompts_with_an_empty_queue_are_measured(self):
         upstream = Upstream(HostEntry("r", "runner", "h", "r:1"), health=None)
         speed = ReadingSpeed(40_000.0)
         upstream.start("a", 3000, 1.0)
@@ -129,7 +129,7 @@
         upstream.note_first_token("b", speed, 5.0)
         self.assertLess(speed.tokens_per_second, 40_000.0)
 
-    def test_an_engines_own_word_goes_first(self):
+    def test_speed_reported_by_the_engine_takes_precedence(self):
         host = Host()
         (upstream,) = host.scheduler.upstreams
         host.scheduler.upstreams.reading_speed("m").tokens_per_second = 1.0
