--- a/packages/rampwick-policy/src/rampwick_policy/_capacity.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_capacity.py
@@ -126,9 +126,9 @@
         peer_demands: list[PeerDemand],
         fairness_key: FairnessKey,
     ) -> bool:
-        # The slots of a full runner may be used by hosts whose requests come later in
-        # the fair order. One request above the limit makes the load visible to them
-        # without leaving a slot idle.
+        # The slots of a full runner may be occupied by hosts whose requests come later
+        # in the fair order. One request above the limit makes the contention visible to
+        # them without leaving a slot idle.
         upstream = self._upstreams.get(view.name)
         if upstream is None or not _has_headroom(view):
             return False
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -156,7 +156,7 @@
 
 @attrs.frozen(repr=False)
 class PeerRemoved(Shown):
-    """A peer's summary no longer applies: a relay covers it, or the peer has left."""
+    """A peer's summary no longer applies: another host covers it, or it has left."""
 
     name: str
 
--- a/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
@@ -1,4 +1,4 @@
-"""Scheduling of requests with and without a chance to meet their latency target.
+"""Scheduling of requests by whether they can still meet their latency target.
 
 In a burst, or when all hosts start at the same time, more prompts wait for some seconds
 than the runners can prefill within the latency targets. In order of arrival each of
@@ -40,7 +40,7 @@
 
 
 def latest_answer_start_seconds(item: QueuedRequest) -> float:
-    """Return the latest start of an answer in time; infinite without a target."""
+    """Return when the answer must start to meet the target; infinite without one."""
     target_seconds = item.arrival.latency_target_seconds
     if target_seconds is None:
         return math.inf
@@ -48,7 +48,7 @@
 
 
 def latest_send_seconds(item: QueuedRequest) -> float:
-    """Return the latest time of sending a request in time.
+    """Return when a request must be sent to meet its target.
 
     Without a latency target this is its deadline.
     """
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -479,13 +479,13 @@
         super().setUp()
         self.session = Session(extra="[placement]\nconnect_price_seconds = 10.0\n")
         # Two prompts whose preferred runners differ.
-        homes = {}
+        prompts_by_runner = {}
         for number in range(50):
             text = f"prompt {number} " * 10
             (sent,) = self.session.arrive(1.0, f"home-{number}", text=text)
-            homes.setdefault(sent.upstream, text)
+            prompts_by_runner.setdefault(sent.upstream, text)
             self.session.do(1.0, RequestCancelled(f"home-{number}"))
-        (self.first, self.text), (self.second, self.other) = homes.items()
+        (self.first, self.text), (self.second, self.other) = prompts_by_runner.items()
 
     def answer(self, at, idle_seconds):
         self.session.arrive(at, "kept", text=self.text)
@@ -493,23 +493,23 @@
         self.session.do(at, AttemptDelivered("kept", "kept.1"))
         self.session.do(at, done)
 
-    def home_of_other(self, at):
+    def runner_of_other(self, at):
         (sent,) = self.session.arrive(at, "other", text=self.other)
         return sent.upstream
 
     def test_runner_with_an_idle_connection_is_chosen(self):
         self.answer(2.0, idle_seconds=4.0)
-        self.assertEqual(self.first, self.home_of_other(5.0))
+        self.assertEqual(self.first, self.runner_of_other(5.0))
 
     def test_expired_idle_connection_is_ignored(self):
         self.answer(2.0, idle_seconds=4.0)
-        self.assertEqual(self.second, self.home_of_other(7.0))
+        self.assertEqual(self.second, self.runner_of_other(7.0))
 
     def test_closed_connection_is_ignored(self):
         self.answer(2.0, idle_seconds=0.0)
-        self.assertEqual(self.second, self.home_of_other(3.0))
+        self.assertEqual(self.second, self.runner_of_other(3.0))
 
     def test_connection_in_use_is_ignored(self):
         self.answer(2.0, idle_seconds=4.0)
         self.session.arrive(2.5, "busy", text=self.text)
-        self.assertEqual(self.second, self.home_of_other(3.0))
+        self.assertEqual(self.second, self.runner_of_other(3.0))
