--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -32,9 +32,9 @@
     TreeInForce,
     TreeView,
     Workspace,
+    _cache_transfers,
     _dispatcher,
-    _moves,
-    _reading_speed,
+    _prefill_speed,
     chain_from_parts,
     kept_life,
     life_label,
@@ -384,9 +384,9 @@
             replace(_dispatcher, "in_time_until_seconds", lambda item: float("inf"))
             replace(_dispatcher, "late_queue_ratio", lambda *_: 1.0)
         if "speed" in names:
-            replace(_reading_speed.ReadingSpeed, "note", lambda *_: None)
+            replace(_prefill_speed.ReadingSpeed, "note", lambda *_: None)
         if "link-queue" in names:
-            replace(_moves.Moves, "waiting_tokens", lambda *_: 0)
+            replace(_cache_transfers.Moves, "waiting_tokens", lambda *_: 0)
         yield
 
 
--- a/measure/signals.py
+++ b/measure/signals.py
@@ -13,8 +13,8 @@
 
 import attrs
 
-from rampwick_policy._departures import Departures, Incarnation
 from rampwick_policy._pauses import Pauses
+from rampwick_policy._shutdown_announcements import Departures, Incarnation
 
 LENGTH_SECONDS = 30.0
 #: When the signalling upstreams begin to signal, and when they stop or end.
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -6,14 +6,6 @@
     Verdict as Verdict,
     decide_access as decide_access,
 )
-from ._blame import (
-    BlameBook as BlameBook,
-    BlameRule as BlameRule,
-    LifeName as LifeName,
-    MostEnds as MostEnds,
-    Suspect as Suspect,
-    Suspicion as Suspicion,
-)
 from ._cache_events import (
     CacheBox as CacheBox,
     SaltBook as SaltBook,
@@ -31,7 +23,15 @@
     ConfigurationFollower as ConfigurationFollower,
     TreeVersion as TreeVersion,
 )
-from ._departures import Departures as Departures
+from ._crash_attribution import (
+    BlameBook as BlameBook,
+    BlameRule as BlameRule,
+    LifeName as LifeName,
+    MostEnds as MostEnds,
+    Suspect as Suspect,
+    Suspicion as Suspicion,
+)
+from ._drain_admission import AnswerPace as AnswerPace, fits_before as fits_before
 from ._errors import (
     ConflictError as ConflictError,
     LifecycleError as LifecycleError,
@@ -70,6 +70,7 @@
     UpstreamSignalled as UpstreamSignalled,
     WeightsSeen as WeightsSeen,
 )
+from ._expired_entries import LapseGuard as LapseGuard
 from ._hall_digest import (
     SummaryDigest as SummaryDigest,
     sum_limits as sum_limits,
@@ -79,16 +80,8 @@
 from ._health import Health as Health, HealthState as HealthState
 from ._host_lists import diff_hosts as diff_hosts, patch_hosts as patch_hosts
 from ._identity import RequestIdentity as RequestIdentity
-from ._kept import kept_life as kept_life
-from ._knowledge import (
-    CacheChanges as CacheChanges,
-    CacheKnowledge as CacheKnowledge,
-    Life as Life,
-    life_label as life_label,
-)
-from ._lapses import LapseGuard as LapseGuard
+from ._kv_store_contents import kept_life as kept_life
 from ._lease import LeaseWatcher as LeaseWatcher
-from ._leaving import AnswerPace as AnswerPace, fits_before as fits_before
 from ._limit_book import LimitState as LimitState
 from ._membership import Membership as Membership, PeerView as PeerView
 from ._notices import Notice as Notice
@@ -117,12 +110,19 @@
     chain_from_parts as chain_from_parts,
     part_key as part_key,
 )
+from ._prefix_cache_index import (
+    CacheChanges as CacheChanges,
+    CacheKnowledge as CacheKnowledge,
+    Life as Life,
+    life_label as life_label,
+)
 from ._relaying import RelayListener as RelayListener
 from ._request import (
     Outcome as Outcome,
     RequestLifecycle as RequestLifecycle,
     RunState as RunState,
 )
+from ._request_quarantine import Suspects as Suspects
 from ._request_rates import RequestRates as RequestRates
 from ._request_turns import TurnState as TurnState
 from ._restored_trees import ReadTree as ReadTree, RestoredTrees as RestoredTrees
@@ -140,8 +140,8 @@
 from ._routes import RouteIndex as RouteIndex, choose_service as choose_service
 from ._scheduler import Scheduler as Scheduler
 from ._shares import DecayedUse as DecayedUse, ShareLedger as ShareLedger
+from ._shutdown_announcements import Departures as Departures
 from ._surges import SurgeGate as SurgeGate
-from ._suspects import Suspects as Suspects
 from ._targets import TargetWeights as TargetWeights
 from ._tree import (
     ROOT as ROOT,
--- a/packages/rampwick-policy/src/rampwick_policy/_imports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
@@ -11,7 +11,7 @@
 from rampwick_schema import KeptStore, PlacedPrefix, Service, Shown
 
 from . import _rendezvous
-from ._kept import KeptKnowledge, kept_version
+from ._kv_store_contents import KeptKnowledge, kept_version
 from ._prefix import PrefixChain
 from ._routes import RouteIndex
 
@@ -63,13 +63,13 @@
     def __init__(self) -> None:
         self._routes: RouteIndex | None = None
         self._stores: dict[str, KeptStore] = {}
-        self._kept: dict[str, KeptKnowledge] = {}
+        self._kv_store_contents: dict[str, KeptKnowledge] = {}
 
     def apply(self, routes: RouteIndex) -> None:
         """Take the services and stores of another configuration."""
         self._routes = routes
         self._stores = {store.name: store for store in routes.routing.kept_stores}
-        self._kept = {name: self.kept(name) for name in self._stores}
+        self._kv_store_contents = {name: self.kept(name) for name in self._stores}
 
     def service(self, name: str) -> Service | None:
         """Return a service whose engines can import, if this is one."""
@@ -86,7 +86,7 @@
 
     def kept(self, store: str) -> KeptKnowledge:
         """Return what a store is believed to hold; nothing of an unknown one."""
-        return self._kept.get(store, KeptKnowledge())
+        return self._kv_store_contents.get(store, KeptKnowledge())
 
     def runner_source(self, service: Service, holder: Holder) -> ImportSource:
         """Return a runner's cache as a source."""
@@ -116,7 +116,9 @@
             ImportSource(
                 store.name,
                 store.address,
-                self._kept[store.name].held_tokens(weights_version, chain, now_seconds),
+                self._kv_store_contents[store.name].held_tokens(
+                    weights_version, chain, now_seconds
+                ),
                 bits_per_token / store.link_bits_per_second,
                 weights_version,
                 store.hall,
@@ -150,12 +152,12 @@
         if not ranked or not levels:
             return None
         for store in ranked:
-            held = self._kept[store.name].held_tokens(
+            held = self._kv_store_contents[store.name].held_tokens(
                 weights_version, chain, now_seconds
             )
             if held >= levels[-1].tokens:
                 return None
-        kept = self._kept[ranked[0].name]
+        kept = self._kv_store_contents[ranked[0].name]
         previous = 0
         for level in levels:
             extent = level.tokens - previous
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_book.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_tracker.py
@@ -13,14 +13,14 @@
 from rampwick_schema import PlacedPrefix
 
 from . import _events as ev
+from ._cache_imports import Holder, Imports, ImportSource
+from ._cache_transfers import Moves
 from ._health import HealthState
-from ._imports import Holder, Imports, ImportSource
-from ._kept import kept_life, kept_version
-from ._knowledge import CacheKnowledge, Life
+from ._kv_store_contents import kept_life, kept_version
 from ._membership import Membership
-from ._moves import Moves
 from ._placement_updates import PlacementUpdates
 from ._prefix import PrefixChain
+from ._prefix_cache_index import CacheKnowledge, Life
 from ._upstreams import Upstream, UpstreamTable
 
 #: Runners of one version that are weighed as sources of a prompt, those that hold most
--- a/packages/rampwick-policy/src/rampwick_policy/_blame.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -122,7 +122,7 @@
 
     def __init__(self, rule: BlameRule | None = None) -> None:
         self._rule = rule or MostEnds()
-        self._suspects: dict[bytes, Suspect] = {}
+        self._requests: dict[bytes, Suspect] = {}
         #: Requests that were aboard each life that ended, and when it did.
         self._aboard: dict[LifeName, set[bytes]] = {}
         self._ended_at: dict[LifeName, float] = {}
@@ -136,18 +136,18 @@
         self.dropped_count = 0
 
     def __len__(self) -> int:
-        return len(self._suspects)
+        return len(self._requests)
 
     def __iter__(self) -> Iterator[Suspect]:
-        return iter(list(self._suspects.values()))
+        return iter(list(self._requests.values()))
 
     def get(self, fingerprint: bytes) -> Suspect | None:
         """Return a request that something is held against."""
-        return self._suspects.get(fingerprint)
+        return self._requests.get(fingerprint)
 
     def suspicion(self, fingerprint: bytes) -> Suspicion:
         """Return what is held against a request."""
-        suspect = self._suspects.get(fingerprint)
+        suspect = self._requests.get(fingerprint)
         if suspect is None or suspect.ends_count < APART_ENDS_COUNT:
             return Suspicion.NONE
         if suspect.stopped_at_seconds is not None:
@@ -156,7 +156,7 @@
 
     def is_settled(self, fingerprint: bytes, now_seconds: float) -> bool:
         """Return whether what others had aboard its last end is known by now."""
-        suspect = self._suspects.get(fingerprint)
+        suspect = self._requests.get(fingerprint)
         if suspect is None or suspect.ends_count < APART_ENDS_COUNT:
             return True
         last = suspect.last_end
@@ -203,10 +203,10 @@
         self._live_at[life] = at_seconds
         del self._ended_at[life]
         for fingerprint in self._aboard.pop(life, ()):
-            suspect = self._suspects[fingerprint]
+            suspect = self._requests[fingerprint]
             del suspect.ends[life]
             if not suspect.ends and suspect.stopped_at_seconds is None:
-                del self._suspects[fingerprint]
+                del self._requests[fingerprint]
         return True
 
     def clear(self, fingerprint: bytes, at_seconds: float) -> bool:
@@ -214,7 +214,7 @@
 
         It was answered whole, or an operator lets it go.
         """
-        suspect = self._suspects.get(fingerprint)
+        suspect = self._requests.get(fingerprint)
         if suspect is None:
             return False
         self._cleared_at[fingerprint] = at_seconds
@@ -249,7 +249,7 @@
 
     def note_refused(self, fingerprint: bytes, now_seconds: float) -> None:
         """Note that a stopped request was asked for again."""
-        suspect = self._suspects.get(fingerprint)
+        suspect = self._requests.get(fingerprint)
         if suspect is not None:
             suspect.refused_count += 1
             suspect.seen_at_seconds = now_seconds
@@ -258,7 +258,7 @@
         """Stop whoever is to blame by now; return those stopped since the last call."""
         stopped = []
         for fingerprint in list(self._unsettled):
-            suspect = self._suspects.get(fingerprint)
+            suspect = self._requests.get(fingerprint)
             if suspect is None or suspect.stopped_at_seconds is not None:
                 self._unsettled.discard(fingerprint)
                 continue
@@ -275,7 +275,7 @@
         if last is None:
             return []
         return [
-            self._suspects[fingerprint]
+            self._requests[fingerprint]
             for fingerprint in self._aboard.get(last, ())
             if fingerprint != suspect.fingerprint
         ]
@@ -285,21 +285,21 @@
     def _take_in(
         self, fingerprint: bytes, workspace_path: str, now_seconds: float
     ) -> Suspect:
-        suspect = self._suspects.get(fingerprint)
+        suspect = self._requests.get(fingerprint)
         if suspect is not None:
             return suspect
-        if len(self._suspects) >= MAX_SUSPECTS_COUNT:
+        if len(self._requests) >= MAX_SUSPECTS_COUNT:
             self._make_room(now_seconds)
         suspect = Suspect(fingerprint, workspace_path, seen_at_seconds=now_seconds)
-        self._suspects[fingerprint] = suspect
+        self._requests[fingerprint] = suspect
         return suspect
 
     def _make_room(self, now_seconds: float) -> None:
         self.sweep(now_seconds)
-        if len(self._suspects) < MAX_SUSPECTS_COUNT:
+        if len(self._requests) < MAX_SUSPECTS_COUNT:
             return
         by_workspace: dict[str, list[Suspect]] = {}
-        for suspect in self._suspects.values():
+        for suspect in self._requests.values():
             by_workspace.setdefault(suspect.workspace_path, []).append(suspect)
         largest = max(by_workspace.values(), key=len)
         # Those that were stopped go last: each would end another three upstreams.
@@ -318,7 +318,7 @@
         if now_seconds - self._swept_at_seconds < SWEEP_SECONDS:
             return
         self._swept_at_seconds = now_seconds
-        for suspect in list(self._suspects.values()):
+        for suspect in list(self._requests.values()):
             if suspect.is_forgotten(now_seconds):
                 self._drop(suspect)
         oldest_seconds = now_seconds - SUSPECT_SECONDS
@@ -329,7 +329,7 @@
     def _drop(self, suspect: Suspect) -> None:
         for life in list(suspect.ends):
             self._forget_end(suspect, life)
-        del self._suspects[suspect.fingerprint]
+        del self._requests[suspect.fingerprint]
         self._unsettled.discard(suspect.fingerprint)
 
     def _forget_end(self, suspect: Suspect, life: LifeName) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -13,8 +13,8 @@
 
 from . import _events as ev
 from ._admission import Admission
+from ._cache_transfers import Move
 from ._forecasts import Forecasts
-from ._moves import Move
 from ._placement import (
     Choice,
     LeastLoaded,
@@ -24,15 +24,15 @@
     chosen_view,
 )
 from ._pool import Pool
+from ._prefill_speed import MAX_QUEUE_SECONDS, MIN_TOKENS
 from ._prefix import PrefixChain
 from ._queue import QueuedRequest, WaitingQueue
-from ._reading_speed import MAX_QUEUE_SECONDS, MIN_TOKENS
 from ._reasons import KEPT_APART, NO_RETRY_LEFT, NO_UPSTREAM
 from ._request import RunState
+from ._request_quarantine import Suspects
 from ._retry import RetryBudgets
 from ._room import Room
 from ._shares import Standing
-from ._suspects import Suspects
 from ._timeliness import in_time_until_seconds, is_spent, late_queue_ratio
 from ._tree import Workspace
 
@@ -99,7 +99,7 @@
         self._budgets = budgets
         self._answers = answers
         self._placement = placement
-        self._suspects = suspects
+        self._request_quarantine = suspects
         self._service_placement = LeastLoaded()
 
     def next_decision(
@@ -179,7 +179,9 @@
             item.strand(NO_RETRY_LEFT, now_seconds)
             return None
         fresh = [view for view in views if view.name not in item.tried]
-        views = self._suspects.allowed_views(item, fresh or views, now_seconds)
+        views = self._request_quarantine.allowed_views(
+            item, fresh or views, now_seconds
+        )
         if not views:
             item.strand(KEPT_APART, now_seconds)
             return None
@@ -240,7 +242,7 @@
         item.upstream = upstream.name
         item.incarnation = upstream.incarnation
         item.sent_at_seconds = now_seconds
-        self._suspects.note_sent(item)
+        self._request_quarantine.note_sent(item)
         self._pool.turns.note_sent(upstream, now_seconds)
         upstream.start(
             attempt_id,
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -15,9 +15,9 @@
 )
 
 from ._identity import RequestIdentity
-from ._knowledge import CacheChanges
 from ._placement import Choice
 from ._prefix import PrefixChain, Scope
+from ._prefix_cache_index import CacheChanges
 from ._request import Outcome, RunState
 from ._roles import Neighbours
 from ._tree import TreeView, Workspace
--- a/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
@@ -9,7 +9,7 @@
 
 from rampwick_schema import Shown
 
-from ._departures import Incarnation
+from ._shutdown_announcements import Incarnation
 from ._upstream import Upstream
 
 #: Age of a copy up to which what it lists is compared with what is known.
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -6,7 +6,7 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._blame import Suspicion
+from ._crash_attribution import Suspicion
 from ._dispatcher import ANSWER_TOKEN_PRICE, AnswerEstimates
 from ._fleet_limit import OverLimit
 from ._forecasts import Forecasts
@@ -19,7 +19,7 @@
     QUEUE_FULL,
 )
 from ._request import RequestLifecycle
-from ._suspects import Suspects
+from ._request_quarantine import Suspects
 
 
 @attrs.frozen(repr=False)
@@ -51,7 +51,7 @@
         self._admission = admission
         self._limits = limits
         self._answers = answers
-        self._suspects = suspects
+        self._request_quarantine = suspects
         self._forecasts = forecasts
 
     def new_item(self, event: ev.RequestArrived, now_seconds: float) -> QueuedRequest:
@@ -79,8 +79,8 @@
         What is over a limit waits nowhere: those within theirs would wait behind it.
         """
         event = item.arrival
-        if self._suspects.suspicion(item) is Suspicion.STOPPED:
-            self._suspects.note_refused(item, now_seconds)
+        if self._request_quarantine.suspicion(item) is Suspicion.STOPPED:
+            self._request_quarantine.note_refused(item, now_seconds)
             return Rejection(ENDS_UPSTREAMS)
         postponed = self._forecasts.postpone_on_arrival(item, now_seconds)
         if postponed is not None:
--- a/packages/rampwick-policy/src/rampwick_policy/_kept.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_kv_store_contents.py
@@ -4,8 +4,8 @@
 
 from rampwick_schema import Shown
 
-from ._knowledge import CacheChanges, Life, life_label
 from ._prefix import PrefixChain, held_tokens
+from ._prefix_cache_index import CacheChanges, Life, life_label
 
 #: Time for which a prefix saved to a store is taken to be there.
 SAVED_SECONDS = 15.0
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -10,7 +10,7 @@
 from ._queue import QueuedRequest, WaitingQueue
 from ._refusals import Refusals
 from ._request import RunState
-from ._suspects import Suspects
+from ._request_quarantine import Suspects
 
 
 class OpenRequests:
@@ -28,7 +28,7 @@
         self._queue = queue
         self._admission = admission
         self._refusals = refusals
-        self._suspects = suspects
+        self._request_quarantine = suspects
         self._items: dict[str, QueuedRequest] = {}
 
     def __len__(self) -> int:
@@ -52,7 +52,7 @@
     def release(self, item: QueuedRequest, attempt_id: str, now_seconds: float) -> None:
         """Note that a request is at its upstream no more."""
         self._pool.moves.end(attempt_id)
-        self._suspects.note_left(item)
+        self._request_quarantine.note_left(item)
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is not None:
             upstream.release(attempt_id, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_pauses.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pauses.py
@@ -2,7 +2,7 @@
 
 import math
 
-from ._departures import Incarnation
+from ._shutdown_announcements import Incarnation
 
 #: Pause after a refusal that names no time.
 DEFAULT_PAUSE_SECONDS = 1.0
--- a/packages/rampwick-policy/src/rampwick_policy/_placement.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement.py
@@ -13,7 +13,7 @@
 from rampwick_schema import Shown
 
 from . import _rendezvous
-from ._imports import ImportSource
+from ._cache_imports import ImportSource
 from ._prefix import PrefixChain
 
 #: What being one rank further from the computed home costs, as a share of the time
@@ -127,7 +127,7 @@
     """
 
     def __init__(self, knowledge: KnowsCaches, import_price: float = 0.0) -> None:
-        self._knowledge = knowledge
+        self._prefix_cache_index = knowledge
         self._import_price = import_price
 
     def choose(
@@ -157,7 +157,8 @@
         sources: Sequence[ImportSource],
     ) -> Choice:
         cached = min(
-            self._knowledge.cached_tokens(runner.name, chain), chain.total_tokens
+            self._prefix_cache_index.cached_tokens(runner.name, chain),
+            chain.total_tokens,
         )
         source = best_source(
             sources, runner, cached, chain, miss_price * (1.0 - self._import_price)
--- a/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
@@ -12,8 +12,8 @@
 
 from rampwick_schema import PlacedPrefix, Shown
 
-from ._knowledge import Life, life_label
 from ._prefix import Checkpoint, PrefixChain
+from ._prefix_cache_index import Life, life_label
 
 #: Prefixes remembered to tell a second use from a first.
 SEEN_COUNT = 50_000
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -14,16 +14,16 @@
 )
 
 from . import _events as ev
-from ._cache_book import CacheBook
-from ._departures import Incarnation
-from ._knowledge import Life
+from ._cache_tracker import CacheBook
 from ._limit_book import LimitBook
 from ._membership import Membership
 from ._notices import NoticeBook
+from ._prefix_cache_index import Life
 from ._request import Outcome
 from ._request_rates import RateObservation, RequestRates
 from ._request_turns import RequestTurns, Standpoint
 from ._shares import ShareLedger
+from ._shutdown_announcements import Incarnation
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
 #: Upstreams of a hall that must fall silent for this host, and within which time, for
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -19,8 +19,8 @@
     PAUSED,
 )
 from ._request import RunState
+from ._request_quarantine import Suspects
 from ._retry import RetryBudgets
-from ._suspects import Suspects
 
 #: Wait for an upstream to come back, or for a retry, before a request is given up.
 STRANDED_SECONDS = 2.0
@@ -48,7 +48,7 @@
         self._queue = queue
         self._admission = admission
         self._budgets = budgets
-        self._suspects = suspects
+        self._request_quarantine = suspects
 
     def find_reason(self, item: QueuedRequest, now_seconds: float) -> str:
         """Return why a request without answer is to be given up now, or nothing."""
@@ -96,7 +96,7 @@
         )
         return describe_refusal(
             item,
-            self._suspects.describe(item),
+            self._request_quarantine.describe(item),
             self._pool,
             len(self._queue),
             budget.saved,
--- a/packages/rampwick-policy/src/rampwick_policy/_suspects.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
@@ -19,7 +19,7 @@
     StoppedRequest,
 )
 
-from ._blame import BlameBook, LifeName, Suspect, Suspicion
+from ._crash_attribution import BlameBook, LifeName, Suspect, Suspicion
 from ._notices import NoticeBook
 from ._placement import RunnerView
 from ._queue import QueuedRequest
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -13,8 +13,7 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._blame import Suspicion
-from ._departures import Incarnation
+from ._crash_attribution import Suspicion
 from ._dispatcher import (
     ANSWER_TOKEN_PRICE,
     AnswerEstimates,
@@ -24,13 +23,13 @@
 from ._errors import LifecycleError
 from ._forecasts import Forecasts
 from ._intake import Intake
-from ._knowledge import CacheKnowledge
 from ._limit_book import LimitBook
 from ._membership import Membership
 from ._open_requests import OpenRequests
 from ._own_summary import own_summary
 from ._placement import Placement, PricedKnowledge
 from ._pool import Pool, PoolEvent
+from ._prefix_cache_index import CacheKnowledge
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import (
     DEADLINE_UNREACHABLE,
@@ -40,9 +39,10 @@
 )
 from ._refusals import Refusals
 from ._request import Outcome, RequestLifecycle
+from ._request_quarantine import Suspects
 from ._retry import RetryBudgets
 from ._shares import ShareLedger
-from ._suspects import Suspects
+from ._shutdown_announcements import Incarnation
 from ._upstreams import Upstream, UpstreamTable
 
 #: Events after which nothing that waits can go any sooner; ticks come anyway.
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream.py
@@ -7,8 +7,8 @@
 from rampwick_schema import HostEntry, Shown
 
 from ._health import Health
-from ._knowledge import Life, life_label
-from ._reading_speed import ReadingSpeed
+from ._prefill_speed import ReadingSpeed
+from ._prefix_cache_index import Life, life_label
 
 #: Role in which a runner takes requests.
 SERVING_ROLE = "serve"
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -14,14 +14,14 @@
     era_of,
 )
 
-from ._departures import Departures, Incarnation
 from ._former_entries import FormerEntries
 from ._health import Health, HealthState
-from ._knowledge import Life
 from ._membership import Membership
 from ._pauses import Pauses
 from ._placement import RunnerView
-from ._reading_speed import ReadingSpeed
+from ._prefill_speed import ReadingSpeed
+from ._prefix_cache_index import Life
+from ._shutdown_announcements import Departures, Incarnation
 from ._targets import TargetWeights
 from ._upstream import SERVING_ROLE, Upstream
 
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -17,8 +17,8 @@
     Scheduler,
     chain_from_parts,
 )
-from rampwick_policy._departures import Incarnation
 from rampwick_policy._prefix import PromptPart, Scope
+from rampwick_policy._shutdown_announcements import Incarnation
 from rampwick_router import AnswerHead, AttemptTerms, RoutedCall
 from rampwick_schema import (
     DataError,
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -26,7 +26,7 @@
     TreeInForce,
     TreeView,
 )
-from rampwick_policy._blame import MAX_SUSPECTS_COUNT, SETTLE_SECONDS
+from rampwick_policy._crash_attribution import MAX_SUSPECTS_COUNT, SETTLE_SECONDS
 from rampwick_schema import (
     CrashUpdate,
     HostEntry,
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -26,9 +26,9 @@
     life_label,
     part_key,
 )
-from rampwick_policy._imports import SETUP_SECONDS, ImportSource
-from rampwick_policy._kept import KeptKnowledge
-from rampwick_policy._moves import MOVES_LABEL, Move
+from rampwick_policy._cache_imports import SETUP_SECONDS, ImportSource
+from rampwick_policy._cache_transfers import MOVES_LABEL, Move
+from rampwick_policy._kv_store_contents import KeptKnowledge
 from rampwick_schema import (
     HostEntry,
     HostList,
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -20,7 +20,7 @@
     Tick,
     UpstreamSignalled,
 )
-from rampwick_policy._departures import (
+from rampwick_policy._shutdown_announcements import (
     RETRANSMIT_SECONDS,
     UNLISTED_SECONDS,
     Departures,
--- a/tests/test_requests_within_a_pause.py
+++ b/tests/test_requests_within_a_pause.py
@@ -16,8 +16,8 @@
     Tick,
     UpstreamSignalled,
 )
-from rampwick_policy._departures import Incarnation
 from rampwick_policy._pauses import DEFAULT_PAUSE_SECONDS, Pauses
+from rampwick_policy._shutdown_announcements import Incarnation
 from rampwick_schema import HostEntry, HostList
 
 from .scripted import run_routed
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -31,7 +31,7 @@
     kept_life,
     life_label,
 )
-from rampwick_policy._kept import KeptKnowledge
+from rampwick_policy._kv_store_contents import KeptKnowledge
 from rampwick_router._dialects import CacheEvent, CacheEvents
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._cache_outbox import CacheOutbox
--- a/tests/test_timeliness.py
+++ b/tests/test_timeliness.py
@@ -16,7 +16,7 @@
     TreeView,
     chain_from_parts,
 )
-from rampwick_policy._reading_speed import ReadingSpeed
+from rampwick_policy._prefill_speed import ReadingSpeed
 from rampwick_policy._upstream import Upstream
 from rampwick_schema import HostEntry, HostList, LoadReport, Node, Tree, parse_settings
 
