--- a/measure/_blame_lab.py
+++ b/measure/_blame_lab.py
@@ -12,7 +12,14 @@
 
 import attrs
 
-from rampwick_policy import BlameBook, BlameRule, LifeName, MostEnds, Suspect, Suspicion
+from rampwick_policy import (
+    AttributionRule,
+    CrashTracker,
+    IncarnationKey,
+    MostCrashes,
+    QuarantineState,
+    SuspectRequest,
+)
 from rampwick_policy._rendezvous import rank
 from rampwick_schema import Shown
 
@@ -62,7 +69,9 @@
 class NeverBlames:
     """Nobody is stopped."""
 
-    def is_to_blame(self, suspect: Suspect, rivals: Iterable[Suspect]) -> bool:
+    def is_responsible(
+        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+    ) -> bool:
         """Return whether a request is to be stopped."""
         return False
 
@@ -70,7 +79,9 @@
 class CountedEnds:
     """Whoever was aboard three ends in a row is stopped."""
 
-    def is_to_blame(self, suspect: Suspect, rivals: Iterable[Suspect]) -> bool:
+    def is_responsible(
+        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+    ) -> bool:
         """Return whether a request is to be stopped."""
         return len(suspect.ends) >= 3
 
@@ -78,7 +89,9 @@
 class MostEndsOfFour:
     """The same as the policy's own rule, one end later."""
 
-    def is_to_blame(self, suspect: Suspect, rivals: Iterable[Suspect]) -> bool:
+    def is_responsible(
+        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+    ) -> bool:
         """Return whether a request is to be stopped."""
         count = len(suspect.ends)
         return count >= 4 and all(len(rival.ends) < count for rival in rivals)
@@ -88,15 +101,15 @@
 class BlameWay:
     """A rule, and whether suspects are kept apart from each other."""
 
-    rule: BlameRule
+    rule: AttributionRule
     is_apart: bool
 
 
 WAYS = {
     "none": BlameWay(NeverBlames(), is_apart=False),
     "count": BlameWay(CountedEnds(), is_apart=False),
-    "most": BlameWay(MostEnds(), is_apart=False),
-    "most, apart": BlameWay(MostEnds(), is_apart=True),
+    "most": BlameWay(MostCrashes(), is_apart=False),
+    "most, apart": BlameWay(MostCrashes(), is_apart=True),
     "most of four, apart": BlameWay(MostEndsOfFour(), is_apart=True),
 }
 
@@ -121,14 +134,14 @@
     aboard: dict[Asked, "_Host"] = attrs.field(factory=dict)
 
     @property
-    def life_name(self) -> LifeName:
-        return LifeName(self.name, str(self.life))
+    def life_name(self) -> IncarnationKey:
+        return IncarnationKey(self.name, str(self.life))
 
 
 @attrs.define(eq=False)
 class _Host:
     name: str
-    book: BlameBook
+    book: CrashTracker
     #: Suspects that this host has at upstreams.
     apart: dict[str, bytes] = attrs.field(factory=dict)
 
@@ -157,7 +170,7 @@
         self._clock = Clock()
         self._names = itertools.count()
         self._hosts = [
-            _Host(f"h{index}", BlameBook(self._way.rule))
+            _Host(f"h{index}", CrashTracker(self._way.rule))
             for index in range(pattern.hosts_count)
         ]
         self._upstreams = [
@@ -212,10 +225,10 @@
         now_seconds = self._clock.now_seconds
         host.book.judge(now_seconds)
         suspicion = host.book.suspicion(asked.fingerprint)
-        if suspicion is Suspicion.STOPPED:
+        if suspicion is QuarantineState.STOPPED:
             self.result.refused_count += not asked.is_deadly
             return
-        is_apart = suspicion is Suspicion.APART
+        is_apart = suspicion is QuarantineState.APART
         upstream = self._choose(asked, host, is_apart and self._way.is_apart)
         if upstream is None:
             waited_seconds = now_seconds - asked.waiting_since_seconds
@@ -239,7 +252,9 @@
             return None
         if not is_apart:
             return self._draw.choice(list(up.values()))
-        if not host.book.is_settled(asked.fingerprint, self._clock.now_seconds):
+        if not host.book.has_complete_reports(
+            asked.fingerprint, self._clock.now_seconds
+        ):
             return None
         for name in rank(asked.fingerprint, up):
             if host.apart.get(name, asked.fingerprint) == asked.fingerprint:
@@ -280,8 +295,8 @@
         self._clock.after(RETURN_SECONDS, self._return, upstream)
         for asked, host in aboard.items():
             terms = (life, asked.fingerprint, "/w", now_seconds)
-            host.book.note_end(*terms, now_seconds)
-            self._tell(host, "note_end", *terms, now_seconds)
+            host.book.note_crash(*terms, now_seconds)
+            self._tell(host, "note_crash", *terms, now_seconds)
             self._release(asked, host, upstream)
         for asked, host in aboard.items():
             if asked.attempts_count < MAX_ATTEMPTS:
--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -36,8 +36,8 @@
     _dispatcher,
     _prefill_speed,
     chain_from_parts,
-    kept_life,
-    life_label,
+    generation_label,
+    store_generation,
 )
 from rampwick_schema import (
     HostEntry,
@@ -319,8 +319,8 @@
 
     def _caches(self) -> Iterator[tuple[str, str, Cache]]:
         for engine in self.engines.values():
-            yield engine.name, life_label(Life(engine.name, 1)), engine.cache
-        yield STORE, life_label(kept_life(1)), self.store
+            yield engine.name, generation_label(Life(engine.name, 1)), engine.cache
+        yield STORE, generation_label(store_generation(1)), self.store
 
     def _hear(self, name: str, label: str, changed: dict[bytes, int]) -> None:
         changes = CacheChanges(label, tuple(changed), tuple(changed.values()))
@@ -384,9 +384,9 @@
             replace(_dispatcher, "in_time_until_seconds", lambda item: float("inf"))
             replace(_dispatcher, "late_queue_ratio", lambda *_: 1.0)
         if "speed" in names:
-            replace(_prefill_speed.ReadingSpeed, "note", lambda *_: None)
+            replace(_prefill_speed.PrefillSpeed, "note", lambda *_: None)
         if "link-queue" in names:
-            replace(_cache_transfers.Moves, "waiting_tokens", lambda *_: 0)
+            replace(_cache_transfers.CacheTransfers, "waiting_tokens", lambda *_: 0)
         yield
 
 
--- a/measure/placement.py
+++ b/measure/placement.py
@@ -13,10 +13,10 @@
 import numpy as np
 
 from rampwick_policy import (
-    ComputedHome,
+    CacheAwarePlacement,
     LeastLoaded,
     Placement,
-    PricedKnowledge,
+    RendezvousPlacement,
     RoundRobin,
 )
 
@@ -48,7 +48,7 @@
     found = [
         Way("round robin", lambda world: RoundRobin()),
         Way("least loaded", lambda world: LeastLoaded()),
-        Way("computed", lambda world: ComputedHome(1.25)),
+        Way("computed", lambda world: RendezvousPlacement(1.25)),
     ]
     for price in (1.0, 4.0):
         found.append(
@@ -64,7 +64,7 @@
         found.append(
             Way(
                 "oracle",
-                lambda world: PricedKnowledge(world.oracle),
+                lambda world: CacheAwarePlacement(world.oracle),
                 gossip_seconds=0.05,
                 miss_price=price,
             )
--- a/measure/signals.py
+++ b/measure/signals.py
@@ -14,7 +14,7 @@
 import attrs
 
 from rampwick_policy._pauses import Pauses
-from rampwick_policy._shutdown_announcements import Departures, Incarnation
+from rampwick_policy._shutdown_announcements import Incarnation, ShutdownAnnouncements
 
 LENGTH_SECONDS = 30.0
 #: When the signalling upstreams begin to signal, and when they stop or end.
@@ -36,13 +36,15 @@
 @attrs.define(eq=False)
 class _Host:
     index: int
-    departures: Departures = attrs.field(factory=Departures)
+    shutdown_announcements: ShutdownAnnouncements = attrs.field(
+        factory=ShutdownAnnouncements
+    )
     pauses: Pauses = attrs.field(factory=Pauses)
 
     def may_send(self, upstream: Incarnation, now_seconds: float) -> bool:
         """Return whether this host believes that an upstream takes requests."""
         is_paused = now_seconds < self.pauses.until_seconds(upstream)
-        return upstream not in self.departures and not is_paused
+        return upstream not in self.shutdown_announcements and not is_paused
 
 
 @attrs.define
@@ -191,8 +193,12 @@
 
     def _announced(self, host: _Host, upstream: Incarnation, now: float) -> None:
         self._asked.setdefault((host.index, upstream), now)
-        if self._reads and host.departures.note(upstream, now):
-            self._spread(host, lambda peer, at: peer.departures.note(upstream, at), now)
+        if self._reads and host.shutdown_announcements.note(upstream, now):
+            self._spread(
+                host,
+                lambda peer, at: peer.shutdown_announcements.note(upstream, at),
+                now,
+            )
 
     def _spread(
         self, host: _Host, action: Callable[[_Host, float], object], now: float
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -15,10 +15,10 @@
 from rampwick_policy import (
     AttemptDelivered,
     AttemptDone,
-    CacheKnowledge,
     Checkpoint,
     Dispatch,
     Life,
+    PrefixCacheIndex,
     PrefixChain,
     RequestArrived,
     Scheduler,
@@ -44,14 +44,14 @@
     """Return the memory of so many known prefixes."""
     draw = random.Random(1)
     tracemalloc.start()
-    knowledge = CacheKnowledge(10**7)
+    cache_index = PrefixCacheIndex(10**7)
     life = Life("life", 1)
-    knowledge.observe_life("r", life, 10**12)
+    cache_index.observe_generation("r", life, 10**12)
     for _ in range(entries // 20):
         points = tuple(
             Checkpoint(draw.randbytes(8), depth * 64) for depth in range(1, 21)
         )
-        knowledge.note_prompt("r", life, PrefixChain(points, 1280))
+        cache_index.note_prompt("r", life, PrefixChain(points, 1280))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return float(used)
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -7,9 +7,9 @@
     decide_access as decide_access,
 )
 from ._cache_events import (
-    CacheBox as CacheBox,
-    SaltBook as SaltBook,
-    SaltMeaning as SaltMeaning,
+    CacheEventBuffer as CacheEventBuffer,
+    SaltContext as SaltContext,
+    SaltTable as SaltTable,
     is_cache_reader as is_cache_reader,
 )
 from ._claims import (
@@ -24,14 +24,17 @@
     TreeVersion as TreeVersion,
 )
 from ._crash_attribution import (
-    BlameBook as BlameBook,
-    BlameRule as BlameRule,
-    LifeName as LifeName,
-    MostEnds as MostEnds,
-    Suspect as Suspect,
-    Suspicion as Suspicion,
-)
-from ._drain_admission import AnswerPace as AnswerPace, fits_before as fits_before
+    AttributionRule as AttributionRule,
+    CrashTracker as CrashTracker,
+    IncarnationKey as IncarnationKey,
+    MostCrashes as MostCrashes,
+    QuarantineState as QuarantineState,
+    SuspectRequest as SuspectRequest,
+)
+from ._drain_admission import (
+    SlowAnswerTracker as SlowAnswerTracker,
+    can_finish_before as can_finish_before,
+)
 from ._errors import (
     ConflictError as ConflictError,
     LifecycleError as LifecycleError,
@@ -70,7 +73,7 @@
     UpstreamSignalled as UpstreamSignalled,
     WeightsSeen as WeightsSeen,
 )
-from ._expired_entries import LapseGuard as LapseGuard
+from ._expired_entries import ExpiredEntryGuard as ExpiredEntryGuard
 from ._hall_digest import (
     SummaryDigest as SummaryDigest,
     sum_limits as sum_limits,
@@ -80,7 +83,7 @@
 from ._health import Health as Health, HealthState as HealthState
 from ._host_lists import diff_hosts as diff_hosts, patch_hosts as patch_hosts
 from ._identity import RequestIdentity as RequestIdentity
-from ._kv_store_contents import kept_life as kept_life
+from ._kv_store_contents import store_generation as store_generation
 from ._lease import LeaseWatcher as LeaseWatcher
 from ._limit_book import LimitState as LimitState
 from ._membership import Membership as Membership, PeerView as PeerView
@@ -92,11 +95,11 @@
     plan_orders as plan_orders,
 )
 from ._placement import (
+    CacheAwarePlacement as CacheAwarePlacement,
     Choice as Choice,
-    ComputedHome as ComputedHome,
     LeastLoaded as LeastLoaded,
     Placement as Placement,
-    PricedKnowledge as PricedKnowledge,
+    RendezvousPlacement as RendezvousPlacement,
     RoundRobin as RoundRobin,
     RunnerView as RunnerView,
 )
@@ -112,9 +115,9 @@
 )
 from ._prefix_cache_index import (
     CacheChanges as CacheChanges,
-    CacheKnowledge as CacheKnowledge,
     Life as Life,
-    life_label as life_label,
+    PrefixCacheIndex as PrefixCacheIndex,
+    generation_label as generation_label,
 )
 from ._relaying import RelayListener as RelayListener
 from ._request import (
@@ -122,7 +125,7 @@
     RequestLifecycle as RequestLifecycle,
     RunState as RunState,
 )
-from ._request_quarantine import Suspects as Suspects
+from ._request_quarantine import RequestQuarantine as RequestQuarantine
 from ._request_rates import RequestRates as RequestRates
 from ._request_turns import TurnState as TurnState
 from ._restored_trees import ReadTree as ReadTree, RestoredTrees as RestoredTrees
@@ -140,7 +143,7 @@
 from ._routes import RouteIndex as RouteIndex, choose_service as choose_service
 from ._scheduler import Scheduler as Scheduler
 from ._shares import DecayedUse as DecayedUse, ShareLedger as ShareLedger
-from ._shutdown_announcements import Departures as Departures
+from ._shutdown_announcements import ShutdownAnnouncements as ShutdownAnnouncements
 from ._surges import SurgeGate as SurgeGate
 from ._targets import TargetWeights as TargetWeights
 from ._tree import (
@@ -155,5 +158,5 @@
     touched_paths as touched_paths,
     validate_tree as validate_tree,
 )
-from ._upstreams import Obstacle as Obstacle
+from ._upstreams import IneligibleReason as IneligibleReason
 from ._watchers import is_watcher as is_watcher
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -20,24 +20,24 @@
 
 
 @attrs.frozen(repr=False)
-class SaltMeaning(Shown):
+class SaltContext(Shown):
     """What was cached under a salt."""
 
     scope: Scope
     weights_version: int
 
 
-class SaltBook:
+class SaltTable:
     """The salts that hosts of this fleet choose, both ways."""
 
     def __init__(self, secret: str) -> None:
         self._secret = secret
-        self._salts: dict[SaltMeaning, str] = {}
-        self._meanings: dict[str, SaltMeaning] = {}
+        self._salts: dict[SaltContext, str] = {}
+        self._meanings: dict[str, SaltContext] = {}
 
     def salt(self, scope: Scope, weights_version: int) -> str:
         """Return the salt of a scope's entries under one version of the weights."""
-        meaning = SaltMeaning(scope, weights_version)
+        meaning = SaltContext(scope, weights_version)
         salt = self._salts.get(meaning)
         if salt is None:
             salt = cache_salt(scope, weights_version, self._secret)
@@ -52,7 +52,7 @@
             for version in known:
                 self.salt(scope, version)
 
-    def find(self, salt: str) -> SaltMeaning | None:
+    def find(self, salt: str) -> SaltContext | None:
         """Return what a salt stands for, if this fleet chose it."""
         return self._meanings.get(salt)
 
@@ -67,7 +67,7 @@
 
 
 @attrs.define(repr=False)
-class CacheBox(Shown):
+class CacheEventBuffer(Shown):
     """Cache events gathered for a while; of each entry only the newest is told."""
 
     _by_upstream: dict[str, _Gathered] = attrs.field(factory=dict)
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
@@ -11,7 +11,7 @@
 from rampwick_schema import KeptStore, PlacedPrefix, Service, Shown
 
 from . import _rendezvous
-from ._kv_store_contents import KeptKnowledge, kept_version
+from ._kv_store_contents import KvStoreContents, kept_version
 from ._prefix import PrefixChain
 from ._routes import RouteIndex
 
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self._routes: RouteIndex | None = None
         self._stores: dict[str, KeptStore] = {}
-        self._kv_store_contents: dict[str, KeptKnowledge] = {}
+        self._kv_store_contents: dict[str, KvStoreContents] = {}
 
     def apply(self, routes: RouteIndex) -> None:
         """Take the services and stores of another configuration."""
@@ -84,9 +84,9 @@
         """Return the stores of kept cache."""
         return list(self._stores.values())
 
-    def kept(self, store: str) -> KeptKnowledge:
+    def kept(self, store: str) -> KvStoreContents:
         """Return what a store is believed to hold; nothing of an unknown one."""
-        return self._kv_store_contents.get(store, KeptKnowledge())
+        return self._kv_store_contents.get(store, KvStoreContents())
 
     def runner_source(self, service: Service, holder: Holder) -> ImportSource:
         """Return a runner's cache as a source."""
@@ -167,5 +167,5 @@
 
     def _ranked(self, chain: PrefixChain) -> list[KeptStore]:
         """Return the stores, with that first to which a prompt is saved."""
-        names = _rendezvous.rank(chain.home_key, self._stores)
+        names = _rendezvous.rank(chain.affinity_key, self._stores)
         return [self._stores[name] for name in names]
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_tracker.py
@@ -14,13 +14,13 @@
 
 from . import _events as ev
 from ._cache_imports import Holder, Imports, ImportSource
-from ._cache_transfers import Moves
+from ._cache_transfers import CacheTransfers
 from ._health import HealthState
-from ._kv_store_contents import kept_life, kept_version
+from ._kv_store_contents import kept_version, store_generation
 from ._membership import Membership
 from ._placement_updates import PlacementUpdates
 from ._prefix import PrefixChain
-from ._prefix_cache_index import CacheKnowledge, Life
+from ._prefix_cache_index import Life, PrefixCacheIndex
 from ._upstreams import Upstream, UpstreamTable
 
 #: Runners of one version that are weighed as sources of a prompt, those that hold most
@@ -34,9 +34,9 @@
     def __init__(
         self, known_prefixes_count: int, upstreams: UpstreamTable, peers: Membership
     ) -> None:
-        self.knowledge = CacheKnowledge(known_prefixes_count)
+        self.cache_index = PrefixCacheIndex(known_prefixes_count)
         self.imports = Imports()
-        self.moves = Moves(peers)
+        self.cache_transfers = CacheTransfers(peers)
         self._upstreams = upstreams
         self._updates = PlacementUpdates()
 
@@ -56,7 +56,7 @@
                 continue
             version = upstream.life.weights_version
             of_version = holders.setdefault(version, [])
-            held = self.knowledge.cached_tokens(upstream.name, chain)
+            held = self.cache_index.cached_tokens(upstream.name, chain)
             if held and upstream.health.state is not HealthState.DOWN:
                 address = upstream.entry.address
                 hall = upstream.entry.hall
@@ -69,7 +69,7 @@
         return [self._with_queue(source) for source in sources]
 
     def _with_queue(self, source: ImportSource) -> ImportSource:
-        moving_tokens = self.moves.waiting_tokens(source.name)
+        moving_tokens = self.cache_transfers.waiting_tokens(source.name)
         if not moving_tokens:
             return source
         queue_seconds = moving_tokens * source.seconds_per_token
@@ -86,7 +86,7 @@
         if store is None:
             return ""
         # Peers need not save it again.
-        self._updates.note(store.name, kept_life(version), chain, now_seconds)
+        self._updates.note(store.name, store_generation(version), chain, now_seconds)
         return store.address
 
     def contents(self, names: Collection[str]) -> list[ev.CacheSeen]:
@@ -94,7 +94,7 @@
         seen = []
         for name in sorted(names):
             changes = (
-                self.knowledge.contents(name) or self.imports.kept(name).contents()
+                self.cache_index.contents(name) or self.imports.kept(name).contents()
             )
             if changes:
                 seen.append(ev.CacheSeen(name, tuple(changes)))
@@ -104,7 +104,7 @@
         self, name: str, life: Life, chain: PrefixChain, now_seconds: float
     ) -> None:
         """Note that a prompt goes to a runner, which will then hold it."""
-        self.knowledge.note_prompt(name, life, chain)
+        self.cache_index.note_prompt(name, life, chain)
         self._updates.note(name, life, chain, now_seconds)
 
     def note_answer(
@@ -116,8 +116,8 @@
         if not event.cached_tokens:
             # Nothing at all was held: what was believed of shallow levels is wrong
             # for this runner, but the prompt itself is there now.
-            self.knowledge.correct(name, life, chain, 0)
-        self.knowledge.note_prompt(name, life, chain)
+            self.cache_index.correct(name, life, chain, 0)
+        self.cache_index.note_prompt(name, life, chain)
 
     def take_placed(self) -> list[PlacedPrefix]:
         """Return the placements that peers have not been told, to tell them once."""
@@ -131,7 +131,7 @@
         for changes in event.changes:
             version = kept_version(changes.label)
             if version is None:
-                self.knowledge.note_changes(
+                self.cache_index.note_changes(
                     event.upstream, changes.label, changes.prefixes, changes.tokens
                 )
                 continue
@@ -145,4 +145,4 @@
             return
         service = self.imports.service(upstream.entry.group)
         capacity = cache_tokens or (service.cache_tokens if service else 0)
-        self.knowledge.observe_life(upstream.name, upstream.life, capacity)
+        self.cache_index.observe_generation(upstream.name, upstream.life, capacity)
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_transfers.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_transfers.py
@@ -16,11 +16,11 @@
 from ._membership import Membership
 
 #: Life under which hosts tell each other what moves from or to a cache.
-MOVES_LABEL = "moves"
+TRANSFERS_LABEL = "moves"
 
 
 @attrs.frozen(repr=False)
-class Move(Shown):
+class CacheTransfer(Shown):
     """One import that was asked for."""
 
     source: str
@@ -28,16 +28,16 @@
     tokens: int
 
 
-class Moves:
+class CacheTransfers:
     """Imports that this host asked for and whose answers have not begun."""
 
     def __init__(self, peers: Membership) -> None:
         self._peers = peers
-        self._open: dict[str, Move] = {}
+        self._open: dict[str, CacheTransfer] = {}
         self._tokens: Counter[str] = Counter()
         self._counts: Counter[str] = Counter()
 
-    def begin(self, attempt_id: str, move: Move) -> None:
+    def begin(self, attempt_id: str, move: CacheTransfer) -> None:
         """Note an import that an attempt asks for."""
         self._open[attempt_id] = move
         for name in (move.source, move.target):
@@ -59,12 +59,13 @@
     def waiting_tokens(self, name: str) -> int:
         """Return the tokens that move from or to a cache, for all hosts."""
         return (
-            self._tokens[name] + self._peers.load_of(name, MOVES_LABEL).waiting_tokens
+            self._tokens[name]
+            + self._peers.load_of(name, TRANSFERS_LABEL).waiting_tokens
         )
 
     def usages(self) -> list[UpstreamUsage]:
         """Return what peers are told."""
         return [
-            UpstreamUsage(name, MOVES_LABEL, count, self._tokens[name])
+            UpstreamUsage(name, TRANSFERS_LABEL, count, self._tokens[name])
             for name, count in sorted(self._counts.items())
         ]
--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -35,13 +35,13 @@
 
 #: Requests remembered, about 660 bytes each (traced with one end, 20 to a life); the
 #: workspace that has most gives way.
-MAX_SUSPECTS_COUNT = 4096
+MAX_SUSPECT_REQUESTS_COUNT = 4096
 
 #: Time between two looks for what is to be forgotten: each goes through all of it.
 SWEEP_SECONDS = 10.0
 
 
-class Suspicion(enum.IntEnum):
+class QuarantineState(enum.IntEnum):
     """What is held against a request."""
 
     #: Nothing that matters.
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen(repr=False)
-class LifeName(Shown):
+class IncarnationKey(Shown):
     """One life of an upstream."""
 
     upstream: str
@@ -61,13 +61,13 @@
 
 
 @attrs.define(repr=False)
-class Suspect(Shown):
+class SuspectRequest(Shown):
     """A request that upstreams have ended under."""
 
     fingerprint: bytes
     workspace_path: str
     #: When each life ended that had it aboard.
-    ends: dict[LifeName, float] = attrs.field(factory=dict)
+    ends: dict[IncarnationKey, float] = attrs.field(factory=dict)
     stopped_at_seconds: float | None = None
     #: Last time that it came, or that something was heard of it.
     seen_at_seconds: float = 0.0
@@ -81,7 +81,7 @@
         return max(len(self.ends), self.told_ends_count)
 
     @property
-    def last_end(self) -> LifeName | None:
+    def last_end(self) -> IncarnationKey | None:
         """The life that ended last under it."""
         return max(self.ends, key=self.ends.__getitem__, default=None)
 
@@ -92,24 +92,28 @@
         return now_seconds - self.seen_at_seconds > kept_seconds
 
 
-class BlameRule(Protocol):
+class AttributionRule(Protocol):
     """Says who is to blame for the ends of upstreams."""
 
-    def is_to_blame(self, suspect: Suspect, rivals: Iterable[Suspect]) -> bool:
+    def is_responsible(
+        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+    ) -> bool:
         """Return whether a request is to be stopped.
 
         ``rivals`` were aboard the upstream that ended last under it.
         """
 
 
-class MostEnds:
+class MostCrashes:
     """Blames who has enough ends, and more than anybody aboard the last of them.
 
     A plain count of ends stops those, too, that lost three upstreams in a row to
     somebody else.
     """
 
-    def is_to_blame(self, suspect: Suspect, rivals: Iterable[Suspect]) -> bool:
+    def is_responsible(
+        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+    ) -> bool:
         """Return whether a request is to be stopped."""
         count = len(suspect.ends)
         if count < STOP_ENDS_COUNT:
@@ -117,17 +121,17 @@
         return all(len(rival.ends) < count for rival in rivals)
 
 
-class BlameBook:
+class CrashTracker:
     """What one host knows of requests that upstreams end under."""
 
-    def __init__(self, rule: BlameRule | None = None) -> None:
-        self._rule = rule or MostEnds()
-        self._requests: dict[bytes, Suspect] = {}
+    def __init__(self, rule: AttributionRule | None = None) -> None:
+        self._rule = rule or MostCrashes()
+        self._requests: dict[bytes, SuspectRequest] = {}
         #: Requests that were aboard each life that ended, and when it did.
-        self._aboard: dict[LifeName, set[bytes]] = {}
-        self._ended_at: dict[LifeName, float] = {}
+        self._aboard: dict[IncarnationKey, set[bytes]] = {}
+        self._ended_at: dict[IncarnationKey, float] = {}
         #: When lives and requests were cleared: older word on them counts no more.
-        self._live_at: dict[LifeName, float] = {}
+        self._live_at: dict[IncarnationKey, float] = {}
         self._cleared_at: dict[bytes, float] = {}
         #: Suspects on whom the last word is not in yet.
         self._unsettled: set[bytes] = set()
@@ -138,23 +142,23 @@
     def __len__(self) -> int:
         return len(self._requests)
 
-    def __iter__(self) -> Iterator[Suspect]:
+    def __iter__(self) -> Iterator[SuspectRequest]:
         return iter(list(self._requests.values()))
 
-    def get(self, fingerprint: bytes) -> Suspect | None:
+    def get(self, fingerprint: bytes) -> SuspectRequest | None:
         """Return a request that something is held against."""
         return self._requests.get(fingerprint)
 
-    def suspicion(self, fingerprint: bytes) -> Suspicion:
+    def suspicion(self, fingerprint: bytes) -> QuarantineState:
         """Return what is held against a request."""
         suspect = self._requests.get(fingerprint)
         if suspect is None or suspect.ends_count < APART_ENDS_COUNT:
-            return Suspicion.NONE
+            return QuarantineState.NONE
         if suspect.stopped_at_seconds is not None:
-            return Suspicion.STOPPED
-        return Suspicion.APART
+            return QuarantineState.STOPPED
+        return QuarantineState.APART
 
-    def is_settled(self, fingerprint: bytes, now_seconds: float) -> bool:
+    def has_complete_reports(self, fingerprint: bytes, now_seconds: float) -> bool:
         """Return whether what others had aboard its last end is known by now."""
         suspect = self._requests.get(fingerprint)
         if suspect is None or suspect.ends_count < APART_ENDS_COUNT:
@@ -164,9 +168,9 @@
 
     # What this host sees or hears.
 
-    def note_end(
+    def note_crash(
         self,
-        life: LifeName,
+        life: IncarnationKey,
         fingerprint: bytes,
         workspace_path: str,
         at_seconds: float,
@@ -192,7 +196,7 @@
         self._unsettled.add(fingerprint)
         return True
 
-    def note_live(self, life: LifeName, at_seconds: float) -> bool:
+    def note_live(self, life: IncarnationKey, at_seconds: float) -> bool:
         """Note an answer to what was sent at a time; take a later end of it back.
 
         Return whether one was held against anybody.
@@ -254,7 +258,7 @@
             suspect.refused_count += 1
             suspect.seen_at_seconds = now_seconds
 
-    def judge(self, now_seconds: float) -> list[Suspect]:
+    def judge(self, now_seconds: float) -> list[SuspectRequest]:
         """Stop whoever is to blame by now; return those stopped since the last call."""
         stopped = []
         for fingerprint in list(self._unsettled):
@@ -262,15 +266,15 @@
             if suspect is None or suspect.stopped_at_seconds is not None:
                 self._unsettled.discard(fingerprint)
                 continue
-            if not self.is_settled(fingerprint, now_seconds):
+            if not self.has_complete_reports(fingerprint, now_seconds):
                 continue
             self._unsettled.discard(fingerprint)
-            if self._rule.is_to_blame(suspect, self._rivals(suspect)):
+            if self._rule.is_responsible(suspect, self._rivals(suspect)):
                 suspect.stopped_at_seconds = now_seconds
                 stopped.append(suspect)
         return stopped
 
-    def _rivals(self, suspect: Suspect) -> list[Suspect]:
+    def _rivals(self, suspect: SuspectRequest) -> list[SuspectRequest]:
         last = suspect.last_end
         if last is None:
             return []
@@ -284,21 +288,23 @@
 
     def _take_in(
         self, fingerprint: bytes, workspace_path: str, now_seconds: float
-    ) -> Suspect:
+    ) -> SuspectRequest:
         suspect = self._requests.get(fingerprint)
         if suspect is not None:
             return suspect
-        if len(self._requests) >= MAX_SUSPECTS_COUNT:
+        if len(self._requests) >= MAX_SUSPECT_REQUESTS_COUNT:
             self._make_room(now_seconds)
-        suspect = Suspect(fingerprint, workspace_path, seen_at_seconds=now_seconds)
+        suspect = SuspectRequest(
+            fingerprint, workspace_path, seen_at_seconds=now_seconds
+        )
         self._requests[fingerprint] = suspect
         return suspect
 
     def _make_room(self, now_seconds: float) -> None:
         self.sweep(now_seconds)
-        if len(self._requests) < MAX_SUSPECTS_COUNT:
+        if len(self._requests) < MAX_SUSPECT_REQUESTS_COUNT:
             return
-        by_workspace: dict[str, list[Suspect]] = {}
+        by_workspace: dict[str, list[SuspectRequest]] = {}
         for suspect in self._requests.values():
             by_workspace.setdefault(suspect.workspace_path, []).append(suspect)
         largest = max(by_workspace.values(), key=len)
@@ -326,13 +332,13 @@
             for key in [key for key, at in times.items() if at < oldest_seconds]:
                 del times[key]  # type: ignore[arg-type]
 
-    def _drop(self, suspect: Suspect) -> None:
+    def _drop(self, suspect: SuspectRequest) -> None:
         for life in list(suspect.ends):
             self._forget_end(suspect, life)
         del self._requests[suspect.fingerprint]
         self._unsettled.discard(suspect.fingerprint)
 
-    def _forget_end(self, suspect: Suspect, life: LifeName) -> None:
+    def _forget_end(self, suspect: SuspectRequest, life: IncarnationKey) -> None:
         del suspect.ends[life]
         aboard = self._aboard[life]
         aboard.discard(suspect.fingerprint)
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -13,15 +13,15 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._cache_transfers import Move
+from ._cache_transfers import CacheTransfer
 from ._forecasts import Forecasts
 from ._placement import (
     Choice,
     LeastLoaded,
     Placement,
     RunnerView,
-    blind_tokens,
     chosen_view,
+    speculative_import_tokens,
 )
 from ._pool import Pool
 from ._prefill_speed import MAX_QUEUE_SECONDS, MIN_TOKENS
@@ -29,7 +29,7 @@
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import KEPT_APART, NO_RETRY_LEFT, NO_UPSTREAM
 from ._request import RunState
-from ._request_quarantine import Suspects
+from ._request_quarantine import RequestQuarantine
 from ._retry import RetryBudgets
 from ._room import Room
 from ._shares import Standing
@@ -88,7 +88,7 @@
         budgets: RetryBudgets,
         answers: AnswerEstimates,
         placement: Placement,
-        suspects: Suspects,
+        suspects: RequestQuarantine,
         forecasts: Forecasts,
     ) -> None:
         self._settings = settings
@@ -248,7 +248,7 @@
             attempt_id,
             choice.missing_tokens,
             now_seconds,
-            is_alone=_is_alone(choice),
+            is_queue_empty=_is_alone(choice),
         )
         self._note_import(attempt_id, item, choice)
         answer_tokens = self._answers.expect(item.arrival)
@@ -282,11 +282,11 @@
     ) -> None:
         if choice.import_source is None or item.arrival.chain is None:
             return
-        tokens = choice.imported_tokens or blind_tokens(
+        tokens = choice.imported_tokens or speculative_import_tokens(
             item.arrival.chain, choice.cached_tokens
         )
-        move = Move(choice.import_source.name, choice.upstream, tokens)
-        self._pool.moves.begin(attempt_id, move)
+        move = CacheTransfer(choice.import_source.name, choice.upstream, tokens)
+        self._pool.cache_transfers.begin(attempt_id, move)
 
 
 def _is_alone(choice: Choice) -> bool:
--- a/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
@@ -15,7 +15,7 @@
 WORST_DECAY_SECONDS = 30.0
 
 
-class AnswerPace:
+class SlowAnswerTracker:
     """How much longer than reckoned the slowest answers of late took.
 
     After an outage of the store some take several times what is reckoned: hosts that
@@ -50,13 +50,13 @@
         return self._worst_ratio * math.exp(-elapsed_seconds / WORST_DECAY_SECONDS)
 
 
-def fits_before(
+def can_finish_before(
     end_seconds: float,
     *,
     latency_target_seconds: float,
     max_answer_tokens: int,
     now_seconds: float,
-    pace_ratio: float = 1.0,
+    overrun_ratio: float = 1.0,
 ) -> bool:
     """Return whether a request will have its whole answer by ``end_seconds``.
 
@@ -64,7 +64,7 @@
     how much longer than reckoned its answer may take.
     """
     needed_seconds = _needed_seconds(latency_target_seconds, max_answer_tokens)
-    return now_seconds + needed_seconds * pace_ratio <= end_seconds
+    return now_seconds + needed_seconds * overrun_ratio <= end_seconds
 
 
 def _needed_seconds(latency_target_seconds: float, answer_tokens: int) -> float:
--- a/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define(repr=False)
-class LapseGuard(Shown):
+class ExpiredEntryGuard(Shown):
     """Remembers the entries that may only have lapsed; times are steady seconds."""
 
     _entries: dict[str, HostEntry] = attrs.field(factory=dict)
@@ -33,7 +33,7 @@
     _returned_at_seconds: float | None = None
 
     @property
-    def lapse_end_seconds(self) -> float | None:
+    def grace_end_seconds(self) -> float | None:
         """When the entries that are still missing count as gone, if there are any."""
         if not self._lapsed or self._returned_at_seconds is None:
             return None
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -16,7 +16,7 @@
 from ._request_turns import RequestTurns
 from ._room import serves
 from ._timeliness import begins_by_seconds
-from ._upstreams import Obstacle, Upstream, UpstreamTable
+from ._upstreams import IneligibleReason, Upstream, UpstreamTable
 
 #: Bounds of what callers are told to wait: long enough for another turn, short enough
 #: to try a host that has more of them.
@@ -73,7 +73,9 @@
         """Whether any upstream has said anything that a forecast could rest on."""
         upstreams = self._upstreams
         return bool(
-            len(self._turns.rates) or len(upstreams.departures) or len(upstreams.pauses)
+            len(self._turns.rates)
+            or len(upstreams.shutdown_announcements)
+            or len(upstreams.pauses)
         )
 
     def find(self, arrival: RequestArrived, now_seconds: float) -> Forecast | None:
@@ -97,22 +99,22 @@
 
     def _forecast(self, upstream: Upstream, now_seconds: float) -> Forecast | None:
         """Return the forecast for one upstream; none if it is out for longer."""
-        obstacle = self._upstreams.obstacle(upstream, now_seconds)
-        if obstacle is Obstacle.LEAVING:
+        ineligible_reason = self._upstreams.ineligible_reason(upstream, now_seconds)
+        if ineligible_reason is IneligibleReason.LEAVING:
             return Forecast(math.inf, 0.0, NO_UPSTREAM)
         turn_at_seconds = self._turns.next_at_seconds(upstream, now_seconds)
         is_limited = turn_at_seconds is not None
         rate = self._turns.own_rate(upstream, now_seconds) if is_limited else math.inf
-        if obstacle is Obstacle.PAUSED:
+        if ineligible_reason is IneligibleReason.PAUSED:
             resumes_at_seconds = upstream.paused_until_seconds
             if turn_at_seconds is not None:
                 resumes_at_seconds = max(resumes_at_seconds, turn_at_seconds)
             return Forecast(resumes_at_seconds, rate, PAUSED)
-        if obstacle is None and turn_at_seconds is not None:
+        if ineligible_reason is None and turn_at_seconds is not None:
             return Forecast(turn_at_seconds, rate, AT_RATE)
-        if obstacle is None:
+        if ineligible_reason is None:
             return ANY_MOMENT
-        is_soon = self._upstreams.may_open_soon(upstream, now_seconds)
+        is_soon = self._upstreams.may_recover_soon(upstream, now_seconds)
         return ANY_MOMENT if is_soon and not is_limited else None
 
     def postpone(
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -6,7 +6,7 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._crash_attribution import Suspicion
+from ._crash_attribution import QuarantineState
 from ._dispatcher import ANSWER_TOKEN_PRICE, AnswerEstimates
 from ._fleet_limit import OverLimit
 from ._forecasts import Forecasts
@@ -19,7 +19,7 @@
     QUEUE_FULL,
 )
 from ._request import RequestLifecycle
-from ._request_quarantine import Suspects
+from ._request_quarantine import RequestQuarantine
 
 
 @attrs.frozen(repr=False)
@@ -43,7 +43,7 @@
         admission: Admission,
         limits: LimitBook,
         answers: AnswerEstimates,
-        suspects: Suspects,
+        suspects: RequestQuarantine,
         forecasts: Forecasts,
     ) -> None:
         self._settings = settings
@@ -79,7 +79,7 @@
         What is over a limit waits nowhere: those within theirs would wait behind it.
         """
         event = item.arrival
-        if self._request_quarantine.suspicion(item) is Suspicion.STOPPED:
+        if self._request_quarantine.suspicion(item) is QuarantineState.STOPPED:
             self._request_quarantine.note_refused(item, now_seconds)
             return Rejection(ENDS_UPSTREAMS)
         postponed = self._forecasts.postpone_on_arrival(item, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_kv_store_contents.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_kv_store_contents.py
@@ -5,7 +5,7 @@
 from rampwick_schema import Shown
 
 from ._prefix import PrefixChain, held_tokens
-from ._prefix_cache_index import CacheChanges, Life, life_label
+from ._prefix_cache_index import CacheChanges, Life, generation_label
 
 #: Time for which a prefix saved to a store is taken to be there.
 SAVED_SECONDS = 15.0
@@ -27,7 +27,7 @@
     is_told: bool
 
 
-class KeptKnowledge:
+class KvStoreContents:
     """What this host believes one store holds, by weights version."""
 
     def __init__(self) -> None:
@@ -83,7 +83,9 @@
                 told.setdefault(version, {})[prefix] = entry.tokens
         return [
             CacheChanges(
-                life_label(kept_life(version)), tuple(held), tuple(held.values())
+                generation_label(store_generation(version)),
+                tuple(held),
+                tuple(held.values()),
             )
             for version, held in told.items()
         ]
@@ -99,7 +101,7 @@
             del self._entries[next(iter(self._entries))]
 
 
-def kept_life(weights_version: int) -> Life:
+def store_generation(weights_version: int) -> Life:
     """Return the life by which hosts tell each other what a store holds."""
     return Life(KEPT_INCARNATION, weights_version)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -10,7 +10,7 @@
 from ._queue import QueuedRequest, WaitingQueue
 from ._refusals import Refusals
 from ._request import RunState
-from ._request_quarantine import Suspects
+from ._request_quarantine import RequestQuarantine
 
 
 class OpenRequests:
@@ -22,7 +22,7 @@
         queue: WaitingQueue,
         admission: Admission,
         refusals: Refusals,
-        suspects: Suspects,
+        suspects: RequestQuarantine,
     ) -> None:
         self._pool = pool
         self._queue = queue
@@ -51,8 +51,8 @@
 
     def release(self, item: QueuedRequest, attempt_id: str, now_seconds: float) -> None:
         """Note that a request is at its upstream no more."""
-        self._pool.moves.end(attempt_id)
-        self._request_quarantine.note_left(item)
+        self._pool.cache_transfers.end(attempt_id)
+        self._request_quarantine.note_released(item)
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is not None:
             upstream.release(attempt_id, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
@@ -5,7 +5,7 @@
 from rampwick_schema import Summary, UpstreamUsage, WaitingCount, WorkspaceUsage
 
 from ._health import HealthState
-from ._pool import MAX_DOWN_TOLD_RATIO, Pool
+from ._pool import MAX_REPORTED_DOWN_RATIO, Pool
 
 #: Time after its first failure for which peers are told that an upstream is down, and
 #: the failures in a row from which on they are: one lost packet shows nothing.
@@ -32,7 +32,7 @@
         host_list_version=pool.upstreams.list_version,
         is_leaving=is_leaving,
         workspaces=_workspace_usages(pool, now_seconds),
-        upstreams=[*_upstream_usages(pool), *pool.moves.usages()],
+        upstreams=[*_upstream_usages(pool), *pool.cache_transfers.usages()],
         placed=pool.caches.take_placed(),
         down=_found_down(pool, now_seconds),
         waiting=[
@@ -50,7 +50,7 @@
         for upstream in pool.upstreams
         if upstream.health.state is HealthState.DOWN
     ]
-    if len(down) > MAX_DOWN_TOLD_RATIO * len(pool.upstreams):
+    if len(down) > MAX_REPORTED_DOWN_RATIO * len(pool.upstreams):
         return []
     return [
         upstream.name
--- a/packages/rampwick-policy/src/rampwick_policy/_placement.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement.py
@@ -119,15 +119,15 @@
         """
 
 
-class PricedKnowledge:
+class CacheAwarePlacement:
     """Least price times missing prefill plus wait, with the computed home as a hint.
 
     The price is above one because a miss costs others too: it takes the runner's
     time from them and evicts what they need.
     """
 
-    def __init__(self, knowledge: KnowsCaches, import_price: float = 0.0) -> None:
-        self._prefix_cache_index = knowledge
+    def __init__(self, cache_index: KnowsCaches, import_price: float = 0.0) -> None:
+        self._prefix_cache_index = cache_index
         self._import_price = import_price
 
     def choose(
@@ -139,7 +139,9 @@
         sources: Sequence[ImportSource] = (),
     ) -> Choice:
         """Return the runner with the least score."""
-        ranks = _rendezvous.rank(chain.home_key, (runner.name for runner in runners))
+        ranks = _rendezvous.rank(
+            chain.affinity_key, (runner.name for runner in runners)
+        )
         by_name = {runner.name: runner for runner in runners}
         choices = [
             self._weigh(chain, by_name[name], miss_price, rank, sources)
@@ -217,7 +219,7 @@
         return _choice(chain, runner, 0, runner.queue_seconds)
 
 
-class ComputedHome:
+class RendezvousPlacement:
     """Baseline: rendezvous hashing with bounded load, without any knowledge."""
 
     def __init__(self, load_factor: float) -> None:
@@ -234,7 +236,9 @@
         """Return the first runner by rank whose load is within bounds."""
         by_name = {runner.name: runner for runner in runners}
         mean = sum(_fill(runner) for runner in runners) / len(runners)
-        ranked = [by_name[name] for name in _rendezvous.rank(chain.home_key, by_name)]
+        ranked = [
+            by_name[name] for name in _rendezvous.rank(chain.affinity_key, by_name)
+        ]
         for runner in ranked:
             if _fill(runner) <= self._load_factor * mean + 1 / runner.slots_count:
                 return _choice(chain, runner, 0, runner.queue_seconds)
@@ -283,7 +287,7 @@
     return best
 
 
-def blind_tokens(chain: PrefixChain, cached_tokens: int) -> int:
+def speculative_import_tokens(chain: PrefixChain, cached_tokens: int) -> int:
     """Return what a cache that is asked without knowing moves if it holds all."""
     return max(0, _shared_tokens(chain) - cached_tokens)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
@@ -13,7 +13,7 @@
 from rampwick_schema import PlacedPrefix, Shown
 
 from ._prefix import Checkpoint, PrefixChain
-from ._prefix_cache_index import Life, life_label
+from ._prefix_cache_index import Life, generation_label
 
 #: Prefixes remembered to tell a second use from a first.
 SEEN_COUNT = 50_000
@@ -38,7 +38,7 @@
         self, upstream: str, life: Life, chain: PrefixChain, now_seconds: float
     ) -> None:
         """Note that a prompt was placed; its shared prefixes become pending."""
-        key = (upstream, life_label(life))
+        key = (upstream, generation_label(life))
         previous = 0
         for checkpoint in chain.levels or self._seen_before(chain):
             extent = checkpoint.tokens - previous
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -24,7 +24,7 @@
 from ._request_turns import RequestTurns, Standpoint
 from ._shares import ShareLedger
 from ._shutdown_announcements import Incarnation
-from ._upstreams import Obstacle, Upstream, UpstreamTable
+from ._upstreams import IneligibleReason, Upstream, UpstreamTable
 
 #: Upstreams of a hall that must fall silent for this host, and within which time, for
 #: the rest of them to be asked how they are before they are sent anything. One may be
@@ -34,7 +34,7 @@
 
 #: Part of the upstreams beyond which a word that they are down is neither told nor
 #: taken: who found them so is more likely cut off itself, or many found one each.
-MAX_DOWN_TOLD_RATIO = 0.5
+MAX_REPORTED_DOWN_RATIO = 0.5
 
 #: Events that the pool takes.
 PoolEvent = (
@@ -82,9 +82,9 @@
         self.caches = CacheBook(
             settings.placement.known_prefixes_count, self.upstreams, self.peers
         )
-        self.knowledge = self.caches.knowledge
+        self.cache_index = self.caches.cache_index
         self.imports = self.caches.imports
-        self.moves = self.caches.moves
+        self.cache_transfers = self.caches.cache_transfers
         self._handlers: dict[type, Callable[[Any, float], None]] = {
             ev.LoadReported: self._on_report,
             ev.ProbeFailed: self._on_probe_failed,
@@ -132,7 +132,7 @@
         elif event.outcome is Outcome.BUSY:
             self._pause(failed, event.retry_after_seconds, event.message, now_seconds)
 
-    def note_silent(self, name: str, now_seconds: float) -> None:
+    def note_stalled_upstream(self, name: str, now_seconds: float) -> None:
         """Note that an upstream does not begin to answer this host."""
         self.suspect(name, now_seconds)
         upstream = self.upstreams.get(name)
@@ -160,7 +160,7 @@
 
     def withdrawal(
         self, name: str, incarnation: str, now_seconds: float
-    ) -> Obstacle | None:
+    ) -> IneligibleReason | None:
         """Return why a request that was placed must not be sent after all.
 
         What an upstream asks for while a request waits for its connection holds for
@@ -171,8 +171,12 @@
             return None
         if incarnation not in ("", upstream.incarnation):
             return None
-        obstacle = self.upstreams.obstacle(upstream, now_seconds)
-        return obstacle if obstacle and obstacle.is_own_request else None
+        ineligible_reason = self.upstreams.ineligible_reason(upstream, now_seconds)
+        return (
+            ineligible_reason
+            if ineligible_reason and ineligible_reason.is_own_request
+            else None
+        )
 
     def suspect(self, name: str, now_seconds: float) -> bool:
         """Suspect an upstream that fell silent; return whether that is new."""
@@ -188,7 +192,7 @@
             silent_seconds = now_seconds - view.heard_at_seconds
             self.notices.forget("peer", view.name, f"silent for {silent_seconds:.1f} s")
 
-    def look_at_limits(self, now_seconds: float) -> None:
+    def update_limit_states(self, now_seconds: float) -> None:
         """Note who is there to keep limits, and which begin or end to bind."""
         self.limits.note_time(self.peers.hosts_count(now_seconds), now_seconds)
         self.rates.sweep(now_seconds)
@@ -236,11 +240,11 @@
     def _on_host_list(self, event: ev.HostListRead, now_seconds: float) -> None:
         reason = f"host list {event.host_list.version}"
         for name in self.upstreams.apply_list(_sorted(event.host_list), now_seconds):
-            self.knowledge.forget(name)
+            self.cache_index.forget(name)
             self.rates.forget(name, reason)
             self.notices.forget("upstream", name, reason)
         names = {upstream.name for upstream in self.upstreams}
-        self.upstreams.departures.sweep(names, now_seconds)
+        self.upstreams.shutdown_announcements.sweep(names, now_seconds)
         for upstream in self.upstreams:
             if upstream.entry.incarnation and upstream.is_runner:
                 self.caches.observe(upstream)
@@ -251,7 +255,7 @@
         if upstream is None:
             return
         life = Life(event.incarnation, event.weights_version)
-        known = upstream.last_life
+        known = upstream.last_generation
         if known is not None and known.incarnation != event.incarnation:
             # Another life is for the list or a probe to tell.
             return
@@ -333,7 +337,7 @@
             asked = "no time" if pause_seconds is None else f"{pause_seconds:g} s"
             self._notice(upstream, f"{source}, it asks for {asked}", now_seconds)
 
-    def end_pauses(self, now_seconds: float) -> None:
+    def expire_pauses(self, now_seconds: float) -> None:
         """Drop the pauses that are over."""
         for incarnation in self.upstreams.pauses.expire(now_seconds):
             upstream = self.upstreams.get(incarnation.upstream)
@@ -364,7 +368,7 @@
             self._hear_down(event.summary.down, now_seconds)
             for placed in event.summary.placed:
                 if not self.imports.note_reported(placed, now_seconds):
-                    self.knowledge.note_reported(placed)
+                    self.cache_index.note_reported(placed)
 
     def _hear_down(self, names: Sequence[str], now_seconds: float) -> None:
         """Suspect what a peer has found down.
@@ -372,7 +376,7 @@
         A relay puts together what each of its hosts found: were all of that taken, one
         overloaded moment would have every host ask every upstream and send nothing.
         """
-        if len(names) > MAX_DOWN_TOLD_RATIO * len(self.upstreams):
+        if len(names) > MAX_REPORTED_DOWN_RATIO * len(self.upstreams):
             return
         for name in names:
             # Each host asks for itself: it may reach what the peer does not.
--- a/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define(repr=False)
-class ReadingSpeed(Shown):
+class PrefillSpeed(Shown):
     """Estimate for one model, from a start value on."""
 
     tokens_per_second: float
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix.py
@@ -68,7 +68,7 @@
         return tuple(item for item in self.checkpoints if item.is_level)
 
     @property
-    def home_key(self) -> bytes:
+    def affinity_key(self) -> bytes:
         """Key that related prompts share: the hash of the first blocks."""
         if self.named_home or not self.checkpoints:
             return self.named_home
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
@@ -23,7 +23,7 @@
     weights_version: int
 
 
-def life_label(life: Life) -> str:
+def generation_label(life: Life) -> str:
     """Return the text by which peers name a life to each other."""
     return f"{life.incarnation}/{life.weights_version}"
 
@@ -88,7 +88,7 @@
         """Return all entries, those used last at the end."""
         if not self._tokens:
             return []
-        label = life_label(self.life)
+        label = generation_label(self.life)
         return [CacheChanges(label, tuple(self._tokens), tuple(self._tokens.values()))]
 
     def forget_beyond(self, chain: PrefixChain, tokens: int) -> None:
@@ -113,14 +113,16 @@
             self._held_tokens -= extent
 
 
-class CacheKnowledge:
+class PrefixCacheIndex:
     """Caches of all runners, each in its newest known life."""
 
     def __init__(self, max_entries_count: int) -> None:
         self._max_entries_count = max_entries_count
         self._caches: dict[str, RunnerCache] = {}
 
-    def observe_life(self, upstream: str, life: Life, capacity_tokens: int) -> bool:
+    def observe_generation(
+        self, upstream: str, life: Life, capacity_tokens: int
+    ) -> bool:
         """Note the life that a runner itself reports; return whether it is new.
 
         Everything known of an earlier life is dropped at once.
@@ -169,7 +171,7 @@
     def note_reported(self, placed: PlacedPrefix) -> None:
         """Take prefixes that a peer placed; those of another life are dropped."""
         cache = self._caches.get(placed.upstream)
-        if cache is not None and life_label(cache.life) == placed.incarnation:
+        if cache is not None and generation_label(cache.life) == placed.incarnation:
             cache.touch(placed.prefixes, placed.extents_tokens)
             self._bound(cache)
 
@@ -182,7 +184,7 @@
     ) -> None:
         """Take changes that an engine told; those of another life are dropped."""
         cache = self._caches.get(upstream)
-        if cache is None or life_label(cache.life) != label:
+        if cache is None or generation_label(cache.life) != label:
             return
         for prefix, kept in zip(prefixes, tokens, strict=False):
             cache.note_change(prefix, kept)
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -19,7 +19,7 @@
     PAUSED,
 )
 from ._request import RunState
-from ._request_quarantine import Suspects
+from ._request_quarantine import RequestQuarantine
 from ._retry import RetryBudgets
 
 #: Wait for an upstream to come back, or for a retry, before a request is given up.
@@ -41,7 +41,7 @@
         queue: WaitingQueue,
         admission: Admission,
         budgets: RetryBudgets,
-        suspects: Suspects,
+        suspects: RequestQuarantine,
     ) -> None:
         self._settings = settings
         self._pool = pool
--- a/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
@@ -19,7 +19,12 @@
     StoppedRequest,
 )
 
-from ._crash_attribution import BlameBook, LifeName, Suspect, Suspicion
+from ._crash_attribution import (
+    CrashTracker,
+    IncarnationKey,
+    QuarantineState,
+    SuspectRequest,
+)
 from ._notices import NoticeBook
 from ._placement import RunnerView
 from ._queue import QueuedRequest
@@ -36,7 +41,7 @@
 class _End(Shown):
     """One life that ended with a request aboard."""
 
-    life: LifeName
+    life: IncarnationKey
     fingerprint: bytes
     workspace_path: str
     at_seconds: float
@@ -46,7 +51,7 @@
 class _Live(Shown):
     """One life that answered after all."""
 
-    life: LifeName
+    life: IncarnationKey
     at_seconds: float
 
 
@@ -71,11 +76,11 @@
 _Fact = _End | _Live | _Cleared | _Stopped
 
 
-class Suspects:
+class RequestQuarantine:
     """Requests that upstreams end under, as one host deals with them."""
 
-    def __init__(self, notices: NoticeBook, book: BlameBook | None = None) -> None:
-        self.book = book or BlameBook()
+    def __init__(self, notices: NoticeBook, book: CrashTracker | None = None) -> None:
+        self.book = book or CrashTracker()
         self._notices = notices
         #: Suspects of this host at upstreams, by upstream.
         self._apart: dict[str, bytes] = {}
@@ -87,13 +92,13 @@
 
     # What attempts show.
 
-    def note_end(self, item: QueuedRequest, now_seconds: float) -> None:
+    def note_crash(self, item: QueuedRequest, now_seconds: float) -> None:
         """Note that a request's upstream closed the connection under it."""
         identity = item.arrival.identity
         if identity is None:
             return
         end = _End(
-            LifeName(item.upstream, item.incarnation),
+            IncarnationKey(item.upstream, item.incarnation),
             identity.fingerprint,
             item.workspace_path,
             now_seconds,
@@ -113,7 +118,7 @@
         """Note that a life answered what was sent to it at a time."""
         if not len(self.book):
             return
-        live = _Live(LifeName(upstream, incarnation), sent_at_seconds)
+        live = _Live(IncarnationKey(upstream, incarnation), sent_at_seconds)
         if self.book.note_live(live.life, sent_at_seconds):
             self._tell(live)
 
@@ -142,10 +147,10 @@
 
     # Where a request may go.
 
-    def suspicion(self, item: QueuedRequest) -> Suspicion:
+    def suspicion(self, item: QueuedRequest) -> QuarantineState:
         """Return what is held against a request."""
         if not len(self.book) or item.arrival.identity is None:
-            return Suspicion.NONE
+            return QuarantineState.NONE
         return self.book.suspicion(item.arrival.identity.fingerprint)
 
     def allowed_views(
@@ -157,10 +162,10 @@
         far as they can, so that the next end tells which of them it was.
         """
         identity = item.arrival.identity
-        if identity is None or self.suspicion(item) is not Suspicion.APART:
+        if identity is None or self.suspicion(item) is not QuarantineState.APART:
             return views
         fingerprint = identity.fingerprint
-        if not self.book.is_settled(fingerprint, now_seconds):
+        if not self.book.has_complete_reports(fingerprint, now_seconds):
             return []
         by_name = {view.name: view for view in views}
         for name in rank(fingerprint, by_name):
@@ -171,10 +176,10 @@
     def note_sent(self, item: QueuedRequest) -> None:
         """Note where a request goes, if it is a suspect."""
         identity = item.arrival.identity
-        if identity is not None and self.suspicion(item) is Suspicion.APART:
+        if identity is not None and self.suspicion(item) is QuarantineState.APART:
             self._apart[item.upstream] = identity.fingerprint
 
-    def note_left(self, item: QueuedRequest) -> None:
+    def note_released(self, item: QueuedRequest) -> None:
         """Note that a request is at its upstream no more."""
         if not self._apart or item.arrival.identity is None:
             return
@@ -188,7 +193,10 @@
 
     def describe(self, item: QueuedRequest) -> str:
         """Return what is held against a request, for logs; nothing if nothing is."""
-        if self.suspicion(item) is Suspicion.NONE or item.arrival.identity is None:
+        if (
+            self.suspicion(item) is QuarantineState.NONE
+            or item.arrival.identity is None
+        ):
             return ""
         suspect = self.book.get(item.arrival.identity.fingerprint)
         if suspect is None:
@@ -200,7 +208,7 @@
     def hear(self, update: CrashUpdate, now_seconds: float) -> bool:
         """Take a peer's word; return whether it stopped anybody."""
         for live in update.live:
-            life = LifeName(live.upstream, live.incarnation)
+            life = IncarnationKey(live.upstream, live.incarnation)
             self.book.note_live(life, now_seconds - live.age_seconds)
         for cleared in update.cleared:
             at_seconds = now_seconds - cleared.age_seconds
@@ -215,7 +223,7 @@
         return has_stopped
 
     def _hear_end(self, ended: EndedUpstream, now_seconds: float) -> None:
-        life = LifeName(ended.upstream, ended.incarnation)
+        life = IncarnationKey(ended.upstream, ended.incarnation)
         at_seconds = now_seconds - ended.age_seconds
         for request in ended.aboard:
             end = _End(life, request.fingerprint, request.workspace, at_seconds)
@@ -271,7 +279,7 @@
 
     def _take_end(self, end: _End, now_seconds: float) -> bool:
         dropped_count = self.book.dropped_count
-        is_new = self.book.note_end(
+        is_new = self.book.note_crash(
             end.life, end.fingerprint, end.workspace_path, end.at_seconds, now_seconds
         )
         if self.book.dropped_count > dropped_count:
@@ -282,9 +290,9 @@
             self._notice(suspect)
         return is_new
 
-    def _notice(self, suspect: Suspect) -> None:
+    def _notice(self, suspect: SuspectRequest) -> None:
         suspicion = self.book.suspicion(suspect.fingerprint)
-        if suspicion is Suspicion.NONE:
+        if suspicion is QuarantineState.NONE:
             return
         name = suspect.fingerprint.hex()
         state = suspicion.name.lower()
@@ -295,7 +303,7 @@
         self.on_update()
 
 
-def _describe_ends(suspect: Suspect) -> str:
+def _describe_ends(suspect: SuspectRequest) -> str:
     names = ", ".join(life.upstream for life in suspect.ends)
     return (
         f"{suspect.ends_count} upstreams ended under it, of {suspect.workspace_path}"
@@ -306,7 +314,7 @@
 def _to_update(facts: list[_Fact], now_seconds: float) -> CrashUpdate:
     """Return facts as peers are told them, with their ages."""
     update = CrashUpdate()
-    ended: dict[LifeName, EndedUpstream] = {}
+    ended: dict[IncarnationKey, EndedUpstream] = {}
     for fact in facts:
         age_seconds = max(0.0, now_seconds - fact.at_seconds)
         if isinstance(fact, _Live):
--- a/packages/rampwick-policy/src/rampwick_policy/_request_turns.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_turns.py
@@ -173,7 +173,7 @@
     def state(self, upstream: Upstream, now_seconds: float) -> TurnState | None:
         """Return how an upstream's rate stands; none if it names none."""
         turn = self._turn(upstream, now_seconds)
-        rate = self.rates.rate(upstream.name, upstream.life_incarnation, now_seconds)
+        rate = self.rates.rate(upstream.name, upstream.known_incarnation, now_seconds)
         if turn is None or rate is None:
             return None
         return TurnState(
@@ -186,7 +186,7 @@
     def _turn(self, upstream: Upstream, now_seconds: float) -> _Turns | None:
         if not len(self.rates):
             return None
-        incarnation = upstream.life_incarnation
+        incarnation = upstream.known_incarnation
         rate = self.rates.rate(upstream.name, incarnation, now_seconds)
         if rate is None:
             self._turns.pop(upstream.name, None)
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -13,7 +13,7 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._crash_attribution import Suspicion
+from ._crash_attribution import QuarantineState
 from ._dispatcher import (
     ANSWER_TOKEN_PRICE,
     AnswerEstimates,
@@ -27,9 +27,9 @@
 from ._membership import Membership
 from ._open_requests import OpenRequests
 from ._own_summary import own_summary
-from ._placement import Placement, PricedKnowledge
+from ._placement import CacheAwarePlacement, Placement
 from ._pool import Pool, PoolEvent
-from ._prefix_cache_index import CacheKnowledge
+from ._prefix_cache_index import PrefixCacheIndex
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import (
     DEADLINE_UNREACHABLE,
@@ -39,7 +39,7 @@
 )
 from ._refusals import Refusals
 from ._request import Outcome, RequestLifecycle
-from ._request_quarantine import Suspects
+from ._request_quarantine import RequestQuarantine
 from ._retry import RetryBudgets
 from ._shares import ShareLedger
 from ._shutdown_announcements import Incarnation
@@ -63,7 +63,7 @@
         self.admission = Admission(self.queue, self.ledger, self.peers)
         self.budgets = RetryBudgets(settings.retry)
         self._answers = AnswerEstimates()
-        self.suspects = Suspects(self.pool.notices)
+        self.suspects = RequestQuarantine(self.pool.notices)
         self._forecasts = Forecasts(self.pool.upstreams, self.pool.turns, self.queue)
         self._dispatcher = Dispatcher(
             settings.placement,
@@ -73,7 +73,7 @@
             self.budgets,
             self._answers,
             placement
-            or PricedKnowledge(self.knowledge, settings.placement.import_price),
+            or CacheAwarePlacement(self.cache_index, settings.placement.import_price),
             self.suspects,
             self._forecasts,
         )
@@ -154,9 +154,9 @@
         return self.pool.limits
 
     @property
-    def knowledge(self) -> CacheKnowledge:
+    def cache_index(self) -> PrefixCacheIndex:
         """What the runners' caches are believed to hold."""
-        return self.pool.knowledge
+        return self.pool.cache_index
 
     def running_count(self, upstream: Upstream) -> int:
         """Return the attempts open at an upstream, those of peers included."""
@@ -230,9 +230,9 @@
         item = self._requests.get(event.request_id)
         if item is not None and item.lifecycle.deliver(event.attempt_id):
             upstream = self.upstreams.get(item.upstream)
-            self.pool.moves.end(event.attempt_id)
+            self.pool.cache_transfers.end(event.attempt_id)
             if upstream is not None:
-                speed = self.upstreams.reading_speed(upstream.model)
+                speed = self.upstreams.prefill_speed(upstream.model)
                 upstream.note_first_token(event.attempt_id, speed, now_seconds)
         return []
 
@@ -245,7 +245,7 @@
         peer = item.upstream
         item.tried.add(peer)
         if event.was_closed and self.upstreams.has_ended(peer, now_seconds):
-            self.suspects.note_end(item, now_seconds)
+            self.suspects.note_crash(item, now_seconds)
         actions = self._requests.cancel(item, event)
         self._requests.release(item, event.attempt_id, now_seconds)
         failed = Incarnation(peer, item.incarnation)
@@ -268,7 +268,7 @@
         self._requests.release(item, event.attempt_id, now_seconds)
         self.suspects.note_answered(item, now_seconds)
         if upstream is not None and event.connection_rest_seconds > 0.0:
-            upstream.keep_connection(now_seconds + event.connection_rest_seconds)
+            upstream.note_idle_connection(now_seconds + event.connection_rest_seconds)
         self._requests.remove(item)
         chain = item.arrival.chain
         if chain is None:
@@ -295,7 +295,7 @@
     ) -> list[ev.Action]:
         item = self._requests.get(event.request_id)
         if item is not None and item.lifecycle.attempt_id == event.attempt_id:
-            self.pool.note_silent(item.upstream, now_seconds)
+            self.pool.note_stalled_upstream(item.upstream, now_seconds)
         return []
 
     def _on_probe_failed(
@@ -345,7 +345,7 @@
         """Refuse what is stopped, be it waiting or under way."""
         actions: list[ev.Action] = []
         for item in self._requests:
-            if self.suspects.suspicion(item) is Suspicion.STOPPED:
+            if self.suspects.suspicion(item) is QuarantineState.STOPPED:
                 self.suspects.note_refused(item, now_seconds)
                 actions += self._requests.give_up(item, ENDS_UPSTREAMS, now_seconds)
         return actions
@@ -360,8 +360,8 @@
 
     def _on_tick(self, event: ev.Tick, now_seconds: float) -> list[ev.Action]:
         self.pool.expire_peers(now_seconds)
-        self.pool.look_at_limits(now_seconds)
-        self.pool.end_pauses(now_seconds)
+        self.pool.update_limit_states(now_seconds)
+        self.pool.expire_pauses(now_seconds)
         self.suspects.book.sweep(now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
--- a/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
@@ -23,7 +23,7 @@
     name: str
 
 
-class Departures:
+class ShutdownAnnouncements:
     """The incarnations that are shutting down; none of them ever takes that back."""
 
     def __init__(self) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream.py
@@ -7,8 +7,8 @@
 from rampwick_schema import HostEntry, Shown
 
 from ._health import Health
-from ._prefill_speed import ReadingSpeed
-from ._prefix_cache_index import Life, life_label
+from ._prefill_speed import PrefillSpeed
+from ._prefix_cache_index import Life, generation_label
 
 #: Role in which a runner takes requests.
 SERVING_ROLE = "serve"
@@ -33,7 +33,7 @@
     #: Present life; none while it must be asked for again.
     life: Life | None = None
     #: Life that it reported last.
-    last_life: Life | None = None
+    last_generation: Life | None = None
     model: str = ""
     role: str = SERVING_ROLE
     slots_count: int = DEFAULT_SLOTS
@@ -84,10 +84,10 @@
     @property
     def life_name(self) -> str:
         """Present life as peers name it, empty while none is known."""
-        return life_label(self.life) if self.life else ""
+        return generation_label(self.life) if self.life else ""
 
     @property
-    def life_incarnation(self) -> str:
+    def known_incarnation(self) -> str:
         """Life that attempts name; empty where none is known, or there are no lives."""
         return self.life.incarnation if self.life is not None else ""
 
@@ -115,10 +115,10 @@
         attempt_id: str,
         missing_tokens: int,
         now_seconds: float,
-        is_alone: bool = False,
+        is_queue_empty: bool = False,
     ) -> None:
         """Note an attempt that is sent here, and whether it finds nothing waiting."""
-        if is_alone:
+        if is_queue_empty:
             self._alone_tokens[attempt_id] = missing_tokens
         self.own_attempts[attempt_id] = missing_tokens
         self._started_at[attempt_id] = now_seconds
@@ -130,7 +130,7 @@
         return now_seconds - self.heard_at_seconds < HEARD_SECONDS
 
     def note_first_token(
-        self, attempt_id: str, speed: ReadingSpeed, now_seconds: float
+        self, attempt_id: str, speed: PrefillSpeed, now_seconds: float
     ) -> None:
         """Note that an attempt's prompt is computed, and how long that took."""
         self.heard_at_seconds = now_seconds
@@ -145,7 +145,7 @@
         """Return whether a kept connection is free for another attempt."""
         return any(until > now_seconds for until in self._resting_until)
 
-    def keep_connection(self, until_seconds: float) -> None:
+    def note_idle_connection(self, until_seconds: float) -> None:
         """Note that a connection rests, to be used again until then."""
         self._resting_until.append(until_seconds)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -19,9 +19,9 @@
 from ._membership import Membership
 from ._pauses import Pauses
 from ._placement import RunnerView
-from ._prefill_speed import ReadingSpeed
+from ._prefill_speed import PrefillSpeed
 from ._prefix_cache_index import Life
-from ._shutdown_announcements import Departures, Incarnation
+from ._shutdown_announcements import Incarnation, ShutdownAnnouncements
 from ._targets import TargetWeights
 from ._upstream import SERVING_ROLE, Upstream
 
@@ -61,7 +61,7 @@
 LEAVING_STATE = "leaving"
 
 
-class Obstacle(enum.Enum):
+class IneligibleReason(enum.Enum):
     """Why an upstream is given no new requests."""
 
     LEAVING = "leaving"
@@ -82,7 +82,7 @@
     @property
     def is_own_request(self) -> bool:
         """Whether the upstream itself asks for no more requests."""
-        return self in (Obstacle.LEAVING, Obstacle.PAUSED)
+        return self in (IneligibleReason.LEAVING, IneligibleReason.PAUSED)
 
 
 class UpstreamTable:
@@ -102,11 +102,11 @@
         self.targets = TargetWeights(placement.max_outdated_seconds * GUESSED_AGE_RATIO)
         #: Version of the host list in use; -1 before the first.
         self.list_version = -1
-        self.departures = Departures()
+        self.shutdown_announcements = ShutdownAnnouncements()
         self._former = FormerEntries()
         self.pauses = Pauses()
         self._upstreams: dict[str, Upstream] = {}
-        self._speeds: dict[str, ReadingSpeed] = {}
+        self._speeds: dict[str, PrefillSpeed] = {}
 
     def __iter__(self) -> Iterator[Upstream]:
         return iter(list(self._upstreams.values()))
@@ -197,7 +197,7 @@
 
         Word that is not the upstream's own may be old: it can't lower the version.
         """
-        known = upstream.last_life
+        known = upstream.last_generation
         is_older = (
             known is not None
             and known.incarnation == life.incarnation
@@ -205,7 +205,7 @@
         )
         if is_older and not is_own_report:
             return False
-        upstream.life = upstream.last_life = life
+        upstream.life = upstream.last_generation = life
         if life != known:
             # Whatever it was doing before, it has come out of it.
             upstream.role = SERVING_ROLE
@@ -284,14 +284,14 @@
 
     def note_departure(self, incarnation: Incarnation, now_seconds: float) -> None:
         """Note that an answer to this host announced a shutdown."""
-        self.departures.note(incarnation, now_seconds)
+        self.shutdown_announcements.note(incarnation, now_seconds)
         self._apply_signals(incarnation.upstream)
 
     def receive_departures(
         self, update: LeavingUpdate, now_seconds: float
     ) -> list[Incarnation]:
         """Take a peer's update; return what was not known here."""
-        received = self.departures.receive(update, now_seconds)
+        received = self.shutdown_announcements.receive(update, now_seconds)
         for incarnation in received:
             self._apply_signals(incarnation.upstream)
         return received
@@ -312,34 +312,36 @@
         if upstream is None:
             return
         present = Incarnation(name, upstream.incarnation)
-        upstream.is_departing = present in self.departures
+        upstream.is_departing = present in self.shutdown_announcements
         upstream.paused_until_seconds = self.pauses.until_seconds(present)
 
-    def obstacle(self, upstream: Upstream, now_seconds: float) -> Obstacle | None:
+    def ineligible_reason(
+        self, upstream: Upstream, now_seconds: float
+    ) -> IneligibleReason | None:
         """Return why an upstream may be given no new request; none if it may."""
         if self.is_leaving(upstream, now_seconds):
-            return Obstacle.LEAVING
+            return IneligibleReason.LEAVING
         if now_seconds < upstream.paused_until_seconds:
-            return Obstacle.PAUSED
+            return IneligibleReason.PAUSED
         if now_seconds < upstream.unconfirmed_until_seconds:
-            return Obstacle.UNCONFIRMED
+            return IneligibleReason.UNCONFIRMED
         if upstream.is_runner and upstream.life is None:
-            return Obstacle.UNKNOWN
+            return IneligibleReason.UNKNOWN
         if upstream.is_runner and upstream.role != SERVING_ROLE:
-            return Obstacle.NOT_SERVING
+            return IneligibleReason.NOT_SERVING
         if upstream.is_loading(now_seconds):
-            return Obstacle.LOADING
+            return IneligibleReason.LOADING
         if upstream.is_suspected:
-            return Obstacle.SUSPECTED
+            return IneligibleReason.SUSPECTED
         if self._is_too_old(upstream, now_seconds):
-            return Obstacle.OUTDATED
+            return IneligibleReason.OUTDATED
         if upstream.health.admit_ratio(now_seconds) <= 0.0:
-            return Obstacle.DOWN
+            return IneligibleReason.DOWN
         return None
 
     def is_open(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether the upstream may be given new work."""
-        return self.obstacle(upstream, now_seconds) is None
+        return self.ineligible_reason(upstream, now_seconds) is None
 
     def has_ended(self, name: str, now_seconds: float) -> bool:
         """Return whether an upstream that closed a connection ended unexpectedly.
@@ -353,7 +355,7 @@
             and not upstream.is_loading(now_seconds)
         )
 
-    def may_open_soon(self, upstream: Upstream, now_seconds: float) -> bool:
+    def may_recover_soon(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether one that is not open now may be in a moment."""
         if self.is_leaving(upstream, now_seconds):
             return False
@@ -403,12 +405,12 @@
             return 0.0
         return self._placement.outdated_penalty_seconds
 
-    def reading_speed(self, model: str) -> ReadingSpeed:
+    def prefill_speed(self, model: str) -> PrefillSpeed:
         """Return how fast runners of a model read prompts, as learned here."""
         speed = self._speeds.get(model)
         if speed is None:
             start = self._placement.prefill_tokens_per_second
-            speed = self._speeds[model] = ReadingSpeed(start)
+            speed = self._speeds[model] = PrefillSpeed(start)
         return speed
 
     def usable_slots(
@@ -449,7 +451,7 @@
             running_count=running,
             waiting_tokens=waiting,
             prefill_tokens_per_second=upstream.reported_tokens_per_second
-            or self.reading_speed(upstream.model).tokens_per_second,
+            or self.prefill_speed(upstream.model).tokens_per_second,
             hall=upstream.entry.hall,
             distance_seconds=distance,
             connect_seconds=connect_seconds,
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -11,7 +11,7 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from rampwick_policy import Dispatch, LimitState, Scheduler, Suspicion, TurnState
+from rampwick_policy import Dispatch, LimitState, QuarantineState, Scheduler, TurnState
 
 from ._life import Life
 from ._logs import PartLogger
@@ -251,7 +251,7 @@
 
 def _count_suspects(scheduler: Scheduler, now_seconds: float) -> dict[str, int]:
     book = scheduler.suspects.book
-    counts = dict.fromkeys((item.name.lower() for item in Suspicion), 0)
+    counts = dict.fromkeys((item.name.lower() for item in QuarantineState), 0)
     for suspect in book:
         counts[book.suspicion(suspect.fingerprint).name.lower()] += 1
     return counts
@@ -302,7 +302,7 @@
         "request_rates": [
             attrs.asdict(state) for state in _read_turns(scheduler, now_seconds)
         ],
-        "known_prefixes_count": scheduler.knowledge.entries_count(),
+        "known_prefixes_count": scheduler.cache_index.entries_count(),
     }
 
 
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -7,7 +7,7 @@
 import attrs
 
 from rampwick_platform import ObjectApi, TreeStore, read_steady_clock
-from rampwick_policy import ConfigurationFollower, Member, SaltBook, Scheduler
+from rampwick_policy import ConfigurationFollower, Member, SaltTable, Scheduler
 from rampwick_schema import Settings, Shown
 
 from ._admin import AdminApp
@@ -115,7 +115,7 @@
         self.claims = ClaimTask(api, settings.claims, read_clock, clocks.wall)
         self.probes = ProbeTask(control, self.scheduler)
         self.cancels = CancelTask(control, self.scheduler)
-        salts = SaltBook(settings.peers.secret)
+        salts = SaltTable(settings.peers.secret)
         self.cache_reader = CacheReaderTask(
             own,
             self.scheduler,
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -17,17 +17,17 @@
 from rampwick_policy import (
     Action,
     CancelAttempt,
-    Departures,
     Dispatch,
     Event,
+    IneligibleReason,
     Notice,
-    Obstacle,
     PeerView,
     Refuse,
     RequestArrived,
+    RequestQuarantine,
     RequestRates,
     Scheduler,
-    Suspects,
+    ShutdownAnnouncements,
     Tick,
 )
 from rampwick_schema import NamedWeights, Shown, WeightsTarget
@@ -91,7 +91,7 @@
         self.note_burst: Callable[[], None] = _do_nothing
 
     @property
-    def suspects(self) -> Suspects:
+    def suspects(self) -> RequestQuarantine:
         """Requests that upstreams end under."""
         return self._scheduler.suspects
 
@@ -101,15 +101,15 @@
         return self._scheduler.pool.rates
 
     @property
-    def departures(self) -> Departures:
+    def shutdown_announcements(self) -> ShutdownAnnouncements:
         """Upstreams that announced their shutdown."""
-        return self._scheduler.upstreams.departures
+        return self._scheduler.upstreams.shutdown_announcements
 
     def knows_rate(self, upstream: str) -> bool:
         """Return whether an upstream has named a rate of requests of late."""
         return self.rates.knows(upstream)
 
-    def withdrawal(self, upstream: str, incarnation: str) -> Obstacle | None:
+    def withdrawal(self, upstream: str, incarnation: str) -> IneligibleReason | None:
         """Return why a placed request must not be sent any more; none if it may."""
         pool = self._scheduler.pool
         return pool.withdrawal(upstream, incarnation, self._read_clock())
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -14,7 +14,7 @@
     PlatformError,
     StoredObject,
 )
-from rampwick_policy import LapseGuard
+from rampwick_policy import ExpiredEntryGuard
 from rampwick_schema import DataError, HostEntry, HostList, RampwickError
 
 from .._logs import PartLogger
@@ -97,7 +97,7 @@
     ) -> None:
         self._reader = reader
         self._read_clock = read_clock
-        self._guard = LapseGuard()
+        self._guard = ExpiredEntryGuard()
         self._changed = anyio.Event()
         self._watcher = KindWatcher(
             api,
@@ -147,7 +147,7 @@
     async def _end_lapses(self) -> None:
         while True:
             self._changed = anyio.Event()
-            end_seconds = self._guard.lapse_end_seconds
+            end_seconds = self._guard.grace_end_seconds
             wait_seconds = math.inf
             if end_seconds is not None:
                 wait_seconds = max(0.0, end_seconds - self._read_clock())
--- a/packages/rampwick-router/src/rampwick_router/control/_steward.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_steward.py
@@ -319,7 +319,7 @@
         RunnerState(
             name=upstream.name,
             model=upstream.model,
-            weights_version=upstream.last_life.weights_version,
+            weights_version=upstream.last_generation.weights_version,
             is_serving=scheduler.upstreams.is_open(upstream, now_seconds),
             is_loading=False,
             running_count=scheduler.running_count(upstream),
@@ -327,7 +327,7 @@
         )
         for upstream in scheduler.upstreams
         if upstream.is_runner
-        and upstream.last_life is not None
+        and upstream.last_generation is not None
         and not scheduler.upstreams.is_leaving(upstream, now_seconds)
         and scheduler.pool.is_in_service(upstream)
     ]
--- a/packages/rampwick-router/src/rampwick_router/entry/_parts.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_parts.py
@@ -7,9 +7,9 @@
 from rampwick_policy import (
     Access,
     AccessRules,
-    AnswerPace,
     ConfigurationFollower,
-    SaltBook,
+    SaltTable,
+    SlowAnswerTracker,
     TreeView,
     decide_access,
 )
@@ -72,10 +72,10 @@
     configuration: ConfigurationTask
     channels: ChannelPool
     dialects: Dialects
-    salts: SaltBook
+    salts: SaltTable
     silences: SilenceWatch
     #: How long answers take here, for when this host leaves.
-    pace: AnswerPace = attrs.field(factory=AnswerPace)
+    pace: SlowAnswerTracker = attrs.field(factory=SlowAnswerTracker)
 
     def look_up(self, call: RoutedCall) -> Access:
         """Return what the configuration in force says of a request on a route."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rampwick_policy import Access, Verdict, choose_service, fits_before
+from rampwick_policy import Access, Verdict, can_finish_before, choose_service
 from rampwick_schema import Route, Service
 
 from .._dialects import RawCall, RoutedCall
@@ -83,15 +83,15 @@
             return
         # While the balancer still sends callers here, few are turned away; those on
         # kept connections that come later go to another host as well.
-        pace_ratio = 1.0
+        overrun_ratio = 1.0
         if life.has_balancer_turned:
-            pace_ratio = self._parts.pace.worst_ratio(now_seconds)
-        if fits_before(
+            overrun_ratio = self._parts.pace.worst_ratio(now_seconds)
+        if can_finish_before(
             life.gone_by_seconds,
             latency_target_seconds=route.latency_target_seconds,
             max_answer_tokens=call.max_answer_tokens,
             now_seconds=now_seconds,
-            pace_ratio=pace_ratio,
+            overrun_ratio=overrun_ratio,
         ):
             return
         raise CallerError(
--- a/packages/rampwick-router/src/rampwick_router/entry/_signals.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_signals.py
@@ -26,10 +26,10 @@
 
 def check_still_wanted(scheduler: SchedulerTask, dispatch: Dispatch) -> None:
     """Raise unless the upstream still takes a request that is about to be sent."""
-    obstacle = scheduler.withdrawal(dispatch.upstream, dispatch.incarnation)
-    if obstacle is not None:
+    ineligible_reason = scheduler.withdrawal(dispatch.upstream, dispatch.incarnation)
+    if ineligible_reason is not None:
         raise AttemptError(
-            f"the upstream is {obstacle.value}",
+            f"the upstream is {ineligible_reason.value}",
             outcome=Outcome.WITHDRAWN,
             step="forward request",
             peer=dispatch.upstream,
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from rampwick_policy import CacheBox, CacheSeen, Member, MemberTable
+from rampwick_policy import CacheEventBuffer, CacheSeen, Member, MemberTable
 from rampwick_schema import CacheEventUpdate
 
 from .._scheduler_task import SchedulerTask
@@ -36,9 +36,9 @@
         self._scheduler = scheduler
         self._list_live = list_live
         #: What was read in this host's hall.
-        self._read_here = CacheBox()
+        self._read_here = CacheEventBuffer()
         #: What other halls sent.
-        self._read_elsewhere = CacheBox()
+        self._read_elsewhere = CacheEventBuffer()
         self._has_update = anyio.Event()
         #: Says which caches this host reads.
         self.list_read: Callable[[], set[str]] = set
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -12,13 +12,13 @@
     Life,
     Member,
     Neighbours,
-    SaltBook,
+    SaltTable,
     Scheduler,
     Scope,
+    generation_label,
     is_cache_reader,
-    kept_life,
-    life_label,
     part_key,
+    store_generation,
 )
 from rampwick_schema import DataError, Shown
 
@@ -131,7 +131,7 @@
         scheduler: SchedulerTask,
         channels: ChannelPool,
         dialect: CacheDialect,
-        salts: SaltBook,
+        salts: SaltTable,
         notify_peers: Callable[[CacheSeen], None],
         list_neighbours: Callable[[], Neighbours],
     ) -> None:
@@ -315,8 +315,8 @@
 
 def _label(source: Source, version: int) -> str:
     if source.incarnation:
-        return life_label(Life(source.incarnation, version))
-    return life_label(kept_life(version))
+        return generation_label(Life(source.incarnation, version))
+    return generation_label(store_generation(version))
 
 
 def _list_scopes(scheduler: Scheduler) -> set[Scope]:
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -7,14 +7,14 @@
 
 from rampwick_policy import (
     AccessRules,
-    AnswerPace,
     RouteIndex,
+    SlowAnswerTracker,
     TreeError,
     TreeView,
     Verdict,
+    can_finish_before,
     choose_service,
     decide_access,
-    fits_before,
 )
 from rampwick_schema import Node, Route, Routing, Service, Tree, WeightedService
 
@@ -147,27 +147,27 @@
 class LeavingTest(TestCase):
     def test_only_what_will_surely_be_done_is_still_taken(self):
         terms = {"latency_target_seconds": 0.5, "now_seconds": 10.0}
-        self.assertTrue(fits_before(13.0, max_answer_tokens=50, **terms))
-        self.assertFalse(fits_before(12.0, max_answer_tokens=50, **terms))
-        self.assertTrue(fits_before(11.0, max_answer_tokens=0, **terms))
+        self.assertTrue(can_finish_before(13.0, max_answer_tokens=50, **terms))
+        self.assertFalse(can_finish_before(12.0, max_answer_tokens=50, **terms))
+        self.assertTrue(can_finish_before(11.0, max_answer_tokens=0, **terms))
 
     def test_after_slow_answers_less_is_taken(self):
         # Answers of 36 tokens took 6.4 s after an outage of the store; a host with 4 s
         # left took such requests on kept connections and cut them.
-        pace = AnswerPace()
+        pace = SlowAnswerTracker()
         terms = {"latency_target_seconds": 0.515, "now_seconds": 10.0}
-        self.assertTrue(fits_before(14.5, max_answer_tokens=36, **terms))
+        self.assertTrue(can_finish_before(14.5, max_answer_tokens=36, **terms))
         pace.note(6.4, answer_tokens=36, **terms)
         ratio = pace.worst_ratio(11.0)
         self.assertFalse(
-            fits_before(14.5, max_answer_tokens=36, pace_ratio=ratio, **terms)
+            can_finish_before(14.5, max_answer_tokens=36, overrun_ratio=ratio, **terms)
         )
         self.assertTrue(
-            fits_before(14.5, max_answer_tokens=0, pace_ratio=ratio, **terms)
+            can_finish_before(14.5, max_answer_tokens=0, overrun_ratio=ratio, **terms)
         )
 
     def test_slow_answers_are_forgotten(self):
-        pace = AnswerPace()
+        pace = SlowAnswerTracker()
         pace.note(6.4, latency_target_seconds=0.5, answer_tokens=36, now_seconds=10.0)
         self.assertGreater(pace.worst_ratio(11.0), 2.9)
         self.assertEqual(2.0, pace.worst_ratio(60.0))
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -11,8 +11,8 @@
 from rampwick_adapter._records import StoreTranslation
 from rampwick_adapter._requests import UpstreamTranslation
 from rampwick_policy import (
+    ExpiredEntryGuard,
     HostListRead,
-    LapseGuard,
     Life,
     Scheduler,
     chain_from_parts,
@@ -131,7 +131,7 @@
         self.take(1, self.old)
         old = self.scheduler.upstreams.get(self.old.name)
         life = Life(self.old.name, 4)
-        self.scheduler.knowledge.note_prompt(self.old.name, life, self.chain)
+        self.scheduler.cache_index.note_prompt(self.old.name, life, self.chain)
         self.scheduler.upstreams.suspect(old, 1.0)
         old.load_version, old.load_until_seconds = 9, 100.0
         paused = Incarnation(old.name, old.incarnation)
@@ -140,7 +140,7 @@
         new = self.scheduler.upstreams.get(self.new.name)
         self.assertIsNone(self.scheduler.upstreams.get(self.old.name))
         self.assertTrue(self.scheduler.upstreams.is_open(new, 1.0))
-        held = self.scheduler.knowledge.cached_tokens(new.name, self.chain)
+        held = self.scheduler.cache_index.cached_tokens(new.name, self.chain)
         self.assertEqual(0, held)
 
     def test_older_news_bring_the_old_life_back_no_more(self):
@@ -149,7 +149,7 @@
         self.assertIsNone(self.scheduler.upstreams.get(self.old.name))
 
     def test_a_start_during_an_outage_leaves_no_lapsed_entry(self):
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([self.old], 1, False, 1.0)
         guard.take([self.new], 5, True, 9.0)
         self.assertEqual([self.new], guard.host_list(9.0).hosts)
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -8,25 +8,28 @@
     AttemptDelivered,
     AttemptDone,
     AttemptFailed,
-    BlameBook,
     CancelAttempt,
+    CrashTracker,
     CrashUpdateReceived,
     Dispatch,
     HostListRead,
-    LifeName,
+    IncarnationKey,
     LoadReported,
     Outcome,
+    QuarantineState,
     Refuse,
     RequestArrived,
     RequestIdentity,
     RunState,
     Scheduler,
-    Suspicion,
     Tick,
     TreeInForce,
     TreeView,
 )
-from rampwick_policy._crash_attribution import MAX_SUSPECTS_COUNT, SETTLE_SECONDS
+from rampwick_policy._crash_attribution import (
+    MAX_SUSPECT_REQUESTS_COUNT,
+    SETTLE_SECONDS,
+)
 from rampwick_schema import (
     CrashUpdate,
     HostEntry,
@@ -131,8 +134,8 @@
         """Have two upstreams that are gone have ended under each request."""
         for body in bodies:
             found = RequestIdentity("/w", "h/x", body).fingerprint
-            for life in (LifeName("gone", "1"), LifeName("gone", "2")):
-                self.scheduler.suspects.book.note_end(life, found, "/w", 0.0, 0.0)
+            for life in (IncarnationKey("gone", "1"), IncarnationKey("gone", "2")):
+                self.scheduler.suspects.book.note_crash(life, found, "/w", 0.0, 0.0)
 
     def suspicion(self, body):
         found = RequestIdentity("/w", "h/x", body).fingerprint
@@ -173,7 +176,7 @@
         name, _ = host.ask(DEADLY)
         host.later()
         host.answer(name)
-        self.assertEqual(Suspicion.NONE, host.suspicion(DEADLY))
+        self.assertEqual(QuarantineState.NONE, host.suspicion(DEADLY))
 
 
 class InnocentTest(TestCase):
@@ -191,14 +194,14 @@
                 item.upstream = item.incarnation = upstream
             host.end(*names)
             host.later()
-        self.assertEqual(Suspicion.APART, host.suspicion(OTHER))
+        self.assertEqual(QuarantineState.APART, host.suspicion(OTHER))
         name, _ = host.ask(OTHER)
         host.later()
         host.answer(name)
         # The one that is left is to blame, at its next end.
         host.end_under(DEADLY, 1)
-        self.assertEqual(Suspicion.STOPPED, host.suspicion(DEADLY))
-        self.assertEqual(Suspicion.NONE, host.suspicion(OTHER))
+        self.assertEqual(QuarantineState.STOPPED, host.suspicion(DEADLY))
+        self.assertEqual(QuarantineState.NONE, host.suspicion(OTHER))
 
     def test_suspects_are_kept_from_each_others_upstreams(self):
         host = Host()
@@ -283,7 +286,7 @@
                     self.tell(host, other, host.scheduler.suspects.initial_state)
         for host in hosts:
             host.later()
-            self.assertEqual(Suspicion.STOPPED, host.suspicion(DEADLY))
+            self.assertEqual(QuarantineState.STOPPED, host.suspicion(DEADLY))
 
     def test_a_host_that_has_just_come_is_told(self):
         old, new = Host(), Host()
@@ -313,14 +316,14 @@
             one.scheduler.suspects.clear(found, one.at_seconds, "an operator says so")
         )
         self.tell(one, two)
-        self.assertEqual(Suspicion.NONE, two.suspicion(DEADLY))
+        self.assertEqual(QuarantineState.NONE, two.suspicion(DEADLY))
         aged = attrs.evolve(
             old,
             ended=[attrs.evolve(item, age_seconds=3.0) for item in old.ended],
             stopped=[attrs.evolve(item, age_seconds=3.0) for item in old.stopped],
         )
         two.do(CrashUpdateReceived(aged))
-        self.assertEqual(Suspicion.NONE, two.suspicion(DEADLY))
+        self.assertEqual(QuarantineState.NONE, two.suspicion(DEADLY))
 
     def test_a_peers_word_stops_what_is_under_way(self):
         host = Host()
@@ -359,21 +362,21 @@
 class BoundsTest(TestCase):
     def note(self, book, number, workspace, now_seconds):
         found = number.to_bytes(16, "big")
-        life = LifeName("u", str(number))
-        book.note_end(life, found, workspace, now_seconds, now_seconds)
+        life = IncarnationKey("u", str(number))
+        book.note_crash(life, found, workspace, now_seconds, now_seconds)
         return found
 
     def test_a_workspace_that_makes_many_loses_its_own(self):
-        book = BlameBook()
+        book = CrashTracker()
         kept = self.note(book, 0, "/quiet", 0.0)
-        for number in range(1, MAX_SUSPECTS_COUNT + 10):
+        for number in range(1, MAX_SUSPECT_REQUESTS_COUNT + 10):
             self.note(book, number, "/loud", 1.0)
-        self.assertEqual(MAX_SUSPECTS_COUNT, len(book))
+        self.assertEqual(MAX_SUSPECT_REQUESTS_COUNT, len(book))
         self.assertIsNotNone(book.get(kept))
         self.assertEqual(10, book.dropped_count)
 
     def test_what_nobody_asks_for_is_forgotten(self):
-        book = BlameBook()
+        book = CrashTracker()
         self.note(book, 1, "/w", 0.0)
         book.sweep(899.0)
         self.assertEqual(1, len(book))
--- a/tests/test_cache_isolation.py
+++ b/tests/test_cache_isolation.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings, strategies as st
 from testtools import TestCase
 
-from rampwick_policy import CacheKnowledge, Life, Scope, build_chain, cache_salt
+from rampwick_policy import Life, PrefixCacheIndex, Scope, build_chain, cache_salt
 from rampwick_schema import Order, PlacedPrefix, unstructure
 from rampwick_standin import EngineFaults
 
@@ -106,12 +106,12 @@
             async with bench.run_host() as host:
                 await host.until_ready("lektor-1")
                 await host.stream(GUIDE)
-                knowledge = host.daemon.scheduler._scheduler.knowledge
-                self.assertGreater(knowledge.entries_count(), 0)
+                cache_index = host.daemon.scheduler._scheduler.cache_index
+                self.assertGreater(cache_index.entries_count(), 0)
                 old = host.upstream("lektor-1").life
                 runner.engine.crash()
                 await until(lambda: host.upstream("lektor-1").life not in (old, None))
-                self.assertEqual(0, knowledge.entries_count())
+                self.assertEqual(0, cache_index.entries_count())
                 saw = await host.stream(GUIDE + "again")
             self.assertTrue(saw.is_whole)
             return bench.attempts()
@@ -128,47 +128,47 @@
 
 class KnowledgeTest(TestCase):
     def make_known(self):
-        knowledge = CacheKnowledge(1000)
-        knowledge.observe_life("r", OLD, 100_000)
+        cache_index = PrefixCacheIndex(1000)
+        cache_index.observe_generation("r", OLD, 100_000)
         chain = chain_of(GUIDE)
-        knowledge.note_prompt("r", OLD, chain)
-        return knowledge, chain
+        cache_index.note_prompt("r", OLD, chain)
+        return cache_index, chain
 
     def test_new_life_drops_all_that_was_known(self):
-        knowledge, chain = self.make_known()
-        self.assertGreater(knowledge.cached_tokens("r", chain), 0)
-        knowledge.observe_life("r", NEW, 100_000)
-        self.assertEqual(0, knowledge.cached_tokens("r", chain))
+        cache_index, chain = self.make_known()
+        self.assertGreater(cache_index.cached_tokens("r", chain), 0)
+        cache_index.observe_generation("r", NEW, 100_000)
+        self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
     def test_news_of_the_old_life_that_comes_late_is_dropped(self):
-        knowledge, chain = self.make_known()
-        knowledge.observe_life("r", NEW, 100_000)
+        cache_index, chain = self.make_known()
+        cache_index.observe_generation("r", NEW, 100_000)
         prefixes = [checkpoint.prefix for checkpoint in chain.checkpoints]
         late = PlacedPrefix("r", "life-1/1", prefixes, [16] * len(prefixes))
-        knowledge.note_reported(late)
-        knowledge.note_prompt("r", OLD, chain)
-        self.assertEqual(0, knowledge.cached_tokens("r", chain))
+        cache_index.note_reported(late)
+        cache_index.note_prompt("r", OLD, chain)
+        self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
     def test_other_weights_are_another_life(self):
-        knowledge, chain = self.make_known()
-        knowledge.observe_life("r", Life("life-1", 2), 100_000)
-        self.assertEqual(0, knowledge.cached_tokens("r", chain))
+        cache_index, chain = self.make_known()
+        cache_index.observe_generation("r", Life("life-1", 2), 100_000)
+        self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
     def test_entries_are_bounded(self):
-        knowledge = CacheKnowledge(50)
-        knowledge.observe_life("r", OLD, 10**9)
+        cache_index = PrefixCacheIndex(50)
+        cache_index.observe_generation("r", OLD, 10**9)
         for number in range(100):
-            knowledge.note_prompt("r", OLD, chain_of(f"{number} " * 400))
-        self.assertLessEqual(knowledge.entries_count(), 50)
+            cache_index.note_prompt("r", OLD, chain_of(f"{number} " * 400))
+        self.assertLessEqual(cache_index.entries_count(), 50)
 
     def test_least_recently_used_prompt_is_thought_evicted(self):
-        knowledge = CacheKnowledge(1000)
+        cache_index = PrefixCacheIndex(1000)
         prompts = [chain_of(f"{number} " * 400) for number in range(4)]
-        knowledge.observe_life("r", OLD, prompts[0].total_tokens * 2)
+        cache_index.observe_generation("r", OLD, prompts[0].total_tokens * 2)
         for prompt in prompts:
-            knowledge.note_prompt("r", OLD, prompt)
-        self.assertEqual(0, knowledge.cached_tokens("r", prompts[0]))
-        self.assertGreater(knowledge.cached_tokens("r", prompts[3]), 0)
+            cache_index.note_prompt("r", OLD, prompt)
+        self.assertEqual(0, cache_index.cached_tokens("r", prompts[0]))
+        self.assertGreater(cache_index.cached_tokens("r", prompts[3]), 0)
 
 
 TEXTS = st.text("ab", min_size=0, max_size=600)
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -6,8 +6,8 @@
 from testtools import TestCase
 
 from rampwick_policy import (
-    CacheBox,
     CacheChanges,
+    CacheEventBuffer,
     CacheSeen,
     Member,
     MemberTable,
@@ -44,7 +44,7 @@
 class BoxTest(TestCase):
     @given(st.lists(st.tuples(NAMES, CHANGES, st.booleans()), max_size=12))
     def test_what_is_told_amounts_to_all_that_was_gathered(self, steps):
-        box = CacheBox()
+        box = CacheEventBuffer()
         events = [seen(name, kept, is_reset=reset) for name, kept, reset in steps]
         for event in events:
             box.add(event)
@@ -53,7 +53,7 @@
         self.assertEqual(apply_to(dict(before), events), apply_to(dict(before), told))
 
     def test_nothing_is_told_twice(self):
-        box = CacheBox()
+        box = CacheEventBuffer()
         box.add(seen("a", {b"x" * 8: 5}))
         self.assertEqual(1, len(box.take()))
         self.assertEqual([], box.take())
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -6,29 +6,29 @@
 from rampwick_policy import (
     AttemptDelivered,
     CacheChanges,
-    CacheKnowledge,
     CacheSeen,
     HostListRead,
     Life,
     Member,
     Neighbours,
     PeerSummaryReceived,
+    PrefixCacheIndex,
     PromptPart,
     RequestArrived,
-    SaltBook,
+    SaltTable,
     Scheduler,
     Scope,
     TreeInForce,
     TreeView,
     chain_from_parts,
+    generation_label,
     is_cache_reader,
-    kept_life,
-    life_label,
     part_key,
+    store_generation,
 )
 from rampwick_policy._cache_imports import SETUP_SECONDS, ImportSource
-from rampwick_policy._cache_transfers import MOVES_LABEL, Move
-from rampwick_policy._kv_store_contents import KeptKnowledge
+from rampwick_policy._cache_transfers import TRANSFERS_LABEL, CacheTransfer
+from rampwick_policy._kv_store_contents import KvStoreContents
 from rampwick_schema import (
     HostEntry,
     HostList,
@@ -57,15 +57,15 @@
 class PartsTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.knowledge = CacheKnowledge(1000)
+        self.cache_index = PrefixCacheIndex(1000)
         self.life = Life("one", 1)
-        self.knowledge.observe_life("r", self.life, 100_000)
+        self.cache_index.observe_generation("r", self.life, 100_000)
 
     def change(self, prefix, tokens, label="one/1"):
-        self.knowledge.note_changes("r", label, [prefix], [tokens])
+        self.cache_index.note_changes("r", label, [prefix], [tokens])
 
     def held(self):
-        return self.knowledge.cached_tokens("r", chain())
+        return self.cache_index.cached_tokens("r", chain())
 
     def test_a_part_counts_if_all_before_it_are_whole(self):
         self.change(THING, 3700)
@@ -76,7 +76,7 @@
         self.assertEqual(128, self.held())
 
     def test_what_was_placed_is_corrected_by_the_engines_word(self):
-        self.knowledge.note_prompt("r", self.life, chain())
+        self.cache_index.note_prompt("r", self.life, chain())
         self.assertEqual(7100, self.held())
         self.change(THING, 0)
         self.assertEqual(2500, self.held())
@@ -88,23 +88,23 @@
     def test_the_last_part_is_nobody_elses(self):
         levels = chain().levels
         self.assertEqual([2500, 6200], [level.tokens for level in levels])
-        self.assertEqual(THING, chain().home_key)
+        self.assertEqual(THING, chain().affinity_key)
 
     @settings(derandomize=True, deadline=None)
     @given(
         st.lists(st.tuples(st.sampled_from([GUIDE, THING, OWN]), st.integers(0, 4000)))
     )
     def test_no_more_is_held_than_the_prompt_has(self, changes):
-        knowledge = CacheKnowledge(1000)
-        knowledge.observe_life("r", self.life, 100_000)
+        cache_index = PrefixCacheIndex(1000)
+        cache_index.observe_generation("r", self.life, 100_000)
         for prefix, tokens in changes:
-            knowledge.note_changes("r", "one/1", [prefix], [tokens])
-        self.assertTrue(0 <= knowledge.cached_tokens("r", chain()) <= 7100)
+            cache_index.note_changes("r", "one/1", [prefix], [tokens])
+        self.assertTrue(0 <= cache_index.cached_tokens("r", chain()) <= 7100)
 
 
 class KeptKnowledgeTest(TestCase):
     def test_a_save_is_believed_for_a_while_and_the_stores_word_until_it_changes(self):
-        kept = KeptKnowledge()
+        kept = KvStoreContents()
         kept.note_saved(1, GUIDE, 2500, 10.0)
         self.assertEqual(2500, kept.tokens(1, GUIDE, 20.0))
         self.assertEqual(0, kept.tokens(1, GUIDE, 30.0))
@@ -114,12 +114,12 @@
         self.assertEqual(0, kept.tokens(1, GUIDE, 3001.0))
 
     def test_versions_are_kept_apart(self):
-        kept = KeptKnowledge()
+        kept = KvStoreContents()
         kept.note_change(1, GUIDE, 2500, 10.0)
         self.assertEqual(0, kept.tokens(2, GUIDE, 10.0))
 
     def test_a_beginning_counts_as_far_as_it_is_whole(self):
-        kept = KeptKnowledge()
+        kept = KvStoreContents()
         kept.note_change(1, GUIDE, 2500, 10.0)
         kept.note_change(1, THING, 1000, 10.0)
         self.assertEqual(3500, kept.held_tokens(1, chain(), 10.0))
@@ -127,7 +127,7 @@
 
 class SaltBookTest(TestCase):
     def test_salts_of_walls_models_and_versions_differ_and_are_found_again(self):
-        book = SaltBook("secret")
+        book = SaltTable("secret")
         scopes = [Scope(wall, model) for wall in "ab" for model in "mn"]
         book.prepare(scopes, [1, 2])
         salts = {book.salt(scope, version) for scope in scopes for version in (1, 2)}
@@ -137,9 +137,9 @@
         self.assertIsNone(book.find("a stranger's"))
 
     def test_hosts_with_one_secret_choose_the_same_salts(self):
-        one, two = SaltBook("secret"), SaltBook("secret")
+        one, two = SaltTable("secret"), SaltTable("secret")
         self.assertEqual(one.salt(SCOPE, 3), two.salt(SCOPE, 3))
-        self.assertNotEqual(one.salt(SCOPE, 3), SaltBook("other").salt(SCOPE, 3))
+        self.assertNotEqual(one.salt(SCOPE, 3), SaltTable("other").salt(SCOPE, 3))
 
 
 class CacheReaderRoleTest(TestCase):
@@ -232,11 +232,11 @@
     """Where a prompt goes, and from where its runner takes what it lacks."""
 
     def test_a_prompt_goes_where_it_is_held(self):
-        self.tell("b", life_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
+        self.tell("b", generation_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
         self.assertEqual("b", self.arrive().upstream)
 
     def test_a_busy_holder_is_imported_from(self):
-        self.tell("b", life_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
+        self.tell("b", generation_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
         holder = self.scheduler.upstreams.get("b")
         for number in range(64):
             holder.start(f"x{number}", 5000, 1.0)
@@ -249,7 +249,7 @@
 
     def test_nothing_is_imported_from_other_weights(self):
         self.list_runners(("a", 1), ("b", 1), ("old", 0))
-        self.tell("old", life_label(Life("old", 0)), (GUIDE, 2500), (THING, 3700))
+        self.tell("old", generation_label(Life("old", 0)), (GUIDE, 2500), (THING, 3700))
         holder = self.scheduler.upstreams.get("old")
         for number in range(64):
             holder.start(f"x{number}", 5000, 1.0)
@@ -263,13 +263,17 @@
         self.assertEqual("", self.arrive("r2").save_address)
 
     def test_what_the_store_tells_it_holds_is_not_saved_again(self):
-        self.tell("kept", life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
+        self.tell(
+            "kept", generation_label(store_generation(1)), (GUIDE, 2500), (THING, 3700)
+        )
         dispatch = self.arrive()
         self.assertEqual("", dispatch.save_address)
         self.assertEqual(6200, dispatch.choice.imported_tokens)
 
     def test_a_store_that_came_back_empty_is_saved_to_again(self):
-        self.tell("kept", life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
+        self.tell(
+            "kept", generation_label(store_generation(1)), (GUIDE, 2500), (THING, 3700)
+        )
         self.scheduler.handle(CacheSeen("kept", (), is_reset=True), 2.0)
         self.assertEqual("10.9.0.1:1", self.arrive().save_address)
 
@@ -294,7 +298,9 @@
     def setUp(self):
         super().setUp()
         # At 5.9 us a token the store's link is busy for 0.3 s.
-        self.scheduler.pool.moves.begin("x", Move("kept", "a", 50_000))
+        self.scheduler.pool.cache_transfers.begin(
+            "x", CacheTransfer("kept", "a", 50_000)
+        )
 
     def test_a_short_prompt_is_computed_instead(self):
         self.assertEqual("", self.arrive(parts=self.SHORT).import_address)
@@ -303,26 +309,28 @@
         self.assertEqual("10.9.0.1:1", self.arrive().import_address)
 
     def test_a_short_one_takes_from_an_idle_link(self):
-        self.scheduler.pool.moves.end("x")
+        self.scheduler.pool.cache_transfers.end("x")
         dispatch = self.arrive(parts=self.SHORT)
         self.assertEqual("10.9.0.1:1", dispatch.import_address)
 
     def test_peers_are_told_and_count(self):
         told = self.scheduler.summary(1, 1, False, 1.0).upstreams
         self.assertEqual(
-            [("a", MOVES_LABEL, 50_000), ("kept", MOVES_LABEL, 50_000)],
+            [("a", TRANSFERS_LABEL, 50_000), ("kept", TRANSFERS_LABEL, 50_000)],
             [(item.upstream, item.incarnation, item.waiting_tokens) for item in told],
         )
         summary = Summary(1, 1, 1, False, [], told, [])
         self.scheduler.handle(PeerSummaryReceived("p", "h", 1, summary), 1.0)
-        self.assertEqual(100_000, self.scheduler.pool.moves.waiting_tokens("kept"))
+        self.assertEqual(
+            100_000, self.scheduler.pool.cache_transfers.waiting_tokens("kept")
+        )
 
     def test_a_move_counts_until_the_answer_begins(self):
         dispatch = self.arrive("r1")
-        moves = self.scheduler.pool.moves
-        self.assertGreater(moves.waiting_tokens("kept"), 50_000)
+        cache_transfers = self.scheduler.pool.cache_transfers
+        self.assertGreater(cache_transfers.waiting_tokens("kept"), 50_000)
         self.scheduler.handle(AttemptDelivered("r1", dispatch.attempt_id), 1.5)
-        self.assertEqual(50_000, moves.waiting_tokens("kept"))
+        self.assertEqual(50_000, cache_transfers.waiting_tokens("kept"))
 
 
 class FarMoveTest(TestCase):
@@ -346,7 +354,7 @@
         self.store = "kept-" + first.save_address.partition(":")[0]
         self.address = first.save_address
         for name in "ab":
-            self.tell(name, life_label(Life(name, 1)), (GUIDE, 0), (THING, 0))
+            self.tell(name, generation_label(Life(name, 1)), (GUIDE, 0), (THING, 0))
         self.others = [store for store in self.stores if store.address != self.address]
 
     def test_a_prompt_is_saved_to_one_store_and_imported_from_there(self):
@@ -357,7 +365,12 @@
     def test_a_prompt_is_imported_from_the_store_that_told_of_it(self):
         self.scheduler.handle(CacheSeen(self.store, (), is_reset=True), 2.0)
         other = self.others[0]
-        self.tell(other.name, life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
+        self.tell(
+            other.name,
+            generation_label(store_generation(1)),
+            (GUIDE, 2500),
+            (THING, 3700),
+        )
         dispatch = self.arrive()
         self.assertEqual(other.address, dispatch.import_address)
         self.assertEqual(6200, dispatch.choice.imported_tokens)
@@ -367,7 +380,7 @@
         self.assertEqual("", self.arrive().save_address)
 
     def test_a_store_that_dropped_a_part_is_not_the_one_that_has_it(self):
-        label = life_label(kept_life(1))
+        label = generation_label(store_generation(1))
         self.tell(self.store, label, (GUIDE, 2500), (THING, 3700))
         self.tell(self.others[0].name, label, (GUIDE, 0), (THING, 0))
         self.assertEqual(self.address, self.arrive().import_address)
--- a/tests/test_first_moments.py
+++ b/tests/test_first_moments.py
@@ -6,7 +6,7 @@
 import anyio
 from testtools import TestCase
 
-from rampwick_policy import Member, SaltBook, Scheduler, is_cache_reader
+from rampwick_policy import Member, SaltTable, Scheduler, is_cache_reader
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._roles import UNHEARD_SECONDS, Roles
 from rampwick_router.upstream._cache_reader import (
@@ -81,7 +81,7 @@
                 Scheduler(parse_settings(text, source="t")), lambda: 100.0
             )
             reader = CacheReaderTask(
-                MEMBERS[0], scheduler, None, None, SaltBook(""), None, None
+                MEMBERS[0], scheduler, None, None, SaltTable(""), None, None
             )
 
             async def ask(source, reading):
--- a/tests/test_kind_watcher.py
+++ b/tests/test_kind_watcher.py
@@ -15,7 +15,7 @@
     PlatformUnavailableError,
     StoredObject,
 )
-from rampwick_policy import LapseGuard
+from rampwick_policy import ExpiredEntryGuard
 from rampwick_schema import HostEntry, HostList, join_version
 
 
@@ -212,14 +212,14 @@
         return sorted(item.name for item in guard.host_list(now).hosts)
 
     def test_an_entry_that_vanishes_in_calm_is_gone_at_once(self):
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a"), entry("b")], 5, False, 10.0)
         guard.take([entry("a")], 6, False, 11.0)
         self.assertEqual(["a"], self.names(guard, 11.0))
-        self.assertIsNone(guard.lapse_end_seconds)
+        self.assertIsNone(guard.grace_end_seconds)
 
     def test_entries_that_lapsed_with_the_store_are_kept_until_they_are_back(self):
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a"), entry("b"), entry("c")], 5, False, 10.0)
         guard.take([], 20, True, 15.0)
         self.assertEqual(["a", "b", "c"], self.names(guard, 15.0))
@@ -227,7 +227,7 @@
         self.assertEqual(["a", "b", "c"], self.names(guard, 15.5))
         guard.take([entry("a"), entry("b")], 22, False, 16.0)
         held = guard.host_list(16.0)
-        self.assertEqual(16.8, guard.lapse_end_seconds)
+        self.assertEqual(16.8, guard.grace_end_seconds)
         # Still missing then: gone, under a version of its own.
         self.assertEqual(["a", "b"], self.names(guard, 16.8))
         self.assertGreater(guard.host_list(16.8).version, held.version)
@@ -240,7 +240,7 @@
         lapsed and told all: a host sent to it 3.5 s after it had left. Found by a hunt,
         settled by the lists' versions in the logs: 117 without it, 126 with it again.
         """
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a"), entry("b")], 5, False, 10.0)
         newest = HostList(17, [entry("a"), entry("c")])
         guard.take([entry("a"), entry("c")], 9, True, 15.0, newest)
@@ -251,7 +251,7 @@
 
     def test_entries_that_a_restored_copy_lacks_are_kept_until_they_are_back(self):
         """Their watch was told that its history is gone, which is no failure."""
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a"), entry("b"), entry("c", "leaving")], 50, False, 10.0)
         guard.take([entry("a")], join_version(1, 20), False, 15.0)
         self.assertEqual(["a", "b"], self.names(guard, 15.0))
@@ -261,26 +261,26 @@
         self.assertEqual(["a"], self.names(guard, 16.8))
 
     def test_the_second_restore_within_seconds_is_one_too(self):
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a"), entry("b")], 50, False, 10.0)
         guard.take([entry("a")], join_version(1, 20), False, 15.0)
         guard.take([], join_version(4, 20), False, 16.0)
         self.assertEqual(["a", "b"], self.names(guard, 17.7))
 
     def test_who_reads_late_keeps_what_others_keep(self):
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a"), entry("b")], 50, False, 10.0)
         others = HostList(join_version(1, 2 * 20), [entry("a"), entry("b"), entry("c")])
         guard.take([entry("a")], join_version(1, 21), False, 15.0, others)
         self.assertEqual(["a", "b", "c"], self.names(guard, 15.0))
 
     def test_a_host_that_starts_after_a_restore_holds_nothing(self):
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a")], join_version(2, 20), False, 15.0)
-        self.assertIsNone(guard.lapse_end_seconds)
+        self.assertIsNone(guard.grace_end_seconds)
 
     def test_what_was_leaving_is_not_kept(self):
-        guard = LapseGuard()
+        guard = ExpiredEntryGuard()
         guard.take([entry("a", "leaving"), entry("b")], 5, False, 10.0)
         guard.take([], 20, True, 15.0)
         self.assertEqual(["b"], self.names(guard, 15.0))
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -11,8 +11,8 @@
     AttemptFailed,
     Dispatch,
     HostListRead,
+    IneligibleReason,
     LeavingUpdateReceived,
-    Obstacle,
     Outcome,
     ProbeFailed,
     Refuse,
@@ -23,8 +23,8 @@
 from rampwick_policy._shutdown_announcements import (
     RETRANSMIT_SECONDS,
     UNLISTED_SECONDS,
-    Departures,
     Incarnation,
+    ShutdownAnnouncements,
 )
 from rampwick_router import AnswerHead
 from rampwick_schema import (
@@ -153,7 +153,7 @@
         (first,) = session.arrive(1.0, "r1", is_repeatable=False)
         leave(session, 1.0, first.upstream)
         found = session.scheduler.pool.withdrawal(first.upstream, "one", 1.0)
-        self.assertEqual(Obstacle.LEAVING, found)
+        self.assertEqual(IneligibleReason.LEAVING, found)
         before = session.scheduler.budgets.least_saved
         failed = AttemptFailed("r1", "r1.1", Outcome.WITHDRAWN, "it leaves")
         (second,) = sent_to(session.do(1.0, failed))
@@ -195,7 +195,7 @@
                     if started:
                         break
                     await one.complete(f"{number} of the sheets, " * 20)
-                await until(lambda: len(two.daemon.scheduler.departures))
+                await until(lambda: len(two.daemon.scheduler.shutdown_announcements))
                 known_count = len(started)
                 for number in range(20):
                     await two.complete(f"{number} of the plants, " * 20)
@@ -207,7 +207,7 @@
 class DeparturesTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.one, self.two = Departures(), Departures()
+        self.one, self.two = ShutdownAnnouncements(), ShutdownAnnouncements()
         self.woken = []
         self.one.on_update = lambda: self.woken.append(True)
         self.two.on_update = lambda: self.woken.append(False)
@@ -233,16 +233,16 @@
         self.assertIs(None, self.one.initial_state(1.0))
 
     def test_what_is_not_listed_for_long_is_dropped(self):
-        departures = Departures()
+        shutdown_announcements = ShutdownAnnouncements()
         gone, listed = Incarnation("a", "1"), Incarnation("b", "1")
-        self.assertTrue(departures.note(gone, 0.0))
-        self.assertTrue(departures.note(listed, 0.0))
-        self.assertFalse(departures.note(listed, 1.0))
-        departures.sweep({"b"}, UNLISTED_SECONDS)
-        self.assertIn(gone, departures)
-        departures.sweep({"b"}, UNLISTED_SECONDS + 1.0)
-        self.assertNotIn(gone, departures)
-        self.assertIn(listed, departures)
+        self.assertTrue(shutdown_announcements.note(gone, 0.0))
+        self.assertTrue(shutdown_announcements.note(listed, 0.0))
+        self.assertFalse(shutdown_announcements.note(listed, 1.0))
+        shutdown_announcements.sweep({"b"}, UNLISTED_SECONDS)
+        self.assertIn(gone, shutdown_announcements)
+        shutdown_announcements.sweep({"b"}, UNLISTED_SECONDS + 1.0)
+        self.assertNotIn(gone, shutdown_announcements)
+        self.assertIn(listed, shutdown_announcements)
 
 
 class ControlAnswersTest(TestCase):
--- a/tests/test_requests_within_a_pause.py
+++ b/tests/test_requests_within_a_pause.py
@@ -7,8 +7,8 @@
     AttemptFailed,
     Dispatch,
     HostListRead,
+    IneligibleReason,
     LoadReported,
-    Obstacle,
     Outcome,
     ProbeFailed,
     Refuse,
@@ -108,15 +108,15 @@
         session.do(2.0, HostListRead(HostList(3, [])))
         session.do(3.0, HostListRead(HostList(4, [entry])))
         upstreams = session.scheduler.upstreams
-        found = upstreams.obstacle(upstreams.get("a"), 4.0)
-        self.assertEqual(Obstacle.PAUSED, found)
+        found = upstreams.ineligible_reason(upstreams.get("a"), 4.0)
+        self.assertEqual(IneligibleReason.PAUSED, found)
 
     def test_a_request_that_was_placed_before_is_not_sent(self):
         session = Session(runners=2, slots=8)
         (first,) = self.sent_to(session.arrive(1.0, "r1"))
         self.pause(session, 1.0, first)
         found = session.scheduler.pool.withdrawal(first, "one", 1.0)
-        self.assertEqual(Obstacle.PAUSED, found)
+        self.assertEqual(IneligibleReason.PAUSED, found)
 
     def test_where_all_want_one_requests_are_refused_at_once_until_then(self):
         session = Session(runners=2, slots=8)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -23,15 +23,15 @@
     Member,
     MemberTable,
     Neighbours,
-    SaltBook,
+    SaltTable,
     Scheduler,
     Scope,
     TreeInForce,
     TreeView,
-    kept_life,
-    life_label,
+    generation_label,
+    store_generation,
 )
-from rampwick_policy._kv_store_contents import KeptKnowledge
+from rampwick_policy._kv_store_contents import KvStoreContents
 from rampwick_router._dialects import CacheEvent, CacheEvents
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._cache_outbox import CacheOutbox
@@ -194,7 +194,7 @@
         (changes,) = seen.changes
         told = dict(zip(changes.prefixes, changes.tokens, strict=True))
         self.assertEqual({b"x" * 8: 2500, b"y" * 8: 3700}, told)
-        self.assertEqual(life_label(Life("r", 1)), changes.label)
+        self.assertEqual(generation_label(Life("r", 1)), changes.label)
 
     def test_nothing_is_told_of_caches_that_others_read(self):
         link = RecordingLink()
@@ -208,11 +208,11 @@
         self.assertEqual([], link.sent)
 
     def test_of_a_store_only_its_own_word_is_told(self):
-        kept = KeptKnowledge()
+        kept = KvStoreContents()
         kept.note_saved(1, b"x" * 8, 2500, 10.0)
         kept.note_change(2, b"y" * 8, 3700, 10.0)
         (changes,) = kept.contents()
-        self.assertEqual(life_label(kept_life(2)), changes.label)
+        self.assertEqual(generation_label(store_generation(2)), changes.label)
         self.assertEqual((b"y" * 8,), changes.prefixes)
 
 
@@ -262,7 +262,7 @@
         cache = cache or PagedCache(pages)
         own = Member("e", "h", "e:1")
         reader = CacheReaderTask(
-            own, self, None, cache, SaltBook("s"), self.told.append, Neighbours
+            own, self, None, cache, SaltTable("s"), self.told.append, Neighbours
         )
         source = Source("r", "h", "r:1", "r")
         reader._knows_any = True
@@ -330,10 +330,10 @@
 
     def told_prefixes(self, pages):
         scope = Scope("wall", "model")
-        salt = SaltBook("s").salt(scope, 1)
-        book = SaltBook("s")
+        salt = SaltTable("s").salt(scope, 1)
+        book = SaltTable("s")
         book.prepare([scope], [1])
-        with mock.patch.object(SaltBook, "find", book.find):
+        with mock.patch.object(SaltTable, "find", book.find):
             self.catch_up(cache=ChurningCache(pages, salt))
         tokens = {}
         for seen in self.told:
@@ -371,7 +371,7 @@
         ]
         scheduler.handle(HostListRead(HostList(1, entries)), 0.0)
         reader = CacheReaderTask(
-            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
+            Member("e", "h", "e:1"), None, None, None, SaltTable("s"), None, Neighbours
         )
         reader._list_sources(scheduler, 0.0)
         found = reader._list_sources(scheduler, at_seconds)
@@ -385,12 +385,12 @@
 
     def test_looks_are_frequent_only_until_caches_are_known(self):
         reader = CacheReaderTask(
-            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
+            Member("e", "h", "e:1"), None, None, None, SaltTable("s"), None, Neighbours
         )
         self.assertEqual(FIRST_ROLE_SECONDS, reader._pause_seconds(None, 10.0))
         self.assertEqual(ROLE_SECONDS, reader._pause_seconds(None, 14.0))
         reader = CacheReaderTask(
-            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
+            Member("e", "h", "e:1"), None, None, None, SaltTable("s"), None, Neighbours
         )
         reader._knows_any = True
         self.assertEqual(ROLE_SECONDS, reader._pause_seconds(None, 10.0))
--- a/tests/test_timeliness.py
+++ b/tests/test_timeliness.py
@@ -16,7 +16,7 @@
     TreeView,
     chain_from_parts,
 )
-from rampwick_policy._prefill_speed import ReadingSpeed
+from rampwick_policy._prefill_speed import PrefillSpeed
 from rampwick_policy._upstream import Upstream
 from rampwick_schema import HostEntry, HostList, LoadReport, Node, Tree, parse_settings
 
@@ -106,7 +106,7 @@
 
 class ReadingSpeedTest(TestCase):
     def learn(self, start, *rates):
-        speed = ReadingSpeed(start)
+        speed = PrefillSpeed(start)
         for rate in rates:
             speed.note(3000, 3000 / rate + 0.012)
         return speed.tokens_per_second
@@ -121,18 +121,18 @@
 
     def test_only_prompts_that_found_nothing_waiting_count(self):
         upstream = Upstream(HostEntry("r", "runner", "h", "r:1"), health=None)
-        speed = ReadingSpeed(40_000.0)
+        speed = PrefillSpeed(40_000.0)
         upstream.start("a", 3000, 1.0)
         upstream.note_first_token("a", speed, 3.0)
         self.assertEqual(40_000.0, speed.tokens_per_second)
-        upstream.start("b", 3000, 3.0, is_alone=True)
+        upstream.start("b", 3000, 3.0, is_queue_empty=True)
         upstream.note_first_token("b", speed, 5.0)
         self.assertLess(speed.tokens_per_second, 40_000.0)
 
     def test_an_engines_own_word_goes_first(self):
         host = Host()
         (upstream,) = host.scheduler.upstreams
-        host.scheduler.upstreams.reading_speed("m").tokens_per_second = 1.0
+        host.scheduler.upstreams.prefill_speed("m").tokens_per_second = 1.0
         view = host.scheduler.upstreams.view(
             upstream, host.scheduler.peers, 1.0, 0.0, 1.0
         )
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -6,12 +6,12 @@
 from testtools import TestCase
 
 from rampwick_policy import (
-    LifeName,
+    IncarnationKey,
     Member,
     RequestArrived,
+    RequestQuarantine,
     Scheduler,
     SurgeGate,
-    Suspects,
     TreeInForce,
     TreeView,
 )
@@ -138,10 +138,10 @@
         )
 
     def test_each_fact_reaches_the_news(self):
-        suspects = Suspects(NoticeBook())
+        suspects = RequestQuarantine(NoticeBook())
         for number in range(3):
-            life = LifeName("u", str(number))
-            suspects.book.note_end(life, b"f" * 16, "/w", 1.0, 1.0)
+            life = IncarnationKey("u", str(number))
+            suspects.book.note_crash(life, b"f" * 16, "/w", 1.0, 1.0)
         suspects.judge(2.0)
         news = suspects.take_update(2.0)
         self.assertEqual([3], [item.ends_count for item in news.stopped])
