--- a/measure/_blame_lab.py
+++ b/measure/_blame_lab.py
@@ -223,12 +223,12 @@
 
     def _place(self, asked: Asked, host: _Host) -> None:
         now_seconds = self._clock.now_seconds
-        host.book.judge(now_seconds)
-        suspicion = host.book.suspicion(asked.fingerprint)
-        if suspicion is QuarantineState.STOPPED:
+        host.book.attribute_crashes(now_seconds)
+        quarantine_state = host.book.quarantine_state(asked.fingerprint)
+        if quarantine_state is QuarantineState.STOPPED:
             self.result.refused_count += not asked.is_deadly
             return
-        is_apart = suspicion is QuarantineState.APART
+        is_apart = quarantine_state is QuarantineState.APART
         upstream = self._choose(asked, host, is_apart and self._way.is_apart)
         if upstream is None:
             waited_seconds = now_seconds - asked.waiting_since_seconds
--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -14,12 +14,12 @@
     AttemptDelivered,
     AttemptDone,
     CacheChanges,
+    CacheGeneration,
     CacheSeen,
     CancelAttempt,
     Dispatch,
     Event,
     HostListRead,
-    Life,
     Neighbours,
     NeighboursSeen,
     PeerSummaryReceived,
@@ -319,7 +319,11 @@
 
     def _caches(self) -> Iterator[tuple[str, str, Cache]]:
         for engine in self.engines.values():
-            yield engine.name, generation_label(Life(engine.name, 1)), engine.cache
+            yield (
+                engine.name,
+                generation_label(CacheGeneration(engine.name, 1)),
+                engine.cache,
+            )
         yield STORE, generation_label(store_generation(1)), self.store
 
     def _hear(self, name: str, label: str, changed: dict[bytes, int]) -> None:
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -15,9 +15,9 @@
 from rampwick_policy import (
     AttemptDelivered,
     AttemptDone,
+    CacheGeneration,
     Checkpoint,
     Dispatch,
-    Life,
     PrefixCacheIndex,
     PrefixChain,
     RequestArrived,
@@ -45,13 +45,13 @@
     draw = random.Random(1)
     tracemalloc.start()
     cache_index = PrefixCacheIndex(10**7)
-    life = Life("life", 1)
-    cache_index.observe_generation("r", life, 10**12)
+    generation = CacheGeneration("life", 1)
+    cache_index.observe_generation("r", generation, 10**12)
     for _ in range(entries // 20):
         points = tuple(
             Checkpoint(draw.randbytes(8), depth * 64) for depth in range(1, 21)
         )
-        cache_index.note_prompt("r", life, PrefixChain(points, 1280))
+        cache_index.note_prompt("r", generation, PrefixChain(points, 1280))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return float(used)
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -115,7 +115,7 @@
 )
 from ._prefix_cache_index import (
     CacheChanges as CacheChanges,
-    Life as Life,
+    CacheGeneration as CacheGeneration,
     PrefixCacheIndex as PrefixCacheIndex,
     generation_label as generation_label,
 )
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -58,7 +58,7 @@
 
 
 @attrs.define(repr=False)
-class _Gathered(Shown):
+class _PendingChanges(Shown):
     """What waits to be told of one cache."""
 
     is_reset: bool = False
@@ -70,11 +70,11 @@
 class CacheEventBuffer(Shown):
     """Cache events gathered for a while; of each entry only the newest is told."""
 
-    _by_upstream: dict[str, _Gathered] = attrs.field(factory=dict)
+    _by_upstream: dict[str, _PendingChanges] = attrs.field(factory=dict)
 
     def add(self, seen: CacheSeen) -> None:
         """Gather the changes of one cache."""
-        gathered = self._by_upstream.setdefault(seen.upstream, _Gathered())
+        gathered = self._by_upstream.setdefault(seen.upstream, _PendingChanges())
         if seen.is_reset:
             gathered.is_reset = True
             gathered.tokens.clear()
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
@@ -11,7 +11,7 @@
 from rampwick_schema import KeptStore, PlacedPrefix, Service, Shown
 
 from . import _rendezvous
-from ._kv_store_contents import KvStoreContents, kept_version
+from ._kv_store_contents import KvStoreContents, store_weights_version
 from ._prefix import PrefixChain
 from ._routes import RouteIndex
 
@@ -20,7 +20,7 @@
 
 #: How many times longer a move between two halls takes than one within a hall; the
 #: platform says so of its links.
-FAR_FACTOR = 2.0
+CROSS_HALL_FACTOR = 2.0
 
 
 @attrs.frozen(repr=False)
@@ -41,13 +41,13 @@
         tokens = max(0, self.held_tokens - own_tokens)
         if not tokens:
             return 0.0
-        factor = FAR_FACTOR if hall and self.hall and hall != self.hall else 1.0
+        factor = CROSS_HALL_FACTOR if hall and self.hall and hall != self.hall else 1.0
         moving_seconds = tokens * self.seconds_per_token * factor
         return SETUP_SECONDS + self.queue_seconds + moving_seconds
 
 
 @attrs.frozen(repr=False)
-class Holder(Shown):
+class CacheHolder(Shown):
     """A runner that may be asked for its cache."""
 
     name: str
@@ -57,7 +57,7 @@
     hall: str = ""
 
 
-class Imports:
+class CacheImports:
     """Sources of cached prompts for the engines of one configuration."""
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
         """Return what a store is believed to hold; nothing of an unknown one."""
         return self._kv_store_contents.get(store, KvStoreContents())
 
-    def runner_source(self, service: Service, holder: Holder) -> ImportSource:
+    def runner_source(self, service: Service, holder: CacheHolder) -> ImportSource:
         """Return a runner's cache as a source."""
         bits_per_token = 8.0 * service.token_bytes
         return ImportSource(
@@ -129,7 +129,7 @@
 
     def note_reported(self, placed: PlacedPrefix, now_seconds: float) -> bool:
         """Take what a peer had saved; return whether it is about a store."""
-        version = kept_version(placed.incarnation)
+        version = store_weights_version(placed.incarnation)
         if version is None:
             return False
         kept = self.kept(placed.upstream)
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_tracker.py
@@ -13,29 +13,29 @@
 from rampwick_schema import PlacedPrefix
 
 from . import _events as ev
-from ._cache_imports import Holder, Imports, ImportSource
+from ._cache_imports import CacheHolder, CacheImports, ImportSource
 from ._cache_transfers import CacheTransfers
 from ._health import HealthState
-from ._kv_store_contents import kept_version, store_generation
+from ._kv_store_contents import store_generation, store_weights_version
 from ._membership import Membership
 from ._placement_updates import PlacementUpdates
 from ._prefix import PrefixChain
-from ._prefix_cache_index import Life, PrefixCacheIndex
+from ._prefix_cache_index import CacheGeneration, PrefixCacheIndex
 from ._upstreams import Upstream, UpstreamTable
 
 #: Runners of one version that are weighed as sources of a prompt, those that hold most
 #: first: one for the choice, the others where it is the source itself.
-MAX_HOLDERS = 3
+MAX_HOLDERS_PER_VERSION = 3
 
 
-class CacheBook:
+class CacheTracker:
     """Caches as this host knows them; it shares the pool's upstreams and peers."""
 
     def __init__(
         self, known_prefixes_count: int, upstreams: UpstreamTable, peers: Membership
     ) -> None:
         self.cache_index = PrefixCacheIndex(known_prefixes_count)
-        self.imports = Imports()
+        self.imports = CacheImports()
         self.cache_transfers = CacheTransfers(peers)
         self._upstreams = upstreams
         self._updates = PlacementUpdates()
@@ -50,20 +50,24 @@
         terms = self.imports.service(service)
         if terms is None:
             return []
-        holders: dict[int, list[Holder]] = {}
+        holders: dict[int, list[CacheHolder]] = {}
         for upstream in self._upstreams:
-            if upstream.entry.group != service or upstream.life is None:
+            if upstream.entry.group != service or upstream.cache_generation is None:
                 continue
-            version = upstream.life.weights_version
+            version = upstream.cache_generation.weights_version
             of_version = holders.setdefault(version, [])
             held = self.cache_index.cached_tokens(upstream.name, chain)
             if held and upstream.health.state is not HealthState.DOWN:
                 address = upstream.entry.address
                 hall = upstream.entry.hall
-                of_version.append(Holder(upstream.name, address, held, version, hall))
+                of_version.append(
+                    CacheHolder(upstream.name, address, held, version, hall)
+                )
         sources = []
         for version, found in holders.items():
-            best = heapq.nlargest(MAX_HOLDERS, found, key=attrgetter("held_tokens"))
+            best = heapq.nlargest(
+                MAX_HOLDERS_PER_VERSION, found, key=attrgetter("held_tokens")
+            )
             sources += [self.imports.runner_source(terms, holder) for holder in best]
             sources += self.imports.store_sources(terms, version, chain, now_seconds)
         return [self._with_queue(source) for source in sources]
@@ -79,9 +83,9 @@
         self, service: str, upstream: Upstream, chain: PrefixChain, now_seconds: float
     ) -> str:
         """Return the store to which an upstream shall save a prompt, if any."""
-        if self.imports.service(service) is None or upstream.life is None:
+        if self.imports.service(service) is None or upstream.cache_generation is None:
             return ""
-        version = upstream.life.weights_version
+        version = upstream.cache_generation.weights_version
         store = self.imports.take_store(version, chain, now_seconds)
         if store is None:
             return ""
@@ -101,14 +105,22 @@
         return seen
 
     def note_placed(
-        self, name: str, life: Life, chain: PrefixChain, now_seconds: float
+        self,
+        name: str,
+        generation: CacheGeneration,
+        chain: PrefixChain,
+        now_seconds: float,
     ) -> None:
         """Note that a prompt goes to a runner, which will then hold it."""
-        self.cache_index.note_prompt(name, life, chain)
-        self._updates.note(name, life, chain, now_seconds)
+        self.cache_index.note_prompt(name, generation, chain)
+        self._updates.note(name, generation, chain, now_seconds)
 
     def note_answer(
-        self, name: str, life: Life, chain: PrefixChain, event: ev.AttemptDone
+        self,
+        name: str,
+        generation: CacheGeneration,
+        chain: PrefixChain,
+        event: ev.AttemptDone,
     ) -> None:
         """Learn from a whole answer what the runner held and holds now."""
         if not event.prompt_tokens:
@@ -116,20 +128,20 @@
         if not event.cached_tokens:
             # Nothing at all was held: what was believed of shallow levels is wrong
             # for this runner, but the prompt itself is there now.
-            self.cache_index.correct(name, life, chain, 0)
-        self.cache_index.note_prompt(name, life, chain)
+            self.cache_index.correct(name, generation, chain, 0)
+        self.cache_index.note_prompt(name, generation, chain)
 
     def take_placed(self) -> list[PlacedPrefix]:
         """Return the placements that peers have not been told, to tell them once."""
         return self._updates.take()
 
-    def hear(self, event: ev.CacheSeen, now_seconds: float) -> None:
+    def apply_changes(self, event: ev.CacheSeen, now_seconds: float) -> None:
         """Take what a cache said of itself, here or to a peer."""
         kept = self.imports.kept(event.upstream)
         if event.is_reset:
             kept.clear()
         for changes in event.changes:
-            version = kept_version(changes.label)
+            version = store_weights_version(changes.label)
             if version is None:
                 self.cache_index.note_changes(
                     event.upstream, changes.label, changes.prefixes, changes.tokens
@@ -141,8 +153,10 @@
 
     def observe(self, upstream: Upstream, cache_tokens: int = 0) -> None:
         """Drop what was known of an earlier life of a runner's cache."""
-        if upstream.life is None:
+        if upstream.cache_generation is None:
             return
         service = self.imports.service(upstream.entry.group)
         capacity = cache_tokens or (service.cache_tokens if service else 0)
-        self.cache_index.observe_generation(upstream.name, upstream.life, capacity)
+        self.cache_index.observe_generation(
+            upstream.name, upstream.cache_generation, capacity
+        )
--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -17,10 +17,10 @@
 
 #: Ends after which a request is kept apart from others that are suspected. Two in a row
 #: by chance are rare, and the third is to show which of them it is.
-APART_ENDS_COUNT = 2
+ISOLATION_CRASHES_COUNT = 2
 
 #: Ends after which a request may be stopped: each one more costs an upstream.
-STOP_ENDS_COUNT = 3
+QUARANTINE_CRASHES_COUNT = 3
 
 #: Time after an end by which the other hosts' word on what they had aboard is here. One
 #: hop takes milliseconds; two relays gather for 50 ms each.
@@ -31,7 +31,7 @@
 SUSPECT_SECONDS = 900.0
 
 #: The same for requests that were stopped, counted from when they were last asked for.
-STOPPED_SECONDS = 3600.0
+QUARANTINE_SECONDS = 3600.0
 
 #: Requests remembered, about 660 bytes each (traced with one end, 20 to a life); the
 #: workspace that has most gives way.
@@ -72,13 +72,13 @@
     #: Last time that it came, or that something was heard of it.
     seen_at_seconds: float = 0.0
     #: Ends that it was stopped for, where others counted them.
-    told_ends_count: int = 0
+    reported_crashes_count: int = 0
     refused_count: int = 0
 
     @property
     def ends_count(self) -> int:
         """Upstreams that ended under it."""
-        return max(len(self.ends), self.told_ends_count)
+        return max(len(self.ends), self.reported_crashes_count)
 
     @property
     def last_end(self) -> IncarnationKey | None:
@@ -88,7 +88,7 @@
     def is_forgotten(self, now_seconds: float) -> bool:
         """Return whether it has not come for so long that nothing is held any more."""
         is_stopped = self.stopped_at_seconds is not None
-        kept_seconds = STOPPED_SECONDS if is_stopped else SUSPECT_SECONDS
+        kept_seconds = QUARANTINE_SECONDS if is_stopped else SUSPECT_SECONDS
         return now_seconds - self.seen_at_seconds > kept_seconds
 
 
@@ -116,7 +116,7 @@
     ) -> bool:
         """Return whether a request is to be stopped."""
         count = len(suspect.ends)
-        if count < STOP_ENDS_COUNT:
+        if count < QUARANTINE_CRASHES_COUNT:
             return False
         return all(len(rival.ends) < count for rival in rivals)
 
@@ -149,10 +149,10 @@
         """Return a request that something is held against."""
         return self._requests.get(fingerprint)
 
-    def suspicion(self, fingerprint: bytes) -> QuarantineState:
+    def quarantine_state(self, fingerprint: bytes) -> QuarantineState:
         """Return what is held against a request."""
         suspect = self._requests.get(fingerprint)
-        if suspect is None or suspect.ends_count < APART_ENDS_COUNT:
+        if suspect is None or suspect.ends_count < ISOLATION_CRASHES_COUNT:
             return QuarantineState.NONE
         if suspect.stopped_at_seconds is not None:
             return QuarantineState.STOPPED
@@ -161,7 +161,7 @@
     def has_complete_reports(self, fingerprint: bytes, now_seconds: float) -> bool:
         """Return whether what others had aboard its last end is known by now."""
         suspect = self._requests.get(fingerprint)
-        if suspect is None or suspect.ends_count < APART_ENDS_COUNT:
+        if suspect is None or suspect.ends_count < ISOLATION_CRASHES_COUNT:
             return True
         last = suspect.last_end
         return last is None or now_seconds >= suspect.ends[last] + SETTLE_SECONDS
@@ -170,7 +170,7 @@
 
     def note_crash(
         self,
-        life: IncarnationKey,
+        incarnation_key: IncarnationKey,
         fingerprint: bytes,
         workspace_path: str,
         at_seconds: float,
@@ -180,35 +180,35 @@
 
         ``at_seconds`` is earlier than the present time where another host saw it.
         """
-        if self._live_at.get(life, -math.inf) > at_seconds:
+        if self._live_at.get(incarnation_key, -math.inf) > at_seconds:
             return False
         if self._cleared_at.get(fingerprint, -math.inf) >= at_seconds:
             return False
         suspect = self._take_in(fingerprint, workspace_path, now_seconds)
-        if life in suspect.ends:
+        if incarnation_key in suspect.ends:
             return False
-        suspect.ends[life] = at_seconds
+        suspect.ends[incarnation_key] = at_seconds
         suspect.seen_at_seconds = now_seconds
-        self._aboard.setdefault(life, set()).add(fingerprint)
+        self._aboard.setdefault(incarnation_key, set()).add(fingerprint)
         # One end is seen by each host at its own time: the first to see it is right.
-        known_at_seconds = self._ended_at.get(life, math.inf)
-        self._ended_at[life] = min(known_at_seconds, at_seconds)
+        known_at_seconds = self._ended_at.get(incarnation_key, math.inf)
+        self._ended_at[incarnation_key] = min(known_at_seconds, at_seconds)
         self._unsettled.add(fingerprint)
         return True
 
-    def note_live(self, life: IncarnationKey, at_seconds: float) -> bool:
+    def note_live(self, incarnation_key: IncarnationKey, at_seconds: float) -> bool:
         """Note an answer to what was sent at a time; take a later end of it back.
 
         Return whether one was held against anybody.
         """
-        ended_at_seconds = self._ended_at.get(life)
+        ended_at_seconds = self._ended_at.get(incarnation_key)
         if ended_at_seconds is None or at_seconds <= ended_at_seconds:
             return False
-        self._live_at[life] = at_seconds
-        del self._ended_at[life]
-        for fingerprint in self._aboard.pop(life, ()):
+        self._live_at[incarnation_key] = at_seconds
+        del self._ended_at[incarnation_key]
+        for fingerprint in self._aboard.pop(incarnation_key, ()):
             suspect = self._requests[fingerprint]
-            del suspect.ends[life]
+            del suspect.ends[incarnation_key]
             if not suspect.ends and suspect.stopped_at_seconds is None:
                 del self._requests[fingerprint]
         return True
@@ -222,12 +222,16 @@
         if suspect is None:
             return False
         self._cleared_at[fingerprint] = at_seconds
-        for life in [life for life, at in suspect.ends.items() if at <= at_seconds]:
-            self._forget_end(suspect, life)
+        for incarnation_key in [
+            incarnation_key
+            for incarnation_key, at in suspect.ends.items()
+            if at <= at_seconds
+        ]:
+            self._forget_end(suspect, incarnation_key)
         stopped_at_seconds = suspect.stopped_at_seconds
         if stopped_at_seconds is not None and stopped_at_seconds <= at_seconds:
             suspect.stopped_at_seconds = None
-            suspect.told_ends_count = 0
+            suspect.reported_crashes_count = 0
         if not suspect.ends and suspect.stopped_at_seconds is None:
             self._drop(suspect)
         return True
@@ -247,7 +251,7 @@
         if suspect.stopped_at_seconds is not None:
             return False
         suspect.stopped_at_seconds = at_seconds
-        suspect.told_ends_count = ends_count
+        suspect.reported_crashes_count = ends_count
         suspect.seen_at_seconds = now_seconds
         return True
 
@@ -258,7 +262,7 @@
             suspect.refused_count += 1
             suspect.seen_at_seconds = now_seconds
 
-    def judge(self, now_seconds: float) -> list[SuspectRequest]:
+    def attribute_crashes(self, now_seconds: float) -> list[SuspectRequest]:
         """Stop whoever is to blame by now; return those stopped since the last call."""
         stopped = []
         for fingerprint in list(self._unsettled):
@@ -333,15 +337,17 @@
                 del times[key]  # type: ignore[arg-type]
 
     def _drop(self, suspect: SuspectRequest) -> None:
-        for life in list(suspect.ends):
-            self._forget_end(suspect, life)
+        for incarnation_key in list(suspect.ends):
+            self._forget_end(suspect, incarnation_key)
         del self._requests[suspect.fingerprint]
         self._unsettled.discard(suspect.fingerprint)
 
-    def _forget_end(self, suspect: SuspectRequest, life: IncarnationKey) -> None:
-        del suspect.ends[life]
-        aboard = self._aboard[life]
+    def _forget_end(
+        self, suspect: SuspectRequest, incarnation_key: IncarnationKey
+    ) -> None:
+        del suspect.ends[incarnation_key]
+        aboard = self._aboard[incarnation_key]
         aboard.discard(suspect.fingerprint)
         if not aboard:
-            del self._aboard[life]
-            del self._ended_at[life]
+            del self._aboard[incarnation_key]
+            del self._ended_at[incarnation_key]
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -88,7 +88,7 @@
         budgets: RetryBudgets,
         answers: AnswerEstimates,
         placement: Placement,
-        suspects: RequestQuarantine,
+        quarantine: RequestQuarantine,
         forecasts: Forecasts,
     ) -> None:
         self._settings = settings
@@ -99,7 +99,7 @@
         self._budgets = budgets
         self._answers = answers
         self._placement = placement
-        self._request_quarantine = suspects
+        self._request_quarantine = quarantine
         self._service_placement = LeastLoaded()
 
     def next_decision(
@@ -258,9 +258,9 @@
             item.arrival.workspace, item.expected_tokens, now_seconds
         )
         save_address = ""
-        if item.arrival.chain is not None and upstream.life is not None:
-            chain, life = item.arrival.chain, upstream.life
-            self._pool.caches.note_placed(upstream.name, life, chain, now_seconds)
+        if item.arrival.chain is not None and upstream.cache_generation is not None:
+            chain, generation = item.arrival.chain, upstream.cache_generation
+            self._pool.caches.note_placed(upstream.name, generation, chain, now_seconds)
             save_address = self._pool.caches.save_address(
                 item.arrival.service, upstream, chain, now_seconds
             )
@@ -270,8 +270,12 @@
             attempt_id=attempt_id,
             upstream=upstream.name,
             address=upstream.entry.address,
-            incarnation=upstream.life.incarnation if upstream.life else "",
-            weights_version=upstream.life.weights_version if upstream.life else 0,
+            incarnation=upstream.cache_generation.incarnation
+            if upstream.cache_generation
+            else "",
+            weights_version=upstream.cache_generation.weights_version
+            if upstream.cache_generation
+            else 0,
             choice=choice,
             import_address=source.address if source else "",
             save_address=save_address,
--- a/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
@@ -11,7 +11,7 @@
 
 #: Least part of the reckoned time that the slowest answers are taken to need, and the
 #: time constant with which a slow one is forgotten.
-LEAST_WORST_RATIO = 2.0
+MIN_WORST_RATIO = 2.0
 WORST_DECAY_SECONDS = 30.0
 
 
@@ -43,7 +43,7 @@
 
     def worst_ratio(self, now_seconds: float) -> float:
         """Return the multiple of the reckoned time that is surely enough."""
-        return max(LEAST_WORST_RATIO, self._decayed_ratio(now_seconds))
+        return max(MIN_WORST_RATIO, self._decayed_ratio(now_seconds))
 
     def _decayed_ratio(self, now_seconds: float) -> float:
         elapsed_seconds = now_seconds - self._at_seconds
--- a/packages/rampwick-policy/src/rampwick_policy/_evidence.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_evidence.py
@@ -11,7 +11,7 @@
 
 def describe_refusal(
     item: QueuedRequest,
-    suspicion: str,
+    quarantine_state: str,
     pool: Pool,
     waiting_count: int,
     saved_retries: float,
@@ -26,7 +26,7 @@
         f"{lifecycle.attempts_count} attempts, {lifecycle.runs_count} may have run; "
         f"{waiting_count} wait here; {saved_retries:.1f} retries saved; "
         f"upstreams: {_describe_upstreams(item, pool, now_seconds)}"
-        + (f"; {suspicion}" if suspicion else "")
+        + (f"; {quarantine_state}" if quarantine_state else "")
     )
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
@@ -20,7 +20,7 @@
 )
 
 #: Time after the store's return until which a missing entry may still come back.
-LAPSE_SECONDS = 1.8
+ENTRY_GRACE_SECONDS = 1.8
 
 
 @attrs.define(repr=False)
@@ -30,14 +30,14 @@
     _entries: dict[str, HostEntry] = attrs.field(factory=dict)
     _lapsed: dict[str, HostEntry] = attrs.field(factory=dict)
     _version: int = 0
-    _returned_at_seconds: float | None = None
+    _store_returned_at_seconds: float | None = None
 
     @property
     def grace_end_seconds(self) -> float | None:
         """When the entries that are still missing count as gone, if there are any."""
-        if not self._lapsed or self._returned_at_seconds is None:
+        if not self._lapsed or self._store_returned_at_seconds is None:
             return None
-        return self._returned_at_seconds + LAPSE_SECONDS
+        return self._store_returned_at_seconds + ENTRY_GRACE_SECONDS
 
     def take(
         self,
@@ -52,9 +52,9 @@
         ``newest`` is the newest list that this host knows, whoever has read it.
         """
         if is_after_failure or self._is_restored(version, newest):
-            self._returned_at_seconds = now_seconds
+            self._store_returned_at_seconds = now_seconds
         listed = {entry.name: entry for entry in entries}
-        if self._is_returning(now_seconds):
+        if self._is_in_grace_period(now_seconds):
             known = self._known_before(newest)
             # Where another upstream is now, the one before is gone: it may have
             # started again under another name.
@@ -90,17 +90,17 @@
         Two versions belong to each version of the store: with the lapsed entries,
         and without them.
         """
-        if not self._is_returning(now_seconds):
+        if not self._is_in_grace_period(now_seconds):
             self._lapsed = {}
         hosts = [*self._entries.values(), *self._lapsed.values()]
         stage = 0 if self._lapsed else 1
         return HostList(version=list_version(self._version, stage), hosts=hosts)
 
-    def _is_returning(self, now_seconds: float) -> bool:
-        returned_at_seconds = self._returned_at_seconds
+    def _is_in_grace_period(self, now_seconds: float) -> bool:
+        returned_at_seconds = self._store_returned_at_seconds
         return (
             returned_at_seconds is not None
-            and now_seconds < returned_at_seconds + LAPSE_SECONDS
+            and now_seconds < returned_at_seconds + ENTRY_GRACE_SECONDS
         )
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
@@ -13,7 +13,7 @@
 from ._upstream import Upstream
 
 #: Age of a copy up to which what it lists is compared with what is known.
-KEPT_SECONDS = 120.0
+RETENTION_SECONDS = 120.0
 
 
 @attrs.frozen(repr=False)
@@ -21,8 +21,8 @@
     """An upstream as it was when its entry went."""
 
     incarnation: Incarnation
-    was_leaving: bool
-    gone_at_seconds: float
+    was_draining: bool
+    removed_at_seconds: float
 
 
 class FormerEntries:
@@ -34,16 +34,16 @@
     def get(self, name: str, now_seconds: float) -> FormerEntry | None:
         """Return the upstream of this name, if it went of late."""
         entry = self._entries.get(name)
-        is_kept = entry is not None and _is_kept(entry, now_seconds)
+        is_kept = entry is not None and _is_retained(entry, now_seconds)
         return entry if is_kept else None
 
-    def note_gone(
-        self, upstream: Upstream, was_leaving: bool, now_seconds: float
+    def note_removed(
+        self, upstream: Upstream, was_draining: bool, now_seconds: float
     ) -> None:
         """Note that an upstream's entry went."""
         incarnation = Incarnation(upstream.name, upstream.incarnation)
         self._entries[upstream.name] = FormerEntry(
-            incarnation, was_leaving, now_seconds
+            incarnation, was_draining, now_seconds
         )
 
     def forget(self, listed: Iterable[str], now_seconds: float) -> None:
@@ -53,9 +53,9 @@
         self._entries = {
             name: entry
             for name, entry in self._entries.items()
-            if _is_kept(entry, now_seconds)
+            if _is_retained(entry, now_seconds)
         }
 
 
-def _is_kept(entry: FormerEntry, now_seconds: float) -> bool:
-    return now_seconds < entry.gone_at_seconds + KEPT_SECONDS
+def _is_retained(entry: FormerEntry, now_seconds: float) -> bool:
+    return now_seconds < entry.removed_at_seconds + RETENTION_SECONDS
--- a/packages/rampwick-policy/src/rampwick_policy/_health.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_health.py
@@ -59,7 +59,7 @@
         self.since_seconds = now_seconds
         self.last_error = error
 
-    def note_probe(self, is_same_life: bool, now_seconds: float) -> None:
+    def note_probe(self, is_same_generation: bool, now_seconds: float) -> None:
         """Let the upstream back in if an answered probe comes after the pause.
 
         A life that went on had only a broken connection, and its cache is warm: it
@@ -70,7 +70,7 @@
             return
         if now_seconds - self.since_seconds < self.pause_seconds:
             return
-        self.state = HealthState.UP if is_same_life else HealthState.RAMPING
+        self.state = HealthState.UP if is_same_generation else HealthState.RAMPING
         self.since_seconds = now_seconds
 
     def admit_ratio(self, now_seconds: float) -> float:
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -43,7 +43,7 @@
         admission: Admission,
         limits: LimitBook,
         answers: AnswerEstimates,
-        suspects: RequestQuarantine,
+        quarantine: RequestQuarantine,
         forecasts: Forecasts,
     ) -> None:
         self._settings = settings
@@ -51,7 +51,7 @@
         self._admission = admission
         self._limits = limits
         self._answers = answers
-        self._request_quarantine = suspects
+        self._request_quarantine = quarantine
         self._forecasts = forecasts
 
     def new_item(self, event: ev.RequestArrived, now_seconds: float) -> QueuedRequest:
@@ -79,7 +79,7 @@
         What is over a limit waits nowhere: those within theirs would wait behind it.
         """
         event = item.arrival
-        if self._request_quarantine.suspicion(item) is QuarantineState.STOPPED:
+        if self._request_quarantine.quarantine_state(item) is QuarantineState.STOPPED:
             self._request_quarantine.note_refused(item, now_seconds)
             return Rejection(ENDS_UPSTREAMS)
         postponed = self._forecasts.postpone_on_arrival(item, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_kv_store_contents.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_kv_store_contents.py
@@ -5,33 +5,33 @@
 from rampwick_schema import Shown
 
 from ._prefix import PrefixChain, held_tokens
-from ._prefix_cache_index import CacheChanges, Life, generation_label
+from ._prefix_cache_index import CacheChanges, CacheGeneration, generation_label
 
 #: Time for which a prefix saved to a store is taken to be there.
-SAVED_SECONDS = 15.0
+SAVED_ENTRY_SECONDS = 15.0
 
 #: Stands for a store's incarnation, which hosts don't know.
-KEPT_INCARNATION = "kept"
+KV_STORE_INCARNATION = "kept"
 
 #: Prefixes remembered as saved, for each store.
-SAVED_COUNT = 20_000
+MAX_STORE_ENTRIES_COUNT = 20_000
 
 
 @attrs.frozen(repr=False)
-class KeptEntry(Shown):
+class KvStoreEntry(Shown):
     """One prefix that a store is believed to hold."""
 
     tokens: int
     noted_at_seconds: float
     #: Whether the store itself told of it, rather than a host that had it saved.
-    is_told: bool
+    is_reported_by_store: bool
 
 
 class KvStoreContents:
     """What this host believes one store holds, by weights version."""
 
     def __init__(self) -> None:
-        self._entries: dict[tuple[int, bytes], KeptEntry] = {}
+        self._entries: dict[tuple[int, bytes], KvStoreEntry] = {}
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -46,7 +46,7 @@
         if entry is None:
             return 0
         age_seconds = now_seconds - entry.noted_at_seconds
-        if not entry.is_told and age_seconds >= SAVED_SECONDS:
+        if not entry.is_reported_by_store and age_seconds >= SAVED_ENTRY_SECONDS:
             return 0
         return entry.tokens
 
@@ -63,15 +63,15 @@
     ) -> None:
         """Note that a prefix is being saved."""
         known = self._entries.get((version, prefix))
-        if known is None or not known.is_told:
-            self._put(version, prefix, KeptEntry(tokens, now_seconds, False))
+        if known is None or not known.is_reported_by_store:
+            self._put(version, prefix, KvStoreEntry(tokens, now_seconds, False))
 
     def note_change(
         self, version: int, prefix: bytes, tokens: int, now_seconds: float
     ) -> None:
         """Take a change that the store told."""
         if tokens > 0:
-            self._put(version, prefix, KeptEntry(tokens, now_seconds, True))
+            self._put(version, prefix, KvStoreEntry(tokens, now_seconds, True))
         else:
             self._entries.pop((version, prefix), None)
 
@@ -79,7 +79,7 @@
         """Return what the store itself told that it holds, by weights version."""
         told: dict[int, dict[bytes, int]] = {}
         for (version, prefix), entry in self._entries.items():
-            if entry.is_told:
+            if entry.is_reported_by_store:
                 told.setdefault(version, {})[prefix] = entry.tokens
         return [
             CacheChanges(
@@ -94,21 +94,21 @@
         """Forget everything, as after the store came back empty."""
         self._entries.clear()
 
-    def _put(self, version: int, prefix: bytes, entry: KeptEntry) -> None:
+    def _put(self, version: int, prefix: bytes, entry: KvStoreEntry) -> None:
         self._entries.pop((version, prefix), None)
         self._entries[version, prefix] = entry
-        while len(self._entries) > SAVED_COUNT:
+        while len(self._entries) > MAX_STORE_ENTRIES_COUNT:
             del self._entries[next(iter(self._entries))]
 
 
-def store_generation(weights_version: int) -> Life:
+def store_generation(weights_version: int) -> CacheGeneration:
     """Return the life by which hosts tell each other what a store holds."""
-    return Life(KEPT_INCARNATION, weights_version)
+    return CacheGeneration(KV_STORE_INCARNATION, weights_version)
 
 
-def kept_version(label: str) -> int | None:
+def store_weights_version(label: str) -> int | None:
     """Return the weights version of a store's life; none for a runner's."""
     incarnation, _, version = label.rpartition("/")
-    if incarnation != KEPT_INCARNATION or not version.isdigit():
+    if incarnation != KV_STORE_INCARNATION or not version.isdigit():
         return None
     return int(version)
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -22,13 +22,13 @@
         queue: WaitingQueue,
         admission: Admission,
         refusals: Refusals,
-        suspects: RequestQuarantine,
+        quarantine: RequestQuarantine,
     ) -> None:
         self._pool = pool
         self._queue = queue
         self._admission = admission
         self._refusals = refusals
-        self._request_quarantine = suspects
+        self._request_quarantine = quarantine
         self._items: dict[str, QueuedRequest] = {}
 
     def __len__(self) -> int:
--- a/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
@@ -69,7 +69,7 @@
     return [
         UpstreamUsage(
             upstream=upstream.name,
-            incarnation=upstream.life_name,
+            incarnation=upstream.generation_name,
             running_count=len(upstream.own_attempts),
             waiting_tokens=upstream.own_waiting_tokens,
         )
--- a/packages/rampwick-policy/src/rampwick_policy/_placement.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement.py
@@ -19,7 +19,7 @@
 #: What being one rank further from the computed home costs, as a share of the time
 #: that computing the whole prompt takes. It decides where a prefix goes that nobody
 #: is known to hold, and breaks ties so that hosts don't herd.
-HOME_RANK_RATIO = 0.25
+AFFINITY_RANK_RATIO = 0.25
 
 
 @attrs.frozen(repr=False)
@@ -95,7 +95,7 @@
     return next(runner for runner in runners if runner.name == choice.upstream)
 
 
-class KnowsCaches(Protocol):
+class CacheLookup(Protocol):
     """What can say how much of a prompt a runner holds."""
 
     def cached_tokens(self, upstream: str, chain: PrefixChain) -> int:
@@ -126,7 +126,7 @@
     time from them and evicts what they need.
     """
 
-    def __init__(self, cache_index: KnowsCaches, import_price: float = 0.0) -> None:
+    def __init__(self, cache_index: CacheLookup, import_price: float = 0.0) -> None:
         self._prefix_cache_index = cache_index
         self._import_price = import_price
 
@@ -144,13 +144,13 @@
         )
         by_name = {runner.name: runner for runner in runners}
         choices = [
-            self._weigh(chain, by_name[name], miss_price, rank, sources)
+            self._score(chain, by_name[name], miss_price, rank, sources)
             for rank, name in enumerate(ranks)
         ]
         best = min(choices, key=lambda choice: choice.score_seconds)
         return attrs.evolve(best, considered=tuple(choices))
 
-    def _weigh(
+    def _score(
         self,
         chain: PrefixChain,
         runner: RunnerView,
@@ -169,7 +169,7 @@
         missing_seconds = runner.prefill_seconds(chain.total_tokens - cached - imported)
         import_seconds = runner.prefill_seconds(imported) * self._import_price
         import_wait_seconds = source.seconds(cached, runner.hall) if source else 0.0
-        home_seconds = rank * HOME_RANK_RATIO * (missing_seconds + import_seconds)
+        home_seconds = rank * AFFINITY_RANK_RATIO * (missing_seconds + import_seconds)
         score = (
             miss_price * (missing_seconds + import_seconds)
             + home_seconds
@@ -215,7 +215,7 @@
         sources: Sequence[ImportSource] = (),
     ) -> Choice:
         """Return the runner with the least running work."""
-        runner = min(runners, key=_fill_once_sent)
+        runner = min(runners, key=_load_after_dispatch)
         return _choice(chain, runner, 0, runner.queue_seconds)
 
 
@@ -235,21 +235,21 @@
     ) -> Choice:
         """Return the first runner by rank whose load is within bounds."""
         by_name = {runner.name: runner for runner in runners}
-        mean = sum(_fill(runner) for runner in runners) / len(runners)
+        mean = sum(_load(runner) for runner in runners) / len(runners)
         ranked = [
             by_name[name] for name in _rendezvous.rank(chain.affinity_key, by_name)
         ]
         for runner in ranked:
-            if _fill(runner) <= self._load_factor * mean + 1 / runner.slots_count:
+            if _load(runner) <= self._load_factor * mean + 1 / runner.slots_count:
                 return _choice(chain, runner, 0, runner.queue_seconds)
         return _choice(chain, ranked[0], 0, ranked[0].queue_seconds)
 
 
-def _fill(runner: RunnerView) -> float:
+def _load(runner: RunnerView) -> float:
     return runner.running_count / runner.slots_count
 
 
-def _fill_once_sent(runner: RunnerView) -> float:
+def _load_after_dispatch(runner: RunnerView) -> float:
     opened_count = 1 if runner.connect_seconds else 0
     return (runner.running_count + opened_count) / runner.slots_count
 
--- a/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
@@ -13,16 +13,16 @@
 from rampwick_schema import PlacedPrefix, Shown
 
 from ._prefix import Checkpoint, PrefixChain
-from ._prefix_cache_index import Life, generation_label
+from ._prefix_cache_index import CacheGeneration, generation_label
 
 #: Prefixes remembered to tell a second use from a first.
-SEEN_COUNT = 50_000
+MAX_TRACKED_PREFIXES = 50_000
 
 #: A prefix in steady use at a runner is told again after this time.
 REFRESH_SECONDS = 5.0
 
 #: Prefixes told in one summary, at about eleven bytes each.
-MAX_TOLD = 512
+MAX_PREFIXES_PER_SUMMARY = 512
 
 
 @attrs.define(repr=False)
@@ -35,10 +35,14 @@
     _pending_count: int = 0
 
     def note(
-        self, upstream: str, life: Life, chain: PrefixChain, now_seconds: float
+        self,
+        upstream: str,
+        generation: CacheGeneration,
+        chain: PrefixChain,
+        now_seconds: float,
     ) -> None:
         """Note that a prompt was placed; its shared prefixes become pending."""
-        key = (upstream, generation_label(life))
+        key = (upstream, generation_label(generation))
         previous = 0
         for checkpoint in chain.levels or self._seen_before(chain):
             extent = checkpoint.tokens - previous
@@ -67,7 +71,7 @@
         was_seen = prefix in self._seen
         self._seen[prefix] = None
         self._seen.move_to_end(prefix)
-        if len(self._seen) > SEEN_COUNT:
+        if len(self._seen) > MAX_TRACKED_PREFIXES:
             self._seen.popitem(last=False)
         return was_seen
 
@@ -77,11 +81,11 @@
         told_key = (key[0] + key[1], prefix)
         told_at = self._told_at.get(told_key)
         is_fresh = told_at is not None and now_seconds - told_at < REFRESH_SECONDS
-        if is_fresh or self._pending_count >= MAX_TOLD:
+        if is_fresh or self._pending_count >= MAX_PREFIXES_PER_SUMMARY:
             return
         self._told_at[told_key] = now_seconds
         self._told_at.move_to_end(told_key)
-        if len(self._told_at) > SEEN_COUNT:
+        if len(self._told_at) > MAX_TRACKED_PREFIXES:
             self._told_at.popitem(last=False)
         self._pending.setdefault(key, {})[prefix] = extent
         self._pending_count += 1
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -14,11 +14,11 @@
 )
 
 from . import _events as ev
-from ._cache_tracker import CacheBook
+from ._cache_tracker import CacheTracker
 from ._limit_book import LimitBook
 from ._membership import Membership
 from ._notices import NoticeBook
-from ._prefix_cache_index import Life
+from ._prefix_cache_index import CacheGeneration
 from ._request import Outcome
 from ._request_rates import RateObservation, RequestRates
 from ._request_turns import RequestTurns, Standpoint
@@ -29,8 +29,8 @@
 #: Upstreams of a hall that must fall silent for this host, and within which time, for
 #: the rest of them to be asked how they are before they are sent anything. One may be
 #: ill by itself; the time is that in which a host notices a silence twice.
-HALL_SILENT_COUNT = 2
-HALL_SILENCE_SECONDS = 1.5
+HALL_OUTAGE_COUNT = 2
+HALL_OUTAGE_SECONDS = 1.5
 
 #: Part of the upstreams beyond which a word that they are down is neither told nor
 #: taken: who found them so is more likely cut off itself, or many found one each.
@@ -79,7 +79,7 @@
             Standpoint(settings.host.name, settings.host.hall),
             self.limits.part_ratio,
         )
-        self.caches = CacheBook(
+        self.caches = CacheTracker(
             settings.placement.known_prefixes_count, self.upstreams, self.peers
         )
         self.cache_index = self.caches.cache_index
@@ -94,7 +94,7 @@
             ev.WeightsSeen: self._on_weights,
             ev.LoadOrdered: self._on_load,
             ev.TargetsRead: self._on_targets,
-            ev.CacheSeen: self.caches.hear,
+            ev.CacheSeen: self.caches.apply_changes,
             ev.RateNamed: self._on_rate,
             ev.RateLimitUpdateReceived: self._on_rate_limits_received,
             ev.UpstreamSignalled: self._on_signalled,
@@ -102,7 +102,7 @@
             ev.NeighboursSeen: self._on_neighbours,
         }
 
-    def hear(self, event: PoolEvent, now_seconds: float) -> None:
+    def handle(self, event: PoolEvent, now_seconds: float) -> None:
         """Take an event."""
         self._handlers[type(event)](event, now_seconds)
 
@@ -124,10 +124,10 @@
         if event.outcome.is_ill_health:
             self._take_down(upstream, event.message, now_seconds)
             if not event.was_closed:
-                self._weigh_hall(upstream, now_seconds)
+                self._check_hall_outage(upstream, now_seconds)
         elif event.outcome in (Outcome.STALE, Outcome.MISDIRECTED):
             # The next probe says which life it is now.
-            upstream.life = None
+            upstream.cache_generation = None
             self._notice(upstream, event.message, now_seconds)
         elif event.outcome is Outcome.BUSY:
             self._pause(failed, event.retry_after_seconds, event.message, now_seconds)
@@ -137,9 +137,9 @@
         self.suspect(name, now_seconds)
         upstream = self.upstreams.get(name)
         if upstream is not None:
-            self._weigh_hall(upstream, now_seconds)
+            self._check_hall_outage(upstream, now_seconds)
 
-    def _weigh_hall(self, upstream: Upstream, now_seconds: float) -> None:
+    def _check_hall_outage(self, upstream: Upstream, now_seconds: float) -> None:
         """Suspect all upstreams of a hall of which two have just fallen silent.
 
         A hall that is cut off takes all of them along. Found out one by one, each cost
@@ -147,12 +147,14 @@
         """
         hall = upstream.entry.hall
         mates = [item for item in self.upstreams if item.entry.hall == hall]
-        if any(item.is_heard(now_seconds) for item in mates):
+        if any(item.has_answered_recently(now_seconds) for item in mates):
             return
-        upstream.silent_at_seconds = now_seconds
-        oldest_seconds = now_seconds - HALL_SILENCE_SECONDS
-        silent = [item for item in mates if item.silent_at_seconds > oldest_seconds]
-        if len(silent) < HALL_SILENT_COUNT:
+        upstream.unresponsive_at_seconds = now_seconds
+        oldest_seconds = now_seconds - HALL_OUTAGE_SECONDS
+        silent = [
+            item for item in mates if item.unresponsive_at_seconds > oldest_seconds
+        ]
+        if len(silent) < HALL_OUTAGE_COUNT:
             return
         for item in mates:
             if item not in silent and self.upstreams.suspect(item, now_seconds):
@@ -174,7 +176,7 @@
         ineligible_reason = self.upstreams.ineligible_reason(upstream, now_seconds)
         return (
             ineligible_reason
-            if ineligible_reason and ineligible_reason.is_own_request
+            if ineligible_reason and ineligible_reason.is_requested_by_upstream
             else None
         )
 
@@ -217,18 +219,18 @@
         upstream.health.note_failure(error, now_seconds)
         # Nothing is known of the engine until it reports a life again; if it is
         # the old one, what it holds is still good.
-        upstream.life = None
+        upstream.cache_generation = None
         self._notice(upstream, error, now_seconds)
 
     def _on_report(self, event: ev.LoadReported, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
         if upstream is None:
             return
-        is_same_life = True
+        is_same_generation = True
         if event.report is not None:
-            is_same_life = not self.upstreams.note_report(upstream, event.report)
+            is_same_generation = not self.upstreams.note_report(upstream, event.report)
             self.caches.observe(upstream, event.report.cache_tokens)
-        upstream.health.note_probe(is_same_life, now_seconds)
+        upstream.health.note_probe(is_same_generation, now_seconds)
         self.upstreams.clear(upstream, now_seconds)
         self._notice(upstream, "it answered a probe", now_seconds)
 
@@ -254,12 +256,12 @@
         upstream = self.upstreams.get(event.upstream)
         if upstream is None:
             return
-        life = Life(event.incarnation, event.weights_version)
+        generation = CacheGeneration(event.incarnation, event.weights_version)
         known = upstream.last_generation
         if known is not None and known.incarnation != event.incarnation:
             # Another life is for the list or a probe to tell.
             return
-        if self.upstreams.note_life(upstream, life, event.is_own_report):
+        if self.upstreams.note_generation(upstream, generation, event.is_own_report):
             self.caches.observe(upstream)
             self._notice(upstream, "its weights were seen", now_seconds)
 
@@ -308,7 +310,7 @@
         incarnation = event.incarnation or (upstream.incarnation if upstream else "")
         if event.is_leaving:
             leaving = Incarnation(event.upstream, incarnation)
-            self.upstreams.note_departure(leaving, now_seconds)
+            self.upstreams.note_shutdown(leaving, now_seconds)
             if upstream is not None:
                 self._notice(upstream, event.source, now_seconds)
         if event.pause_seconds is not None:
@@ -318,7 +320,7 @@
     def _on_leaving_received(
         self, event: ev.LeavingUpdateReceived, now_seconds: float
     ) -> None:
-        received = self.upstreams.receive_departures(event.update, now_seconds)
+        received = self.upstreams.receive_shutdowns(event.update, now_seconds)
         for incarnation in received:
             upstream = self.upstreams.get(incarnation.upstream)
             if upstream is not None:
@@ -365,12 +367,12 @@
             self.notices.note("peer", event.name, "heard", "its summary came")
             self.ledger.hear(event.name, event.summary.workspaces, now_seconds)
             self.limits.hear(event.name, event.summary, event.age_seconds, now_seconds)
-            self._hear_down(event.summary.down, now_seconds)
+            self._on_down_reports(event.summary.down, now_seconds)
             for placed in event.summary.placed:
                 if not self.imports.note_reported(placed, now_seconds):
                     self.cache_index.note_reported(placed)
 
-    def _hear_down(self, names: Sequence[str], now_seconds: float) -> None:
+    def _on_down_reports(self, names: Sequence[str], now_seconds: float) -> None:
         """Suspect what a peer has found down.
 
         A relay puts together what each of its hosts found: were all of that taken, one
@@ -381,7 +383,7 @@
         for name in names:
             # Each host asks for itself: it may reach what the peer does not.
             upstream = self.upstreams.get(name)
-            if upstream is not None and not upstream.is_heard(now_seconds):
+            if upstream is not None and not upstream.has_answered_recently(now_seconds):
                 self.suspect(name, now_seconds)
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix.py
@@ -58,7 +58,7 @@
     checkpoints: tuple[Checkpoint, ...]
     total_tokens: int
     #: Key that related prompts share where it is known; empty takes the first blocks.
-    named_home: bytes = b""
+    explicit_affinity_key: bytes = b""
     #: Whether the checkpoints are named parts, each with a key of its own.
     has_parts: bool = False
 
@@ -70,8 +70,8 @@
     @property
     def affinity_key(self) -> bytes:
         """Key that related prompts share: the hash of the first blocks."""
-        if self.named_home or not self.checkpoints:
-            return self.named_home
+        if self.explicit_affinity_key or not self.checkpoints:
+            return self.explicit_affinity_key
         return self.checkpoints[min(3, len(self.checkpoints) - 1)].prefix
 
 
@@ -119,7 +119,7 @@
     return PrefixChain(
         checkpoints=tuple(checkpoints),
         total_tokens=max(1, tokens),
-        named_home=shared[-1].prefix if shared else b"",
+        explicit_affinity_key=shared[-1].prefix if shared else b"",
         has_parts=True,
     )
 
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
@@ -16,16 +16,16 @@
 
 
 @attrs.frozen(repr=False)
-class Life(Shown):
+class CacheGeneration(Shown):
     """One life of a runner's cache; another life shares no entry with it."""
 
     incarnation: str
     weights_version: int
 
 
-def generation_label(life: Life) -> str:
+def generation_label(generation: CacheGeneration) -> str:
     """Return the text by which peers name a life to each other."""
-    return f"{life.incarnation}/{life.weights_version}"
+    return f"{generation.incarnation}/{generation.weights_version}"
 
 
 @attrs.frozen(repr=False)
@@ -43,7 +43,7 @@
 class RunnerCache(Shown):
     """Estimate of one runner's cache in its present life."""
 
-    life: Life
+    generation: CacheGeneration
     capacity_tokens: int
     _tokens: OrderedDict[bytes, int] = attrs.field(factory=OrderedDict)
     _held_tokens: int = 0
@@ -88,7 +88,7 @@
         """Return all entries, those used last at the end."""
         if not self._tokens:
             return []
-        label = generation_label(self.life)
+        label = generation_label(self.generation)
         return [CacheChanges(label, tuple(self._tokens), tuple(self._tokens.values()))]
 
     def forget_beyond(self, chain: PrefixChain, tokens: int) -> None:
@@ -121,17 +121,17 @@
         self._caches: dict[str, RunnerCache] = {}
 
     def observe_generation(
-        self, upstream: str, life: Life, capacity_tokens: int
+        self, upstream: str, generation: CacheGeneration, capacity_tokens: int
     ) -> bool:
         """Note the life that a runner itself reports; return whether it is new.
 
         Everything known of an earlier life is dropped at once.
         """
         cache = self._caches.get(upstream)
-        if cache is not None and cache.life == life:
+        if cache is not None and cache.generation == generation:
             cache.capacity_tokens = capacity_tokens or cache.capacity_tokens
             return False
-        self._caches[upstream] = RunnerCache(life, capacity_tokens)
+        self._caches[upstream] = RunnerCache(generation, capacity_tokens)
         return True
 
     def forget(self, upstream: str) -> None:
@@ -148,30 +148,39 @@
         cache = self._caches.get(upstream)
         return cache.contents() if cache else []
 
-    def life_of(self, upstream: str) -> Life | None:
+    def generation_of(self, upstream: str) -> CacheGeneration | None:
         """Return the newest life known of a runner."""
         cache = self._caches.get(upstream)
-        return cache.life if cache else None
+        return cache.generation if cache else None
 
-    def note_prompt(self, upstream: str, life: Life, chain: PrefixChain) -> None:
+    def note_prompt(
+        self, upstream: str, generation: CacheGeneration, chain: PrefixChain
+    ) -> None:
         """Note that a runner in ``life`` computed or used the whole prompt."""
-        cache = self._current(upstream, life)
+        cache = self._current(upstream, generation)
         if cache is not None:
             cache.insert(chain.checkpoints)
             self._bound(cache)
 
     def correct(
-        self, upstream: str, life: Life, chain: PrefixChain, tokens: int
+        self,
+        upstream: str,
+        generation: CacheGeneration,
+        chain: PrefixChain,
+        tokens: int,
     ) -> None:
         """Drop what an answer's cached tokens show not to have been held."""
-        cache = self._current(upstream, life)
+        cache = self._current(upstream, generation)
         if cache is not None:
             cache.forget_beyond(chain, tokens)
 
     def note_reported(self, placed: PlacedPrefix) -> None:
         """Take prefixes that a peer placed; those of another life are dropped."""
         cache = self._caches.get(placed.upstream)
-        if cache is not None and generation_label(cache.life) == placed.incarnation:
+        if (
+            cache is not None
+            and generation_label(cache.generation) == placed.incarnation
+        ):
             cache.touch(placed.prefixes, placed.extents_tokens)
             self._bound(cache)
 
@@ -184,7 +193,7 @@
     ) -> None:
         """Take changes that an engine told; those of another life are dropped."""
         cache = self._caches.get(upstream)
-        if cache is None or generation_label(cache.life) != label:
+        if cache is None or generation_label(cache.generation) != label:
             return
         for prefix, kept in zip(prefixes, tokens, strict=False):
             cache.note_change(prefix, kept)
@@ -194,9 +203,11 @@
         """Return the number of entries over all runners."""
         return sum(len(cache) for cache in self._caches.values())
 
-    def _current(self, upstream: str, life: Life) -> RunnerCache | None:
+    def _current(
+        self, upstream: str, generation: CacheGeneration
+    ) -> RunnerCache | None:
         cache = self._caches.get(upstream)
-        return cache if cache is not None and cache.life == life else None
+        return cache if cache is not None and cache.generation == generation else None
 
     def _bound(self, cache: RunnerCache) -> None:
         cache.limit_entries(max(1, self._max_entries_count // len(self._caches)))
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -41,14 +41,14 @@
         queue: WaitingQueue,
         admission: Admission,
         budgets: RetryBudgets,
-        suspects: RequestQuarantine,
+        quarantine: RequestQuarantine,
     ) -> None:
         self._settings = settings
         self._pool = pool
         self._queue = queue
         self._admission = admission
         self._budgets = budgets
-        self._request_quarantine = suspects
+        self._request_quarantine = quarantine
 
     def find_reason(self, item: QueuedRequest, now_seconds: float) -> str:
         """Return why a request without answer is to be given up now, or nothing."""
--- a/packages/rampwick-policy/src/rampwick_policy/_rendezvous.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_rendezvous.py
@@ -13,14 +13,14 @@
 
     When a name leaves, only the keys that preferred it move.
     """
-    return sorted(names, key=lambda name: _draw(key, name), reverse=True)
+    return sorted(names, key=lambda name: _weight(key, name), reverse=True)
 
 
 #: Draws remembered: some hundred hot prefixes at some hundred upstreams each.
-_DRAWS_COUNT = 65_536
+_CACHED_WEIGHTS_COUNT = 65_536
 
 
-@functools.lru_cache(maxsize=_DRAWS_COUNT)
-def _draw(key: bytes, name: str) -> float:
+@functools.lru_cache(maxsize=_CACHED_WEIGHTS_COUNT)
+def _weight(key: bytes, name: str) -> float:
     digest = hashlib.blake2b(name.encode(), key=key[:64], digest_size=8).digest()
     return (int.from_bytes(digest, "big") + 0.5) / _HASH_SPAN
--- a/packages/rampwick-policy/src/rampwick_policy/_room.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_room.py
@@ -106,7 +106,7 @@
             )
             for upstream in self._upstreams
             if serves(upstream, service, model)
-            and self._upstreams.is_open(upstream, self._now_seconds)
+            and self._upstreams.is_eligible(upstream, self._now_seconds)
             # An upstream in need names one number for all hosts: unread, or kept to by
             # each host alone, it gets several times what it takes.
             and self._turns.may_send(upstream, self._now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -63,7 +63,7 @@
         self.admission = Admission(self.queue, self.ledger, self.peers)
         self.budgets = RetryBudgets(settings.retry)
         self._answers = AnswerEstimates()
-        self.suspects = RequestQuarantine(self.pool.notices)
+        self.quarantine = RequestQuarantine(self.pool.notices)
         self._forecasts = Forecasts(self.pool.upstreams, self.pool.turns, self.queue)
         self._dispatcher = Dispatcher(
             settings.placement,
@@ -74,7 +74,7 @@
             self._answers,
             placement
             or CacheAwarePlacement(self.cache_index, settings.placement.import_price),
-            self.suspects,
+            self.quarantine,
             self._forecasts,
         )
         self._intake = Intake(
@@ -83,7 +83,7 @@
             self.admission,
             self.limits,
             self._answers,
-            self.suspects,
+            self.quarantine,
             self._forecasts,
         )
         self._refusals = Refusals(
@@ -92,10 +92,10 @@
             self.queue,
             self.admission,
             self.budgets,
-            self.suspects,
+            self.quarantine,
         )
         self._requests = OpenRequests(
-            self.pool, self.queue, self.admission, self._refusals, self.suspects
+            self.pool, self.queue, self.admission, self._refusals, self.quarantine
         )
         self._handlers: dict[type, Callable[[Any, float], list[ev.Action]]] = {
             ev.RequestArrived: self._on_arrived,
@@ -127,7 +127,7 @@
     def handle(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
         """Take one event; return what is to be done, in order."""
         actions = self._handlers[type(event)](event, now_seconds)
-        if self.suspects.judge(now_seconds):
+        if self.quarantine.attribute_crashes(now_seconds):
             actions += self._stop_suspects(now_seconds)
         self.admission.note_queue(now_seconds)
         actions += self._fill(event, now_seconds)
@@ -160,7 +160,7 @@
 
     def running_count(self, upstream: Upstream) -> int:
         """Return the attempts open at an upstream, those of peers included."""
-        load = self.peers.load_of(upstream.name, upstream.life_name)
+        load = self.peers.load_of(upstream.name, upstream.generation_name)
         return len(upstream.own_attempts) + load.running_count
 
     def lifecycle(self, request_id: str) -> RequestLifecycle | None:
@@ -219,7 +219,7 @@
     ) -> list[ev.Action]:
         item = self._requests.get(event.request_id)
         if item is not None and item.lifecycle.accept(event.attempt_id):
-            self.suspects.note_live(
+            self.quarantine.note_live(
                 item.upstream, item.incarnation, item.sent_at_seconds
             )
         return []
@@ -244,8 +244,8 @@
             return []
         peer = item.upstream
         item.tried.add(peer)
-        if event.was_closed and self.upstreams.has_ended(peer, now_seconds):
-            self.suspects.note_crash(item, now_seconds)
+        if event.was_closed and self.upstreams.has_crashed(peer, now_seconds):
+            self.quarantine.note_crash(item, now_seconds)
         actions = self._requests.cancel(item, event)
         self._requests.release(item, event.attempt_id, now_seconds)
         failed = Incarnation(peer, item.incarnation)
@@ -266,7 +266,7 @@
             return []
         upstream = self.upstreams.get(item.upstream)
         self._requests.release(item, event.attempt_id, now_seconds)
-        self.suspects.note_answered(item, now_seconds)
+        self.quarantine.note_answered(item, now_seconds)
         if upstream is not None and event.connection_rest_seconds > 0.0:
             upstream.note_idle_connection(now_seconds + event.connection_rest_seconds)
         self._requests.remove(item)
@@ -278,8 +278,10 @@
             item, missing + ANSWER_TOKEN_PRICE * event.answer_tokens, now_seconds
         )
         self._answers.learn(item.workspace_path, event.answer_tokens)
-        if upstream is not None and upstream.life is not None:
-            self.pool.caches.note_answer(upstream.name, upstream.life, chain, event)
+        if upstream is not None and upstream.cache_generation is not None:
+            self.pool.caches.note_answer(
+                upstream.name, upstream.cache_generation, chain, event
+            )
         return []
 
     def _on_cancelled(
@@ -302,7 +304,7 @@
         self, event: ev.ProbeFailed, now_seconds: float
     ) -> list[ev.Action]:
         """Take an upstream down, and what may be repeated away from it."""
-        self.pool.hear(event, now_seconds)
+        self.pool.handle(event, now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
             if item.upstream == event.upstream and item.lifecycle.is_repeatable:
@@ -318,16 +320,16 @@
     # Reports of others, and time.
 
     def _on_pool_event(self, event: PoolEvent, now_seconds: float) -> list[ev.Action]:
-        self.pool.hear(event, now_seconds)
+        self.pool.handle(event, now_seconds)
         return []
 
     def _on_reported(
         self, event: ev.LoadReported, now_seconds: float
     ) -> list[ev.Action]:
-        self.pool.hear(event, now_seconds)
+        self.pool.handle(event, now_seconds)
         upstream = self.upstreams.get(event.upstream)
         if upstream is not None:
-            self.suspects.note_live(
+            self.quarantine.note_live(
                 upstream.name, upstream.incarnation, upstream.probed_at_seconds
             )
         return []
@@ -337,7 +339,7 @@
     def _on_crashes_received(
         self, event: ev.CrashUpdateReceived, now_seconds: float
     ) -> list[ev.Action]:
-        if self.suspects.hear(event.update, now_seconds):
+        if self.quarantine.receive(event.update, now_seconds):
             return self._stop_suspects(now_seconds)
         return []
 
@@ -345,8 +347,8 @@
         """Refuse what is stopped, be it waiting or under way."""
         actions: list[ev.Action] = []
         for item in self._requests:
-            if self.suspects.suspicion(item) is QuarantineState.STOPPED:
-                self.suspects.note_refused(item, now_seconds)
+            if self.quarantine.quarantine_state(item) is QuarantineState.STOPPED:
+                self.quarantine.note_refused(item, now_seconds)
                 actions += self._requests.give_up(item, ENDS_UPSTREAMS, now_seconds)
         return actions
 
@@ -362,7 +364,7 @@
         self.pool.expire_peers(now_seconds)
         self.pool.update_limit_states(now_seconds)
         self.pool.expire_pauses(now_seconds)
-        self.suspects.book.sweep(now_seconds)
+        self.quarantine.tracker.sweep(now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
             actions += self._check_hope(item, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream.py
@@ -8,7 +8,7 @@
 
 from ._health import Health
 from ._prefill_speed import PrefillSpeed
-from ._prefix_cache_index import Life, generation_label
+from ._prefix_cache_index import CacheGeneration, generation_label
 
 #: Role in which a runner takes requests.
 SERVING_ROLE = "serve"
@@ -17,7 +17,7 @@
 DEFAULT_SLOTS = 32
 
 #: Time after an answer for which peers' word that an upstream is down is not followed.
-HEARD_SECONDS = 0.5
+RECENT_ANSWER_SECONDS = 0.5
 
 #: Weight of the newest run in the mean length of runs, and the mean assumed before.
 RUN_SMOOTHING = 0.1
@@ -31,9 +31,9 @@
     entry: HostEntry
     health: Health
     #: Present life; none while it must be asked for again.
-    life: Life | None = None
+    cache_generation: CacheGeneration | None = None
     #: Life that it reported last.
-    last_generation: Life | None = None
+    last_generation: CacheGeneration | None = None
     model: str = ""
     role: str = SERVING_ROLE
     slots_count: int = DEFAULT_SLOTS
@@ -47,16 +47,16 @@
     load_until_seconds: float = -math.inf
     #: Whether its present incarnation announced its shutdown, and until when that wants
     #: no requests from this host.
-    is_departing: bool = False
+    is_shutting_down: bool = False
     paused_until_seconds: float = -math.inf
     #: Whether it fell silent and is to be asked at once if it is well.
     is_suspected: bool = False
     #: Until when its silence raises no suspicion, since it has just proved well.
-    trusted_until_seconds: float = -math.inf
+    suspicion_exempt_until_seconds: float = -math.inf
     #: When one of this host's attempts had a piece of an answer last.
-    heard_at_seconds: float = -math.inf
+    answered_at_seconds: float = -math.inf
     #: When one of them found no answer, and none of its hall had one shortly before.
-    silent_at_seconds: float = -math.inf
+    unresponsive_at_seconds: float = -math.inf
     #: Until when it counts as leaving, whatever its entry says.
     leaving_until_seconds: float = -math.inf
     #: Until when it is doubted that it is still there.
@@ -67,9 +67,9 @@
     run_seconds: float = FIRST_RUN_SECONDS
     _started_at: dict[str, float] = attrs.field(factory=dict)
     #: Tokens to be read of attempts that found nothing waiting, by attempt.
-    _alone_tokens: dict[str, int] = attrs.field(factory=dict)
+    _unqueued_tokens: dict[str, int] = attrs.field(factory=dict)
     #: Until when each connection rests that this host keeps and nobody uses.
-    _resting_until: list[float] = attrs.field(factory=list)
+    _idle_until: list[float] = attrs.field(factory=list)
 
     @property
     def name(self) -> str:
@@ -82,26 +82,30 @@
         return self.entry.kind == "runner"
 
     @property
-    def life_name(self) -> str:
+    def generation_name(self) -> str:
         """Present life as peers name it, empty while none is known."""
-        return generation_label(self.life) if self.life else ""
+        return generation_label(self.cache_generation) if self.cache_generation else ""
 
     @property
     def known_incarnation(self) -> str:
         """Life that attempts name; empty where none is known, or there are no lives."""
-        return self.life.incarnation if self.life is not None else ""
+        return (
+            self.cache_generation.incarnation
+            if self.cache_generation is not None
+            else ""
+        )
 
     @property
     def incarnation(self) -> str:
         """Life that attempts are sent to, as far as it is known."""
-        if self.life is not None:
-            return self.life.incarnation
+        if self.cache_generation is not None:
+            return self.cache_generation.incarnation
         return self.entry.incarnation
 
     def is_loading(self, now_seconds: float) -> bool:
         """Return whether it was told to load weights that it does not have yet."""
-        has_them = self.life is not None and (
-            self.life.weights_version >= self.load_version
+        has_them = self.cache_generation is not None and (
+            self.cache_generation.weights_version >= self.load_version
         )
         return not has_them and now_seconds < self.load_until_seconds
 
@@ -119,42 +123,40 @@
     ) -> None:
         """Note an attempt that is sent here, and whether it finds nothing waiting."""
         if is_queue_empty:
-            self._alone_tokens[attempt_id] = missing_tokens
+            self._unqueued_tokens[attempt_id] = missing_tokens
         self.own_attempts[attempt_id] = missing_tokens
         self._started_at[attempt_id] = now_seconds
-        if self._resting_until:
-            self._resting_until.pop()
+        if self._idle_until:
+            self._idle_until.pop()
 
-    def is_heard(self, now_seconds: float) -> bool:
+    def has_answered_recently(self, now_seconds: float) -> bool:
         """Return whether it has just answered this host, whatever others say."""
-        return now_seconds - self.heard_at_seconds < HEARD_SECONDS
+        return now_seconds - self.answered_at_seconds < RECENT_ANSWER_SECONDS
 
     def note_first_token(
         self, attempt_id: str, speed: PrefillSpeed, now_seconds: float
     ) -> None:
         """Note that an attempt's prompt is computed, and how long that took."""
-        self.heard_at_seconds = now_seconds
+        self.answered_at_seconds = now_seconds
         if attempt_id in self.own_attempts:
             self.own_attempts[attempt_id] = 0
-        tokens = self._alone_tokens.pop(attempt_id, 0)
+        tokens = self._unqueued_tokens.pop(attempt_id, 0)
         started_at_seconds = self._started_at.get(attempt_id)
         if tokens and started_at_seconds is not None:
             speed.note(tokens, now_seconds - started_at_seconds)
 
     def has_connection(self, now_seconds: float) -> bool:
         """Return whether a kept connection is free for another attempt."""
-        return any(until > now_seconds for until in self._resting_until)
+        return any(until > now_seconds for until in self._idle_until)
 
     def note_idle_connection(self, until_seconds: float) -> None:
         """Note that a connection rests, to be used again until then."""
-        self._resting_until.append(until_seconds)
+        self._idle_until.append(until_seconds)
 
     def release(self, attempt_id: str, now_seconds: float) -> None:
         """Note that an attempt's slot is free again."""
-        self._resting_until = [
-            until for until in self._resting_until if until > now_seconds
-        ]
-        self._alone_tokens.pop(attempt_id, None)
+        self._idle_until = [until for until in self._idle_until if until > now_seconds]
+        self._unqueued_tokens.pop(attempt_id, None)
         if self.own_attempts.pop(attempt_id, None) is None:
             return
         ran_seconds = now_seconds - self._started_at.pop(attempt_id, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -20,7 +20,7 @@
 from ._pauses import Pauses
 from ._placement import RunnerView
 from ._prefill_speed import PrefillSpeed
-from ._prefix_cache_index import Life
+from ._prefix_cache_index import CacheGeneration
 from ._shutdown_announcements import Incarnation, ShutdownAnnouncements
 from ._targets import TargetWeights
 from ._upstream import SERVING_ROLE, Upstream
@@ -32,7 +32,7 @@
 #: Age of weights that were named before anybody looked, as a part of the time after
 #: which nothing may begin on older ones. All of it would refuse every prompt until the
 #: first load after a restart of all hosts, nothing of it doubles the time.
-GUESSED_AGE_RATIO = 0.5
+ASSUMED_AGE_RATIO = 0.5
 
 #: Time between two probes of an upstream that is waited for: the first, the factor
 #: after each one that failed, and the longest. Most that are down stay down, and each
@@ -43,19 +43,19 @@
 
 #: Time for which a suspicion that a probe has cleared does not come again.
 #: Time for which an upstream that went down is expected back any moment.
-SOON_SECONDS = 2.0
+EXPECTED_RECOVERY_SECONDS = 2.0
 
-TRUST_SECONDS = 2.0
+SUSPICION_EXEMPTION_SECONDS = 2.0
 
 
 #: Longest time taken to go by between two freed slots of a full upstream.
-MAX_RELEASE_SECONDS = 0.5
+MAX_SLOT_RELEASE_SECONDS = 0.5
 
 
 #: Time within which the entry of an upstream that has ended goes from the store, and
 #: within which one that leaves has said so again to a store that was restored.
-RELAPSE_SECONDS = 5.0
-COPIED_LEAVING_SECONDS = 20.0
+UNCONFIRMED_SECONDS = 5.0
+RESTORED_LEAVING_SECONDS = 20.0
 
 #: State of the entry of an upstream that is shutting down.
 LEAVING_STATE = "leaving"
@@ -80,7 +80,7 @@
     DOWN = "down"
 
     @property
-    def is_own_request(self) -> bool:
+    def is_requested_by_upstream(self) -> bool:
         """Whether the upstream itself asks for no more requests."""
         return self in (IneligibleReason.LEAVING, IneligibleReason.PAUSED)
 
@@ -99,14 +99,14 @@
         self._retry = retry
         self._slots_factor = slots_factor
         self._placement = placement
-        self.targets = TargetWeights(placement.max_outdated_seconds * GUESSED_AGE_RATIO)
+        self.targets = TargetWeights(placement.max_outdated_seconds * ASSUMED_AGE_RATIO)
         #: Version of the host list in use; -1 before the first.
         self.list_version = -1
         self.shutdown_announcements = ShutdownAnnouncements()
         self._former = FormerEntries()
         self.pauses = Pauses()
         self._upstreams: dict[str, Upstream] = {}
-        self._speeds: dict[str, PrefillSpeed] = {}
+        self._prefill_speeds: dict[str, PrefillSpeed] = {}
 
     def __iter__(self) -> Iterator[Upstream]:
         return iter(list(self._upstreams.values()))
@@ -137,17 +137,19 @@
         gone = [name for name in self._upstreams if name not in listed]
         for name in gone:
             upstream = self._upstreams.pop(name)
-            was_leaving = upstream.entry.state == LEAVING_STATE
-            self._former.note_gone(upstream, was_leaving, now_seconds)
-        leaving = self._leaving_before(listed, now_seconds) if is_restored else set()
+            was_draining = upstream.entry.state == LEAVING_STATE
+            self._former.note_removed(upstream, was_draining, now_seconds)
+        leaving = (
+            self._draining_before_restore(listed, now_seconds) if is_restored else set()
+        )
         for entry in listed.values():
             self._apply_entry(entry)
         if is_restored:
-            self._doubt_copied(leaving, now_seconds)
+            self._override_restored(leaving, now_seconds)
         self._former.forget(listed, now_seconds)
         return gone
 
-    def _leaving_before(
+    def _draining_before_restore(
         self, listed: Collection[str], now_seconds: float
     ) -> set[Incarnation]:
         """Return the listed ones that were leaving, or had been as they went."""
@@ -158,41 +160,43 @@
         }
         former = [self._former.get(name, now_seconds) for name in listed]
         return leaving | {
-            item.incarnation for item in former if item and item.was_leaving
+            item.incarnation for item in former if item and item.was_draining
         }
 
-    def _doubt_copied(self, leaving: set[Incarnation], now_seconds: float) -> None:
+    def _override_restored(self, leaving: set[Incarnation], now_seconds: float) -> None:
         """Keep what is known to have left, or to leave, over what a copy shows."""
         for upstream in self:
             if Incarnation(upstream.name, upstream.incarnation) in leaving:
-                upstream.leaving_until_seconds = now_seconds + COPIED_LEAVING_SECONDS
+                upstream.leaving_until_seconds = now_seconds + RESTORED_LEAVING_SECONDS
             elif self._former.get(upstream.name, now_seconds) is not None:
-                upstream.unconfirmed_until_seconds = now_seconds + RELAPSE_SECONDS
+                upstream.unconfirmed_until_seconds = now_seconds + UNCONFIRMED_SECONDS
 
     def _apply_entry(self, entry: HostEntry) -> None:
         known = self._upstreams.get(entry.name)
         if known is not None and known.entry.address == entry.address:
             known.entry = entry
-            self._take_listed(known)
+            self._apply_listed_state(known)
             self._apply_signals(entry.name)
             return
         health = Health(self._retry.ramp_start_ratio, self._retry.ramp_seconds)
         upstream = Upstream(entry=entry, health=health)
         self._upstreams[entry.name] = upstream
-        self._take_listed(upstream)
+        self._apply_listed_state(upstream)
         self._apply_signals(entry.name)
 
-    def _take_listed(self, upstream: Upstream) -> None:
+    def _apply_listed_state(self, upstream: Upstream) -> None:
         """Take what the list itself tells; it lags, so weights only rise by it."""
         entry = upstream.entry
         if entry.slots_count:
             upstream.slots_count = entry.slots_count
         if entry.incarnation and upstream.is_runner:
             upstream.model = entry.model
-            life = Life(entry.incarnation, entry.weights_version)
-            self.note_life(upstream, life, is_own_report=False)
+            generation = CacheGeneration(entry.incarnation, entry.weights_version)
+            self.note_generation(upstream, generation, is_own_report=False)
 
-    def note_life(self, upstream: Upstream, life: Life, is_own_report: bool) -> bool:
+    def note_generation(
+        self, upstream: Upstream, generation: CacheGeneration, is_own_report: bool
+    ) -> bool:
         """Take a life that was seen; return whether it is new.
 
         Word that is not the upstream's own may be old: it can't lower the version.
@@ -200,17 +204,17 @@
         known = upstream.last_generation
         is_older = (
             known is not None
-            and known.incarnation == life.incarnation
-            and known.weights_version > life.weights_version
+            and known.incarnation == generation.incarnation
+            and known.weights_version > generation.weights_version
         )
         if is_older and not is_own_report:
             return False
-        upstream.life = upstream.last_generation = life
-        if life != known:
+        upstream.cache_generation = upstream.last_generation = generation
+        if generation != known:
             # Whatever it was doing before, it has come out of it.
             upstream.role = SERVING_ROLE
         self._apply_signals(upstream.name)
-        return life != known
+        return generation != known
 
     def due_probes(self, now_seconds: float) -> list[HostEntry]:
         """Return the upstreams to be probed now, and count them as probed.
@@ -231,7 +235,7 @@
 
     def _probe_wait(self, upstream: Upstream, now_seconds: float) -> float:
         is_awaited = upstream.health.state is HealthState.DOWN or (
-            upstream.is_runner and upstream.life is None
+            upstream.is_runner and upstream.cache_generation is None
         )
         interval_seconds = self._retry.probe_interval_seconds
         if upstream.is_suspected or is_awaited:
@@ -252,7 +256,10 @@
 
         It gets no new work until a probe, which comes at once, has cleared it.
         """
-        if upstream.is_suspected or now_seconds < upstream.trusted_until_seconds:
+        if (
+            upstream.is_suspected
+            or now_seconds < upstream.suspicion_exempt_until_seconds
+        ):
             return False
         if upstream.health.state is HealthState.DOWN:
             return False
@@ -263,7 +270,9 @@
         """Trust an upstream that has answered a probe."""
         if upstream.is_suspected:
             upstream.is_suspected = False
-            upstream.trusted_until_seconds = now_seconds + TRUST_SECONDS
+            upstream.suspicion_exempt_until_seconds = (
+                now_seconds + SUSPICION_EXEMPTION_SECONDS
+            )
 
     def note_report(self, upstream: Upstream, report: LoadReport) -> bool:
         """Take a runner's report; return whether it shows a new life."""
@@ -271,23 +280,23 @@
         upstream.slots_count = report.slots_count
         upstream.reported_tokens_per_second = report.prefill_tokens_per_second
         upstream.reported_running_count = report.running_count
-        life = Life(report.incarnation, report.weights_version)
-        is_new = self.note_life(upstream, life, is_own_report=True)
+        generation = CacheGeneration(report.incarnation, report.weights_version)
+        is_new = self.note_generation(upstream, generation, is_own_report=True)
         upstream.role = report.role
         return is_new
 
     def is_leaving(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether an upstream is shutting down, by its entry or its answers."""
-        if upstream.is_departing or upstream.entry.state == LEAVING_STATE:
+        if upstream.is_shutting_down or upstream.entry.state == LEAVING_STATE:
             return True
         return now_seconds < upstream.leaving_until_seconds
 
-    def note_departure(self, incarnation: Incarnation, now_seconds: float) -> None:
+    def note_shutdown(self, incarnation: Incarnation, now_seconds: float) -> None:
         """Note that an answer to this host announced a shutdown."""
         self.shutdown_announcements.note(incarnation, now_seconds)
         self._apply_signals(incarnation.upstream)
 
-    def receive_departures(
+    def receive_shutdowns(
         self, update: LeavingUpdate, now_seconds: float
     ) -> list[Incarnation]:
         """Take a peer's update; return what was not known here."""
@@ -312,7 +321,7 @@
         if upstream is None:
             return
         present = Incarnation(name, upstream.incarnation)
-        upstream.is_departing = present in self.shutdown_announcements
+        upstream.is_shutting_down = present in self.shutdown_announcements
         upstream.paused_until_seconds = self.pauses.until_seconds(present)
 
     def ineligible_reason(
@@ -325,7 +334,7 @@
             return IneligibleReason.PAUSED
         if now_seconds < upstream.unconfirmed_until_seconds:
             return IneligibleReason.UNCONFIRMED
-        if upstream.is_runner and upstream.life is None:
+        if upstream.is_runner and upstream.cache_generation is None:
             return IneligibleReason.UNKNOWN
         if upstream.is_runner and upstream.role != SERVING_ROLE:
             return IneligibleReason.NOT_SERVING
@@ -333,17 +342,17 @@
             return IneligibleReason.LOADING
         if upstream.is_suspected:
             return IneligibleReason.SUSPECTED
-        if self._is_too_old(upstream, now_seconds):
+        if self._is_outdated(upstream, now_seconds):
             return IneligibleReason.OUTDATED
         if upstream.health.admit_ratio(now_seconds) <= 0.0:
             return IneligibleReason.DOWN
         return None
 
-    def is_open(self, upstream: Upstream, now_seconds: float) -> bool:
+    def is_eligible(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether the upstream may be given new work."""
         return self.ineligible_reason(upstream, now_seconds) is None
 
-    def has_ended(self, name: str, now_seconds: float) -> bool:
+    def has_crashed(self, name: str, now_seconds: float) -> bool:
         """Return whether an upstream that closed a connection ended unexpectedly.
 
         One that leaves, or loads weights, closes them on purpose.
@@ -363,7 +372,10 @@
             return False
         health = upstream.health
         down_seconds = now_seconds - health.down_at_seconds
-        return health.state is not HealthState.DOWN or down_seconds < SOON_SECONDS
+        return (
+            health.state is not HealthState.DOWN
+            or down_seconds < EXPECTED_RECOVERY_SECONDS
+        )
 
     def describe(self, upstream: Upstream, now_seconds: float) -> str:
         """Return what is believed of an upstream in a word or two, for logs."""
@@ -380,17 +392,17 @@
         if upstream.is_loading(now_seconds):
             return f"loading weights {upstream.load_version}"
         if upstream.is_runner:
-            return f"up as {upstream.life_name or 'unknown'}"
+            return f"up as {upstream.generation_name or 'unknown'}"
         return "up"
 
     def outdated_seconds(self, upstream: Upstream, now_seconds: float) -> float:
         """Return for how long newer weights than the upstream's have been named."""
-        if upstream.life is None or not upstream.model:
+        if upstream.cache_generation is None or not upstream.model:
             return 0.0
-        version = upstream.life.weights_version
+        version = upstream.cache_generation.weights_version
         return self.targets.outdated_seconds(upstream.model, version, now_seconds)
 
-    def _is_too_old(self, upstream: Upstream, now_seconds: float) -> bool:
+    def _is_outdated(self, upstream: Upstream, now_seconds: float) -> bool:
         most_seconds = self._placement.max_outdated_seconds
         if not most_seconds:
             return False
@@ -407,10 +419,10 @@
 
     def prefill_speed(self, model: str) -> PrefillSpeed:
         """Return how fast runners of a model read prompts, as learned here."""
-        speed = self._speeds.get(model)
+        speed = self._prefill_speeds.get(model)
         if speed is None:
             start = self._placement.prefill_tokens_per_second
-            speed = self._speeds[model] = PrefillSpeed(start)
+            speed = self._prefill_speeds[model] = PrefillSpeed(start)
         return speed
 
     def usable_slots(
@@ -433,13 +445,13 @@
         ``part_ratio`` is this host's part of the pool; ``extra_slots_ratio`` lets
         urgent requests use slots beyond the usual ones.
         """
-        load = peers.load_of(upstream.name, upstream.life_name)
+        load = peers.load_of(upstream.name, upstream.generation_name)
         usable = self.usable_slots(upstream, part_ratio, now_seconds)
         slots = usable + math.ceil(usable * extra_slots_ratio)
         running = len(upstream.own_attempts) + load.running_count
         waiting = upstream.own_waiting_tokens + load.waiting_tokens
         over = max(0, running - slots + 1)
-        release_seconds = min(MAX_RELEASE_SECONDS, upstream.run_seconds / usable)
+        release_seconds = min(MAX_SLOT_RELEASE_SECONDS, upstream.run_seconds / usable)
         is_near = upstream.entry.hall == self._hall
         distance = 0.0 if is_near else self._placement.hall_distance_seconds
         connect_seconds = self._placement.connect_price_seconds
@@ -457,6 +469,8 @@
             connect_seconds=connect_seconds,
             slot_wait_seconds=over * release_seconds,
             max_prefill_queue_seconds=self._placement.max_prefill_queue_seconds,
-            weights_version=upstream.life.weights_version if upstream.life else 0,
+            weights_version=upstream.cache_generation.weights_version
+            if upstream.cache_generation
+            else 0,
             penalty_seconds=self._outdated_penalty_seconds(upstream, now_seconds),
         )
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -189,7 +189,7 @@
 
         def forget(scheduler: Scheduler, now_seconds: float) -> bool:
             reason = "an operator says so"
-            return scheduler.suspects.clear(fingerprint, now_seconds, reason)
+            return scheduler.quarantine.clear(fingerprint, now_seconds, reason)
 
         if not self._parts.scheduler.look(forget):
             error = {"error": "nothing is held against such a request"}
@@ -233,12 +233,12 @@
 
 def _read_suspects(scheduler: Scheduler, now_seconds: float) -> list[dict[str, Any]]:
     """Return the requests that upstreams ended under, those with most ends first."""
-    book = scheduler.suspects.book
+    book = scheduler.quarantine.tracker
     rows = [
         {
             "fingerprint": suspect.fingerprint.hex(),
             "workspace": suspect.workspace_path,
-            "state": book.suspicion(suspect.fingerprint).name.lower(),
+            "state": book.quarantine_state(suspect.fingerprint).name.lower(),
             "ends_count": suspect.ends_count,
             "upstreams": [life.upstream for life in suspect.ends],
             "refused_count": suspect.refused_count,
@@ -250,10 +250,10 @@
 
 
 def _count_suspects(scheduler: Scheduler, now_seconds: float) -> dict[str, int]:
-    book = scheduler.suspects.book
+    book = scheduler.quarantine.tracker
     counts = dict.fromkeys((item.name.lower() for item in QuarantineState), 0)
     for suspect in book:
-        counts[book.suspicion(suspect.fingerprint).name.lower()] += 1
+        counts[book.quarantine_state(suspect.fingerprint).name.lower()] += 1
     return counts
 
 
@@ -272,7 +272,7 @@
             "health": upstream.health.state.value,
             "admit_ratio": round(upstream.health.admit_ratio(now_seconds), 3),
             "last_error": upstream.health.last_error,
-            "life": upstream.life_name,
+            "life": upstream.generation_name,
             "model": upstream.model,
             "slots_count": upstream.slots_count,
             "own_running_count": len(upstream.own_attempts),
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -91,9 +91,9 @@
         self.note_burst: Callable[[], None] = _do_nothing
 
     @property
-    def suspects(self) -> RequestQuarantine:
+    def quarantine(self) -> RequestQuarantine:
         """Requests that upstreams end under."""
-        return self._scheduler.suspects
+        return self._scheduler.quarantine
 
     @property
     def rates(self) -> RequestRates:
--- a/packages/rampwick-router/src/rampwick_router/control/_steward.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_steward.py
@@ -320,7 +320,7 @@
             name=upstream.name,
             model=upstream.model,
             weights_version=upstream.last_generation.weights_version,
-            is_serving=scheduler.upstreams.is_open(upstream, now_seconds),
+            is_serving=scheduler.upstreams.is_eligible(upstream, now_seconds),
             is_loading=False,
             running_count=scheduler.running_count(upstream),
             address=upstream.entry.address,
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -128,7 +128,7 @@
             read_clock,
         )
         self.early = UrgentUpdates(
-            (scheduler.suspects, scheduler.rates, scheduler.shutdown_announcements),
+            (scheduler.quarantine, scheduler.rates, scheduler.shutdown_announcements),
             self.summaries,
             self._links,
             self.roles,
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -8,8 +8,8 @@
 from rampwick_platform import sleep_on_grid
 from rampwick_policy import (
     CacheChanges,
+    CacheGeneration,
     CacheSeen,
-    Life,
     Member,
     Neighbours,
     SaltTable,
@@ -315,7 +315,7 @@
 
 def _label(source: Source, version: int) -> str:
     if source.incarnation:
-        return generation_label(Life(source.incarnation, version))
+        return generation_label(CacheGeneration(source.incarnation, version))
     return generation_label(store_generation(version))
 
 
@@ -327,9 +327,9 @@
 
 def _list_versions(scheduler: Scheduler) -> set[int]:
     versions = {
-        upstream.life.weights_version
+        upstream.cache_generation.weights_version
         for upstream in scheduler.upstreams
-        if upstream.life is not None and upstream.is_runner
+        if upstream.cache_generation is not None and upstream.is_runner
     }
     newest = {
         target.weights_version for target in scheduler.upstreams.targets.all_newest()
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -111,7 +111,7 @@
     def is_open_to(self, name: str) -> bool:
         """Return whether a runner's life is known and it is not down."""
         found = self.upstream(name)
-        return found is not None and found.life is not None
+        return found is not None and found.cache_generation is not None
 
     def knows_rate(self, name: str) -> bool:
         """Return whether an upstream has named a rate of requests."""
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -11,9 +11,9 @@
 from rampwick_adapter._records import StoreTranslation
 from rampwick_adapter._requests import UpstreamTranslation
 from rampwick_policy import (
+    CacheGeneration,
     ExpiredEntryGuard,
     HostListRead,
-    Life,
     Scheduler,
     chain_from_parts,
 )
@@ -130,8 +130,8 @@
     def test_what_was_known_of_the_old_life_is_gone(self):
         self.take(1, self.old)
         old = self.scheduler.upstreams.get(self.old.name)
-        life = Life(self.old.name, 4)
-        self.scheduler.cache_index.note_prompt(self.old.name, life, self.chain)
+        generation = CacheGeneration(self.old.name, 4)
+        self.scheduler.cache_index.note_prompt(self.old.name, generation, self.chain)
         self.scheduler.upstreams.suspect(old, 1.0)
         old.load_version, old.load_until_seconds = 9, 100.0
         paused = Incarnation(old.name, old.incarnation)
@@ -139,7 +139,7 @@
         self.take(2, self.new)
         new = self.scheduler.upstreams.get(self.new.name)
         self.assertIsNone(self.scheduler.upstreams.get(self.old.name))
-        self.assertTrue(self.scheduler.upstreams.is_open(new, 1.0))
+        self.assertTrue(self.scheduler.upstreams.is_eligible(new, 1.0))
         held = self.scheduler.cache_index.cached_tokens(new.name, self.chain)
         self.assertEqual(0, held)
 
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -135,11 +135,13 @@
         for body in bodies:
             found = RequestIdentity("/w", "h/x", body).fingerprint
             for life in (IncarnationKey("gone", "1"), IncarnationKey("gone", "2")):
-                self.scheduler.suspects.book.note_crash(life, found, "/w", 0.0, 0.0)
+                self.scheduler.quarantine.tracker.note_crash(
+                    life, found, "/w", 0.0, 0.0
+                )
 
-    def suspicion(self, body):
+    def quarantine_state(self, body):
         found = RequestIdentity("/w", "h/x", body).fingerprint
-        return self.scheduler.suspects.book.suspicion(found)
+        return self.scheduler.quarantine.tracker.quarantine_state(found)
 
 
 class StopTest(TestCase):
@@ -176,7 +178,7 @@
         name, _ = host.ask(DEADLY)
         host.later()
         host.answer(name)
-        self.assertEqual(QuarantineState.NONE, host.suspicion(DEADLY))
+        self.assertEqual(QuarantineState.NONE, host.quarantine_state(DEADLY))
 
 
 class InnocentTest(TestCase):
@@ -194,14 +196,14 @@
                 item.upstream = item.incarnation = upstream
             host.end(*names)
             host.later()
-        self.assertEqual(QuarantineState.APART, host.suspicion(OTHER))
+        self.assertEqual(QuarantineState.APART, host.quarantine_state(OTHER))
         name, _ = host.ask(OTHER)
         host.later()
         host.answer(name)
         # The one that is left is to blame, at its next end.
         host.end_under(DEADLY, 1)
-        self.assertEqual(QuarantineState.STOPPED, host.suspicion(DEADLY))
-        self.assertEqual(QuarantineState.NONE, host.suspicion(OTHER))
+        self.assertEqual(QuarantineState.STOPPED, host.quarantine_state(DEADLY))
+        self.assertEqual(QuarantineState.NONE, host.quarantine_state(OTHER))
 
     def test_suspects_are_kept_from_each_others_upstreams(self):
         host = Host()
@@ -246,28 +248,28 @@
         host.scheduler.upstreams.due_probes(host.at_seconds)
         host.later(2.0)
         host.do(LoadReported("u-0", None))
-        self.assertEqual(0, len(host.scheduler.suspects.book))
+        self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
     def test_what_closes_on_purpose_is_no_end(self):
         host = Host(names=["u-0"])
         name, _ = host.ask(DEADLY)
         host.list_upstreams(u0="leaving")
         host.end(name)
-        self.assertEqual(0, len(host.scheduler.suspects.book))
+        self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
     def test_one_that_is_silent_is_no_end(self):
         host = Host()
         name, _ = host.ask(DEADLY)
         sent = host.sent[name]
         host.do(AttemptFailed(name, sent.attempt_id, Outcome.BROKEN, "silent"))
-        self.assertEqual(0, len(host.scheduler.suspects.book))
+        self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
 
 class NewsTest(TestCase):
     """What one host saw, the others know."""
 
     def tell(self, teller, hearer, take=None):
-        suspects = teller.scheduler.suspects
+        suspects = teller.scheduler.quarantine
         news = (take or suspects.take_update)(teller.at_seconds)
         if news is not None:
             hearer.do(CrashUpdateReceived(news))
@@ -283,22 +285,22 @@
             host.end(name)
             for other in hosts:
                 if other is not host:
-                    self.tell(host, other, host.scheduler.suspects.initial_state)
+                    self.tell(host, other, host.scheduler.quarantine.initial_state)
         for host in hosts:
             host.later()
-            self.assertEqual(QuarantineState.STOPPED, host.suspicion(DEADLY))
+            self.assertEqual(QuarantineState.STOPPED, host.quarantine_state(DEADLY))
 
     def test_a_host_that_has_just_come_is_told(self):
         old, new = Host(), Host()
         old.end_under(DEADLY, 3)
-        self.tell(old, new, old.scheduler.suspects.initial_state)
+        self.tell(old, new, old.scheduler.quarantine.initial_state)
         _, (refusal,) = new.ask(DEADLY)
         self.assertEqual("ends_upstreams", refusal.reason)
 
     def test_news_is_told_again_for_a_while_only(self):
         host = Host()
         host.end_under(DEADLY, 3)
-        suspects = host.scheduler.suspects
+        suspects = host.scheduler.quarantine
         self.assertIsNotNone(suspects.take_update(host.at_seconds))
         self.assertIsNone(suspects.take_update(host.at_seconds))
         self.assertIsNotNone(suspects.take_retransmission(host.at_seconds))
@@ -307,23 +309,23 @@
     def test_a_request_let_go_stays_so_whatever_old_news_comes(self):
         one, two = Host(), Host()
         one.end_under(DEADLY, 3)
-        old = one.scheduler.suspects.initial_state(one.at_seconds)
+        old = one.scheduler.quarantine.initial_state(one.at_seconds)
         two.do(CrashUpdateReceived(old))
         one.at_seconds += 1.0
         two.at_seconds += 1.0
         found = RequestIdentity("/w", "h/x", DEADLY).fingerprint
         self.assertTrue(
-            one.scheduler.suspects.clear(found, one.at_seconds, "an operator says so")
+            one.scheduler.quarantine.clear(found, one.at_seconds, "an operator says so")
         )
         self.tell(one, two)
-        self.assertEqual(QuarantineState.NONE, two.suspicion(DEADLY))
+        self.assertEqual(QuarantineState.NONE, two.quarantine_state(DEADLY))
         aged = attrs.evolve(
             old,
             ended=[attrs.evolve(item, age_seconds=3.0) for item in old.ended],
             stopped=[attrs.evolve(item, age_seconds=3.0) for item in old.stopped],
         )
         two.do(CrashUpdateReceived(aged))
-        self.assertEqual(QuarantineState.NONE, two.suspicion(DEADLY))
+        self.assertEqual(QuarantineState.NONE, two.quarantine_state(DEADLY))
 
     def test_a_peers_word_stops_what_is_under_way(self):
         host = Host()
--- a/tests/test_cache_isolation.py
+++ b/tests/test_cache_isolation.py
@@ -7,7 +7,13 @@
 from hypothesis import given, settings, strategies as st
 from testtools import TestCase
 
-from rampwick_policy import Life, PrefixCacheIndex, Scope, build_chain, cache_salt
+from rampwick_policy import (
+    CacheGeneration,
+    PrefixCacheIndex,
+    Scope,
+    build_chain,
+    cache_salt,
+)
 from rampwick_schema import Order, PlacedPrefix, unstructure
 from rampwick_standin import EngineFaults
 
@@ -17,8 +23,8 @@
 
 GUIDE = "a long guide that all share. " * 100
 
-OLD = Life("life-1", 1)
-NEW = Life("life-2", 1)
+OLD = CacheGeneration("life-1", 1)
+NEW = CacheGeneration("life-2", 1)
 
 
 def chain_of(text, workspace="/w", model="m", adapter=""):
@@ -108,9 +114,13 @@
                 await host.stream(GUIDE)
                 cache_index = host.daemon.scheduler._scheduler.cache_index
                 self.assertGreater(cache_index.entries_count(), 0)
-                old = host.upstream("lektor-1").life
+                old = host.upstream("lektor-1").cache_generation
                 runner.engine.crash()
-                await until(lambda: host.upstream("lektor-1").life not in (old, None))
+                await until(
+                    lambda: (
+                        host.upstream("lektor-1").cache_generation not in (old, None)
+                    )
+                )
                 self.assertEqual(0, cache_index.entries_count())
                 saw = await host.stream(GUIDE + "again")
             self.assertTrue(saw.is_whole)
@@ -122,8 +132,8 @@
 
 def weights_at(host):
     """Return the weights version that a host knows of the runner."""
-    life = host.upstream("lektor-1").life
-    return life.weights_version if life else None
+    generation = host.upstream("lektor-1").cache_generation
+    return generation.weights_version if generation else None
 
 
 class KnowledgeTest(TestCase):
@@ -151,7 +161,7 @@
 
     def test_other_weights_are_another_life(self):
         cache_index, chain = self.make_known()
-        cache_index.observe_generation("r", Life("life-1", 2), 100_000)
+        cache_index.observe_generation("r", CacheGeneration("life-1", 2), 100_000)
         self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
     def test_entries_are_bounded(self):
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -6,9 +6,9 @@
 from rampwick_policy import (
     AttemptDelivered,
     CacheChanges,
+    CacheGeneration,
     CacheSeen,
     HostListRead,
-    Life,
     Member,
     Neighbours,
     PeerSummaryReceived,
@@ -58,8 +58,8 @@
     def setUp(self):
         super().setUp()
         self.cache_index = PrefixCacheIndex(1000)
-        self.life = Life("one", 1)
-        self.cache_index.observe_generation("r", self.life, 100_000)
+        self.generation = CacheGeneration("one", 1)
+        self.cache_index.observe_generation("r", self.generation, 100_000)
 
     def change(self, prefix, tokens, label="one/1"):
         self.cache_index.note_changes("r", label, [prefix], [tokens])
@@ -76,7 +76,7 @@
         self.assertEqual(128, self.held())
 
     def test_what_was_placed_is_corrected_by_the_engines_word(self):
-        self.cache_index.note_prompt("r", self.life, chain())
+        self.cache_index.note_prompt("r", self.generation, chain())
         self.assertEqual(7100, self.held())
         self.change(THING, 0)
         self.assertEqual(2500, self.held())
@@ -96,7 +96,7 @@
     )
     def test_no_more_is_held_than_the_prompt_has(self, changes):
         cache_index = PrefixCacheIndex(1000)
-        cache_index.observe_generation("r", self.life, 100_000)
+        cache_index.observe_generation("r", self.generation, 100_000)
         for prefix, tokens in changes:
             cache_index.note_changes("r", "one/1", [prefix], [tokens])
         self.assertTrue(0 <= cache_index.cached_tokens("r", chain()) <= 7100)
@@ -232,11 +232,15 @@
     """Where a prompt goes, and from where its runner takes what it lacks."""
 
     def test_a_prompt_goes_where_it_is_held(self):
-        self.tell("b", generation_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
+        self.tell(
+            "b", generation_label(CacheGeneration("b", 1)), (GUIDE, 2500), (THING, 3700)
+        )
         self.assertEqual("b", self.arrive().upstream)
 
     def test_a_busy_holder_is_imported_from(self):
-        self.tell("b", generation_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
+        self.tell(
+            "b", generation_label(CacheGeneration("b", 1)), (GUIDE, 2500), (THING, 3700)
+        )
         holder = self.scheduler.upstreams.get("b")
         for number in range(64):
             holder.start(f"x{number}", 5000, 1.0)
@@ -249,7 +253,12 @@
 
     def test_nothing_is_imported_from_other_weights(self):
         self.list_runners(("a", 1), ("b", 1), ("old", 0))
-        self.tell("old", generation_label(Life("old", 0)), (GUIDE, 2500), (THING, 3700))
+        self.tell(
+            "old",
+            generation_label(CacheGeneration("old", 0)),
+            (GUIDE, 2500),
+            (THING, 3700),
+        )
         holder = self.scheduler.upstreams.get("old")
         for number in range(64):
             holder.start(f"x{number}", 5000, 1.0)
@@ -354,7 +363,9 @@
         self.store = "kept-" + first.save_address.partition(":")[0]
         self.address = first.save_address
         for name in "ab":
-            self.tell(name, generation_label(Life(name, 1)), (GUIDE, 0), (THING, 0))
+            self.tell(
+                name, generation_label(CacheGeneration(name, 1)), (GUIDE, 0), (THING, 0)
+            )
         self.others = [store for store in self.stores if store.address != self.address]
 
     def test_a_prompt_is_saved_to_one_store_and_imported_from_there(self):
--- a/tests/test_deadly_requests.py
+++ b/tests/test_deadly_requests.py
@@ -78,7 +78,7 @@
                 self.assertIn('rampwick_suspects{state="stopped"} 1.0', metrics)
                 words = ("suspects", "--forget", row["fingerprint"])
                 self.assertEqual(0, (await run(*words, "--admin", admins[0]))[0])
-                book = two.daemon.scheduler.suspects.book
+                book = two.daemon.scheduler.quarantine.tracker
                 await until(lambda: not len(book))
                 again = await run(*words, "--admin", admins[0])
                 wrong = await run("suspects", "--forget", "x", "--admin", admins[0])
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -290,7 +290,7 @@
     def is_open(self, host, seconds):
         host.now_seconds += seconds
         upstreams = host.scheduler._scheduler.upstreams
-        return upstreams.is_open(upstreams.get("r"), host.now_seconds)
+        return upstreams.is_eligible(upstreams.get("r"), host.now_seconds)
 
     def tell(self, teller, asker):
         question, answer = Wire(), Wire()
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -146,7 +146,7 @@
     def test_its_closed_connections_are_no_crash(self):
         session = Session(runners=1, slots=8)
         leave(session, 1.0, "lektor-1")
-        self.assertFalse(session.scheduler.upstreams.has_ended("lektor-1", 1.0))
+        self.assertFalse(session.scheduler.upstreams.has_crashed("lektor-1", 1.0))
 
     def test_a_withdrawn_attempt_costs_no_retry(self):
         session = Session(runners=2, slots=8)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -213,7 +213,7 @@
 
     def is_open(self, now):
         upstream = self.scheduler.upstreams.get("r")
-        return self.scheduler.upstreams.is_open(upstream, now)
+        return self.scheduler.upstreams.is_eligible(upstream, now)
 
     def test_nothing_is_sent_from_the_announcement_until_the_weights_are_seen(self):
         self.assertTrue(self.is_open(1.0))
@@ -238,15 +238,15 @@
         self.scheduler.handle(WeightsSeen("r", "one", 3), 1.0)
         self.read(2, attrs.evolve(self.entry, weights_version=2), 2.0)
         upstream = self.scheduler.upstreams.get("r")
-        self.assertEqual(3, upstream.life.weights_version)
+        self.assertEqual(3, upstream.cache_generation.weights_version)
 
     def test_only_the_runners_own_word_lowers_the_weights(self):
         self.scheduler.handle(WeightsSeen("r", "one", 3), 1.0)
         self.scheduler.handle(WeightsSeen("r", "one", 2, is_own_report=False), 1.1)
         upstream = self.scheduler.upstreams.get("r")
-        self.assertEqual(3, upstream.life.weights_version)
+        self.assertEqual(3, upstream.cache_generation.weights_version)
         self.scheduler.handle(WeightsSeen("r", "one", 2), 1.2)
-        self.assertEqual(2, upstream.life.weights_version)
+        self.assertEqual(2, upstream.cache_generation.weights_version)
 
     def test_weights_count_as_outdated_from_the_first_newer_naming(self):
         self.scheduler.handle(TargetsRead((WeightsTarget("m", 2),)), 10.0)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -463,7 +463,7 @@
         (sent,) = self.session.arrive(4.8, "r1")
         self.session.do(4.9, AttemptDelivered("r1", "r1.1"))
         known = self.scheduler.upstreams.get(sent.upstream)
-        self.assertTrue(known.is_heard(5.0))
+        self.assertTrue(known.has_answered_recently(5.0))
         summary = Summary(1, 1, 1, False, [], [], [], [sent.upstream])
         self.session.do(5.0, PeerSummaryReceived("entry-2", "trnava", 1, summary))
         self.assertFalse(known.is_suspected)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -109,7 +109,7 @@
 
     def open_names(self, at):
         table = self.scheduler.upstreams
-        return {item.name for item in table if table.is_open(item, at)}
+        return {item.name for item in table if table.is_eligible(item, at)}
 
     def test_after_two_the_others_are_asked_first(self):
         first, second = self.send(1.0, 20)[:2]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,11 +15,11 @@
 from rampwick_platform._records import encode_record
 from rampwick_policy import (
     CacheChanges,
+    CacheGeneration,
     CacheSeen,
     Choice,
     Dispatch,
     HostListRead,
-    Life,
     Member,
     MemberTable,
     Neighbours,
@@ -194,7 +194,7 @@
         (changes,) = seen.changes
         told = dict(zip(changes.prefixes, changes.tokens, strict=True))
         self.assertEqual({b"x" * 8: 2500, b"y" * 8: 3700}, told)
-        self.assertEqual(generation_label(Life("r", 1)), changes.label)
+        self.assertEqual(generation_label(CacheGeneration("r", 1)), changes.label)
 
     def test_nothing_is_told_of_caches_that_others_read(self):
         link = RecordingLink()
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -141,8 +141,8 @@
         suspects = RequestQuarantine(NoticeBook())
         for number in range(3):
             life = IncarnationKey("u", str(number))
-            suspects.book.note_crash(life, b"f" * 16, "/w", 1.0, 1.0)
-        suspects.judge(2.0)
+            suspects.tracker.note_crash(life, b"f" * 16, "/w", 1.0, 1.0)
+        suspects.attribute_crashes(2.0)
         news = suspects.take_update(2.0)
         self.assertEqual([3], [item.ends_count for item in news.stopped])
         self.assertEqual(3, len(suspects.initial_state(2.0).ended))
