--- a/measure/_blame_lab.py
+++ b/measure/_blame_lab.py
@@ -70,7 +70,7 @@
     """Nobody is stopped."""
 
     def is_responsible(
-        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+        self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
         """Return whether a request is to be stopped."""
         return False
@@ -80,21 +80,21 @@
     """Whoever was aboard three ends in a row is stopped."""
 
     def is_responsible(
-        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+        self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
         """Return whether a request is to be stopped."""
-        return len(suspect.ends) >= 3
+        return len(suspect.crashes) >= 3
 
 
 class MostEndsOfFour:
     """The same as the policy's own rule, one end later."""
 
     def is_responsible(
-        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+        self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
         """Return whether a request is to be stopped."""
-        count = len(suspect.ends)
-        return count >= 4 and all(len(rival.ends) < count for rival in rivals)
+        count = len(suspect.crashes)
+        return count >= 4 and all(len(other.crashes) < count for other in others)
 
 
 @attrs.frozen
--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -1,9 +1,10 @@
-"""Which requests upstreams end under, so that they are kept from the others.
+"""Attribution of upstream crashes to requests, so that crashing ones are quarantined.
 
-An upstream that ends takes everything along that it has aboard, and one request may
-have done it. Each end counts against all that were aboard; a whole answer clears a
-request, and an upstream that answers after all takes its end back. Who has the most
-ends left is to blame: the others were aboard by chance, and are answered elsewhere.
+A crash fails every request that the upstream was running, and one of them may have
+caused it. Each crash counts against all of them. A complete answer clears a request,
+and an upstream that answers after its supposed crash retracts it. The request with the
+most remaining crashes is held responsible: the others ran there by chance and complete
+on other upstreams.
 """
 
 import enum
@@ -15,46 +16,51 @@
 
 from rampwick_schema import Shown
 
-#: Ends after which a request is kept apart from others that are suspected. Two in a row
-#: by chance are rare, and the third is to show which of them it is.
+#: Crashes after which a request is isolated from other suspects. Two in a row by chance
+#: are rare, and a third crash in isolation shows which request caused them.
 ISOLATION_CRASHES_COUNT = 2
 
-#: Ends after which a request may be stopped: each one more costs an upstream.
+#: Crashes after which a request may be quarantined. Each further crash would cost
+#: another upstream.
 QUARANTINE_CRASHES_COUNT = 3
 
-#: Time after an end by which the other hosts' word on what they had aboard is here. One
-#: hop takes milliseconds; two relays gather for 50 ms each.
-SETTLE_SECONDS = 0.15
+#: Time after a crash by which the other hosts' reports of the requests they had there
+#: have arrived. A hop takes milliseconds, and two relays batch for 50 ms each.
+CRASH_REPORTS_SECONDS = 0.15
 
-#: Time for which an end is held against a request that is neither answered nor asked
-#: for. Long, for callers come again when their users do.
+#: Retention of crashes of a request that is neither answered nor sent again. Long,
+#: because callers retry when their users come back.
 SUSPECT_SECONDS = 900.0
 
-#: The same for requests that were stopped, counted from when they were last asked for.
+#: Retention of quarantined requests, counted from the last time that one arrived.
 QUARANTINE_SECONDS = 3600.0
 
-#: Requests remembered, about 660 bytes each (traced with one end, 20 to a life); the
-#: workspace that has most gives way.
+#: Maximum number of tracked requests. Each takes about 660 bytes (traced with one crash
+#: each and 20 requests per incarnation). Beyond it, the workspace with the most tracked
+#: requests loses its oldest.
 MAX_SUSPECT_REQUESTS_COUNT = 4096
 
-#: Time between two looks for what is to be forgotten: each goes through all of it.
+#: Interval between two expiry sweeps; each iterates over all tracked requests.
 SWEEP_SECONDS = 10.0
 
 
 class QuarantineState(enum.IntEnum):
-    """What is held against a request."""
+    """How a request is restricted because of the crashes attributed to it.
 
-    #: Nothing that matters.
+    The member names are written to status, logs and metrics.
+    """
+
+    #: Not restricted.
     NONE = 0
-    #: It goes to an upstream that no other suspect is at.
+    #: Isolated: sent only to an upstream that runs no other suspect.
     APART = 1
-    #: It goes nowhere any more.
+    #: Quarantined: not sent to any upstream.
     STOPPED = 2
 
 
 @attrs.frozen(repr=False)
 class IncarnationKey(Shown):
-    """One life of an upstream."""
+    """Identifies one incarnation of an upstream."""
 
     upstream: str
     incarnation: str
@@ -62,81 +68,81 @@
 
 @attrs.define(repr=False)
 class SuspectRequest(Shown):
-    """A request that upstreams have ended under."""
+    """A request that was running on upstreams when they crashed."""
 
     fingerprint: bytes
     workspace_path: str
-    #: When each life ended that had it aboard.
-    ends: dict[IncarnationKey, float] = attrs.field(factory=dict)
-    stopped_at_seconds: float | None = None
-    #: Last time that it came, or that something was heard of it.
+    #: Time of each crash, by the incarnation that ran the request.
+    crashes: dict[IncarnationKey, float] = attrs.field(factory=dict)
+    quarantined_at_seconds: float | None = None
+    #: Last time that it arrived or that a report of it was received.
     seen_at_seconds: float = 0.0
-    #: Ends that it was stopped for, where others counted them.
+    #: Number of crashes for which another host quarantined it.
     reported_crashes_count: int = 0
     refused_count: int = 0
 
     @property
     def ends_count(self) -> int:
-        """Upstreams that ended under it."""
-        return max(len(self.ends), self.reported_crashes_count)
+        """Number of upstreams that crashed while running it."""
+        return max(len(self.crashes), self.reported_crashes_count)
 
     @property
-    def last_end(self) -> IncarnationKey | None:
-        """The life that ended last under it."""
-        return max(self.ends, key=self.ends.__getitem__, default=None)
+    def last_crash(self) -> IncarnationKey | None:
+        """The incarnation that crashed last while running it."""
+        return max(self.crashes, key=self.crashes.__getitem__, default=None)
 
-    def is_forgotten(self, now_seconds: float) -> bool:
-        """Return whether it has not come for so long that nothing is held any more."""
-        is_stopped = self.stopped_at_seconds is not None
-        kept_seconds = QUARANTINE_SECONDS if is_stopped else SUSPECT_SECONDS
-        return now_seconds - self.seen_at_seconds > kept_seconds
+    def is_expired(self, now_seconds: float) -> bool:
+        """Return whether its retention time has passed since it was last seen."""
+        is_quarantined = self.quarantined_at_seconds is not None
+        retention_seconds = QUARANTINE_SECONDS if is_quarantined else SUSPECT_SECONDS
+        return now_seconds - self.seen_at_seconds > retention_seconds
 
 
 class AttributionRule(Protocol):
-    """Says who is to blame for the ends of upstreams."""
+    """A rule that decides which request caused the crashes of upstreams."""
 
     def is_responsible(
-        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+        self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
-        """Return whether a request is to be stopped.
+        """Return whether a request is to be quarantined.
 
-        ``rivals`` were aboard the upstream that ended last under it.
+        ``others`` were running on the same incarnation at its last crash.
         """
 
 
 class MostCrashes:
-    """Blames who has enough ends, and more than anybody aboard the last of them.
+    """Selects a request with enough crashes, and more than any other at its last crash.
 
-    A plain count of ends stops those, too, that lost three upstreams in a row to
-    somebody else.
+    A plain count of crashes would also quarantine a request that lost three upstreams
+    in a row to another request.
     """
 
     def is_responsible(
-        self, suspect: SuspectRequest, rivals: Iterable[SuspectRequest]
+        self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
-        """Return whether a request is to be stopped."""
-        count = len(suspect.ends)
+        """Return whether a request is to be quarantined."""
+        count = len(suspect.crashes)
         if count < QUARANTINE_CRASHES_COUNT:
             return False
-        return all(len(rival.ends) < count for rival in rivals)
+        return all(len(other.crashes) < count for other in others)
 
 
 class CrashTracker:
-    """What one host knows of requests that upstreams end under."""
+    """Tracks the requests that were running on upstreams when they crashed."""
 
     def __init__(self, rule: AttributionRule | None = None) -> None:
         self._rule = rule or MostCrashes()
         self._requests: dict[bytes, SuspectRequest] = {}
-        #: Requests that were aboard each life that ended, and when it did.
+        #: Requests that each crashed incarnation was running, and the crash times.
         self._aboard: dict[IncarnationKey, set[bytes]] = {}
-        self._ended_at: dict[IncarnationKey, float] = {}
-        #: When lives and requests were cleared: older word on them counts no more.
+        self._crashed_at: dict[IncarnationKey, float] = {}
+        #: When incarnations and requests were cleared; older reports are ignored.
         self._live_at: dict[IncarnationKey, float] = {}
         self._cleared_at: dict[bytes, float] = {}
-        #: Suspects on whom the last word is not in yet.
-        self._unsettled: set[bytes] = set()
+        #: Suspects whose last crash has not been attributed yet.
+        self._unattributed: set[bytes] = set()
         self._swept_at_seconds = -math.inf
-        #: Suspects that made way for others since anybody asked.
+        #: Number of suspects evicted because the tracker was full.
         self.dropped_count = 0
 
     def __len__(self) -> int:
@@ -146,27 +152,29 @@
         return iter(list(self._requests.values()))
 
     def get(self, fingerprint: bytes) -> SuspectRequest | None:
-        """Return a request that something is held against."""
+        """Return a tracked request, or None."""
         return self._requests.get(fingerprint)
 
     def quarantine_state(self, fingerprint: bytes) -> QuarantineState:
-        """Return what is held against a request."""
+        """Return how a request is restricted."""
         suspect = self._requests.get(fingerprint)
         if suspect is None or suspect.ends_count < ISOLATION_CRASHES_COUNT:
             return QuarantineState.NONE
-        if suspect.stopped_at_seconds is not None:
+        if suspect.quarantined_at_seconds is not None:
             return QuarantineState.STOPPED
         return QuarantineState.APART
 
     def has_complete_reports(self, fingerprint: bytes, now_seconds: float) -> bool:
-        """Return whether what others had aboard its last end is known by now."""
+        """Return whether the reports on a request's last crash have arrived by now."""
         suspect = self._requests.get(fingerprint)
         if suspect is None or suspect.ends_count < ISOLATION_CRASHES_COUNT:
             return True
-        last = suspect.last_end
-        return last is None or now_seconds >= suspect.ends[last] + SETTLE_SECONDS
+        last = suspect.last_crash
+        return (
+            last is None or now_seconds >= suspect.crashes[last] + CRASH_REPORTS_SECONDS
+        )
 
-    # What this host sees or hears.
+    # Observations of this host and reports of peers.
 
     def note_crash(
         self,
@@ -176,47 +184,49 @@
         at_seconds: float,
         now_seconds: float,
     ) -> bool:
-        """Note that a life ended with a request aboard; return whether that is new.
+        """Record that an incarnation crashed while running a request.
 
-        ``at_seconds`` is earlier than the present time where another host saw it.
+        ``at_seconds`` is in the past if another host observed the crash. Return whether
+        the crash is new for this request.
         """
         if self._live_at.get(incarnation_key, -math.inf) > at_seconds:
             return False
         if self._cleared_at.get(fingerprint, -math.inf) >= at_seconds:
             return False
-        suspect = self._take_in(fingerprint, workspace_path, now_seconds)
-        if incarnation_key in suspect.ends:
+        suspect = self._get_or_add(fingerprint, workspace_path, now_seconds)
+        if incarnation_key in suspect.crashes:
             return False
-        suspect.ends[incarnation_key] = at_seconds
+        suspect.crashes[incarnation_key] = at_seconds
         suspect.seen_at_seconds = now_seconds
         self._aboard.setdefault(incarnation_key, set()).add(fingerprint)
-        # One end is seen by each host at its own time: the first to see it is right.
-        known_at_seconds = self._ended_at.get(incarnation_key, math.inf)
-        self._ended_at[incarnation_key] = min(known_at_seconds, at_seconds)
-        self._unsettled.add(fingerprint)
+        # Each host observes a crash at its own time; the earliest is the closest to it.
+        known_at_seconds = self._crashed_at.get(incarnation_key, math.inf)
+        self._crashed_at[incarnation_key] = min(known_at_seconds, at_seconds)
+        self._unattributed.add(fingerprint)
         return True
 
     def note_live(self, incarnation_key: IncarnationKey, at_seconds: float) -> bool:
-        """Note an answer to what was sent at a time; take a later end of it back.
+        """Record an answer to a message sent at ``at_seconds``, and retract the crash.
 
-        Return whether one was held against anybody.
+        Return whether a crash of this incarnation was recorded before that time.
         """
-        ended_at_seconds = self._ended_at.get(incarnation_key)
-        if ended_at_seconds is None or at_seconds <= ended_at_seconds:
+        crashed_at_seconds = self._crashed_at.get(incarnation_key)
+        if crashed_at_seconds is None or at_seconds <= crashed_at_seconds:
             return False
         self._live_at[incarnation_key] = at_seconds
-        del self._ended_at[incarnation_key]
+        del self._crashed_at[incarnation_key]
         for fingerprint in self._aboard.pop(incarnation_key, ()):
             suspect = self._requests[fingerprint]
-            del suspect.ends[incarnation_key]
-            if not suspect.ends and suspect.stopped_at_seconds is None:
+            del suspect.crashes[incarnation_key]
+            if not suspect.crashes and suspect.quarantined_at_seconds is None:
                 del self._requests[fingerprint]
         return True
 
     def clear(self, fingerprint: bytes, at_seconds: float) -> bool:
-        """Hold nothing of before a time against a request; return whether that is new.
+        """Drop what was recorded of a request up to a time.
 
-        It was answered whole, or an operator lets it go.
+        The request was answered completely, or an operator released it. Return whether
+        it was tracked.
         """
         suspect = self._requests.get(fingerprint)
         if suspect is None:
@@ -224,19 +234,19 @@
         self._cleared_at[fingerprint] = at_seconds
         for incarnation_key in [
             incarnation_key
-            for incarnation_key, at in suspect.ends.items()
+            for incarnation_key, at in suspect.crashes.items()
             if at <= at_seconds
         ]:
-            self._forget_end(suspect, incarnation_key)
-        stopped_at_seconds = suspect.stopped_at_seconds
-        if stopped_at_seconds is not None and stopped_at_seconds <= at_seconds:
-            suspect.stopped_at_seconds = None
+            self._remove_crash(suspect, incarnation_key)
+        quarantined_at_seconds = suspect.quarantined_at_seconds
+        if quarantined_at_seconds is not None and quarantined_at_seconds <= at_seconds:
+            suspect.quarantined_at_seconds = None
             suspect.reported_crashes_count = 0
-        if not suspect.ends and suspect.stopped_at_seconds is None:
+        if not suspect.crashes and suspect.quarantined_at_seconds is None:
             self._drop(suspect)
         return True
 
-    def note_stopped(
+    def note_quarantined(
         self,
         fingerprint: bytes,
         workspace_path: str,
@@ -244,42 +254,42 @@
         at_seconds: float,
         now_seconds: float,
     ) -> bool:
-        """Take another host's word that a request is stopped; return if it is new."""
+        """Record that another host quarantined a request; return whether it is new."""
         if self._cleared_at.get(fingerprint, -math.inf) >= at_seconds:
             return False
-        suspect = self._take_in(fingerprint, workspace_path, now_seconds)
-        if suspect.stopped_at_seconds is not None:
+        suspect = self._get_or_add(fingerprint, workspace_path, now_seconds)
+        if suspect.quarantined_at_seconds is not None:
             return False
-        suspect.stopped_at_seconds = at_seconds
+        suspect.quarantined_at_seconds = at_seconds
         suspect.reported_crashes_count = ends_count
         suspect.seen_at_seconds = now_seconds
         return True
 
     def note_refused(self, fingerprint: bytes, now_seconds: float) -> None:
-        """Note that a stopped request was asked for again."""
+        """Record that a quarantined request arrived again."""
         suspect = self._requests.get(fingerprint)
         if suspect is not None:
             suspect.refused_count += 1
             suspect.seen_at_seconds = now_seconds
 
     def attribute_crashes(self, now_seconds: float) -> list[SuspectRequest]:
-        """Stop whoever is to blame by now; return those stopped since the last call."""
-        stopped = []
-        for fingerprint in list(self._unsettled):
+        """Quarantine the requests found responsible by now, and return them."""
+        quarantined = []
+        for fingerprint in list(self._unattributed):
             suspect = self._requests.get(fingerprint)
-            if suspect is None or suspect.stopped_at_seconds is not None:
-                self._unsettled.discard(fingerprint)
+            if suspect is None or suspect.quarantined_at_seconds is not None:
+                self._unattributed.discard(fingerprint)
                 continue
             if not self.has_complete_reports(fingerprint, now_seconds):
                 continue
-            self._unsettled.discard(fingerprint)
-            if self._rule.is_responsible(suspect, self._rivals(suspect)):
-                suspect.stopped_at_seconds = now_seconds
-                stopped.append(suspect)
-        return stopped
-
-    def _rivals(self, suspect: SuspectRequest) -> list[SuspectRequest]:
-        last = suspect.last_end
+            self._unattributed.discard(fingerprint)
+            if self._rule.is_responsible(suspect, self._other_suspects(suspect)):
+                suspect.quarantined_at_seconds = now_seconds
+                quarantined.append(suspect)
+        return quarantined
+
+    def _other_suspects(self, suspect: SuspectRequest) -> list[SuspectRequest]:
+        last = suspect.last_crash
         if last is None:
             return []
         return [
@@ -288,23 +298,23 @@
             if fingerprint != suspect.fingerprint
         ]
 
-    # Bounds.
+    # Bounds on memory.
 
-    def _take_in(
+    def _get_or_add(
         self, fingerprint: bytes, workspace_path: str, now_seconds: float
     ) -> SuspectRequest:
         suspect = self._requests.get(fingerprint)
         if suspect is not None:
             return suspect
         if len(self._requests) >= MAX_SUSPECT_REQUESTS_COUNT:
-            self._make_room(now_seconds)
+            self._evict_one(now_seconds)
         suspect = SuspectRequest(
             fingerprint, workspace_path, seen_at_seconds=now_seconds
         )
         self._requests[fingerprint] = suspect
         return suspect
 
-    def _make_room(self, now_seconds: float) -> None:
+    def _evict_one(self, now_seconds: float) -> None:
         self.sweep(now_seconds)
         if len(self._requests) < MAX_SUSPECT_REQUESTS_COUNT:
             return
@@ -312,11 +322,12 @@
         for suspect in self._requests.values():
             by_workspace.setdefault(suspect.workspace_path, []).append(suspect)
         largest = max(by_workspace.values(), key=len)
-        # Those that were stopped go last: each would end another three upstreams.
+        # Quarantined requests are evicted last: each would crash another three
+        # upstreams before it is quarantined again.
         oldest = min(
             largest,
             key=lambda item: (
-                item.stopped_at_seconds is not None,
+                item.quarantined_at_seconds is not None,
                 item.seen_at_seconds,
             ),
         )
@@ -324,12 +335,12 @@
         self.dropped_count += 1
 
     def sweep(self, now_seconds: float) -> None:
-        """Forget what has not been heard of for long; to be called now and then."""
+        """Drop expired entries; called periodically."""
         if now_seconds - self._swept_at_seconds < SWEEP_SECONDS:
             return
         self._swept_at_seconds = now_seconds
         for suspect in list(self._requests.values()):
-            if suspect.is_forgotten(now_seconds):
+            if suspect.is_expired(now_seconds):
                 self._drop(suspect)
         oldest_seconds = now_seconds - SUSPECT_SECONDS
         for times in (self._live_at, self._cleared_at):
@@ -337,17 +348,17 @@
                 del times[key]  # type: ignore[arg-type]
 
     def _drop(self, suspect: SuspectRequest) -> None:
-        for incarnation_key in list(suspect.ends):
-            self._forget_end(suspect, incarnation_key)
+        for incarnation_key in list(suspect.crashes):
+            self._remove_crash(suspect, incarnation_key)
         del self._requests[suspect.fingerprint]
-        self._unsettled.discard(suspect.fingerprint)
+        self._unattributed.discard(suspect.fingerprint)
 
-    def _forget_end(
+    def _remove_crash(
         self, suspect: SuspectRequest, incarnation_key: IncarnationKey
     ) -> None:
-        del suspect.ends[incarnation_key]
+        del suspect.crashes[incarnation_key]
         aboard = self._aboard[incarnation_key]
         aboard.discard(suspect.fingerprint)
         if not aboard:
             del self._aboard[incarnation_key]
-            del self._ended_at[incarnation_key]
+            del self._crashed_at[incarnation_key]
--- a/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
@@ -1,7 +1,7 @@
-"""Keeping requests that upstreams end under from the other upstreams.
+"""Quarantine of requests that crash upstreams.
 
-It draws from a host's attempts and from its peers' words what the book of blame is to
-know, says where a suspect may go, and gathers what peers are to be told.
+Feeds the crash tracker from this host's attempts and its peers' updates, restricts the
+upstreams that a suspect may be sent to, and collects the updates for peers.
 """
 
 from collections import deque
@@ -33,13 +33,13 @@
 #: Covers messages dropped by a full send queue and a relay fail-over.
 RETRANSMIT_SECONDS = 3.0
 
-#: Age up to which ends are told to a host that has just come.
+#: Maximum age of crashes that the initial state sync includes.
 INITIAL_STATE_SECONDS = 60.0
 
 
 @attrs.frozen(repr=False)
 class _CrashFact(Shown):
-    """One life that ended with a request aboard."""
+    """An incarnation crashed while it was running a request."""
 
     incarnation_key: IncarnationKey
     fingerprint: bytes
@@ -49,7 +49,7 @@
 
 @attrs.frozen(repr=False)
 class _LiveFact(Shown):
-    """One life that answered after all."""
+    """An incarnation answered after it was reported as crashed."""
 
     incarnation_key: IncarnationKey
     at_seconds: float
@@ -57,7 +57,7 @@
 
 @attrs.frozen(repr=False)
 class _ClearedFact(Shown):
-    """One request that nothing is held against any more."""
+    """A request was cleared."""
 
     fingerprint: bytes
     at_seconds: float
@@ -65,7 +65,7 @@
 
 @attrs.frozen(repr=False)
 class _QuarantineFact(Shown):
-    """One request that was stopped."""
+    """A request was quarantined."""
 
     fingerprint: bytes
     workspace_path: str
@@ -77,39 +77,39 @@
 
 
 class RequestQuarantine:
-    """Requests that upstreams end under, as one host deals with them."""
+    """One host's handling of requests that crash upstreams."""
 
     def __init__(
         self, notices: NoticeBook, tracker: CrashTracker | None = None
     ) -> None:
         self.tracker = tracker or CrashTracker()
         self._notices = notices
-        #: Suspects of this host at upstreams, by upstream.
+        #: Fingerprint of the isolated request that this host runs, by upstream.
         self._isolated_at: dict[str, bytes] = {}
-        #: What peers have not been told, and what they are told again for a while.
+        #: Facts not sent to peers yet, and sent ones that are still retransmitted.
         self._unsent: list[_Fact] = []
-        self._told: deque[_Fact] = deque()
-        #: Called when there is something to tell.
+        self._sent: deque[_Fact] = deque()
+        #: Called when there is an update to broadcast.
         self.on_update: Callable[[], None] = _do_nothing
 
-    # What attempts show.
+    # Results of attempts.
 
     def note_crash(self, item: QueuedRequest, now_seconds: float) -> None:
-        """Note that a request's upstream closed the connection under it."""
+        """Record that a request's upstream closed its connection unexpectedly."""
         identity = item.arrival.identity
         if identity is None:
             return
-        end = _CrashFact(
+        crash = _CrashFact(
             IncarnationKey(item.upstream, item.incarnation),
             identity.fingerprint,
             item.workspace_path,
             now_seconds,
         )
-        if self._add_crash(end, now_seconds):
-            self._enqueue(end)
+        if self._add_crash(crash, now_seconds):
+            self._enqueue(crash)
 
     def note_answered(self, item: QueuedRequest, now_seconds: float) -> None:
-        """Note that an upstream lived through a request to its whole answer."""
+        """Record that a request was answered completely."""
         if not len(self.tracker) or item.arrival.identity is None:
             return
         self.clear(item.arrival.identity.fingerprint, now_seconds, "it was answered")
@@ -117,7 +117,7 @@
     def note_live(
         self, upstream: str, incarnation: str, sent_at_seconds: float
     ) -> None:
-        """Note that a life answered what was sent to it at a time."""
+        """Record that an incarnation answered a message sent at a given time."""
         if not len(self.tracker):
             return
         live = _LiveFact(IncarnationKey(upstream, incarnation), sent_at_seconds)
@@ -125,7 +125,7 @@
             self._enqueue(live)
 
     def clear(self, fingerprint: bytes, now_seconds: float, reason: str) -> bool:
-        """Hold nothing against a request any more; return whether anything was."""
+        """Clear a request; return whether it was tracked."""
         if not self.tracker.clear(fingerprint, now_seconds):
             return False
         self._notices.forget("request", fingerprint.hex(), reason)
@@ -133,10 +133,10 @@
         return True
 
     def attribute_crashes(self, now_seconds: float) -> bool:
-        """Stop whoever is to blame by now; return whether that stopped anybody."""
-        stopped = self.tracker.attribute_crashes(now_seconds)
-        for suspect in stopped:
-            self._notice(suspect)
+        """Quarantine the responsible requests; return whether there were any."""
+        quarantined = self.tracker.attribute_crashes(now_seconds)
+        for suspect in quarantined:
+            self._record_state(suspect)
             self._enqueue(
                 _QuarantineFact(
                     suspect.fingerprint,
@@ -145,12 +145,12 @@
                     now_seconds,
                 )
             )
-        return bool(stopped)
+        return bool(quarantined)
 
-    # Where a request may go.
+    # Restrictions on requests.
 
     def quarantine_state(self, item: QueuedRequest) -> QuarantineState:
-        """Return what is held against a request."""
+        """Return how a request is restricted."""
         if not len(self.tracker) or item.arrival.identity is None:
             return QuarantineState.NONE
         return self.tracker.quarantine_state(item.arrival.identity.fingerprint)
@@ -158,10 +158,10 @@
     def allowed_views(
         self, item: QueuedRequest, views: list[RunnerView], now_seconds: float
     ) -> list[RunnerView]:
-        """Return the upstreams that a request may go to, as far as it is suspected.
+        """Return the upstreams that a request may be sent to.
 
-        A suspect goes to one that no other suspect is at, the same from all hosts as
-        far as they can, so that the next end tells which of them it was.
+        An isolated request gets one upstream without another suspect, the same on all
+        hosts where possible, so that the next crash identifies the request behind it.
         """
         identity = item.arrival.identity
         if identity is None or self.quarantine_state(item) is not QuarantineState.APART:
@@ -176,7 +176,7 @@
         return []
 
     def note_sent(self, item: QueuedRequest) -> None:
-        """Note where a request goes, if it is a suspect."""
+        """Record which upstream an isolated request is sent to."""
         identity = item.arrival.identity
         if (
             identity is not None
@@ -185,19 +185,19 @@
             self._isolated_at[item.upstream] = identity.fingerprint
 
     def note_released(self, item: QueuedRequest) -> None:
-        """Note that a request is at its upstream no more."""
+        """Record that a request has left its upstream."""
         if not self._isolated_at or item.arrival.identity is None:
             return
         if self._isolated_at.get(item.upstream) == item.arrival.identity.fingerprint:
             del self._isolated_at[item.upstream]
 
     def note_refused(self, item: QueuedRequest, now_seconds: float) -> None:
-        """Note that a stopped request came again."""
+        """Record that a quarantined request arrived again."""
         if item.arrival.identity is not None:
             self.tracker.note_refused(item.arrival.identity.fingerprint, now_seconds)
 
     def describe(self, item: QueuedRequest) -> str:
-        """Return what is held against a request, for logs; nothing if nothing is."""
+        """Return a request's crashes for logs; empty if it is not restricted."""
         if (
             self.quarantine_state(item) is QuarantineState.NONE
             or item.arrival.identity is None
@@ -206,12 +206,12 @@
         suspect = self.tracker.get(item.arrival.identity.fingerprint)
         if suspect is None:
             return ""
-        return f"fingerprint {suspect.fingerprint.hex()}: {_describe_ends(suspect)}"
+        return f"fingerprint {suspect.fingerprint.hex()}: {_describe_crashes(suspect)}"
 
-    # What peers say and are told.
+    # Updates from and to peers.
 
     def receive(self, update: CrashUpdate, now_seconds: float) -> bool:
-        """Take a peer's word; return whether it stopped anybody."""
+        """Apply a peer's update; return whether it quarantined a request."""
         for live in update.live:
             incarnation_key = IncarnationKey(live.upstream, live.incarnation)
             self.tracker.note_live(incarnation_key, now_seconds - live.age_seconds)
@@ -219,53 +219,55 @@
             at_seconds = now_seconds - cleared.age_seconds
             if self.tracker.clear(cleared.fingerprint, at_seconds):
                 name = cleared.fingerprint.hex()
-                self._notices.forget("request", name, "a peer says so")
+                self._notices.forget("request", name, "a peer cleared it")
         for ended in update.ended:
             self._receive_crash(ended, now_seconds)
-        has_stopped = False
-        for stopped in update.stopped:
-            has_stopped |= self._receive_stopped(stopped, now_seconds)
-        return has_stopped
+        has_quarantined = False
+        for quarantined in update.stopped:
+            has_quarantined |= self._receive_quarantined(quarantined, now_seconds)
+        return has_quarantined
 
     def _receive_crash(self, ended: EndedUpstream, now_seconds: float) -> None:
         incarnation_key = IncarnationKey(ended.upstream, ended.incarnation)
         at_seconds = now_seconds - ended.age_seconds
         for request in ended.aboard:
-            end = _CrashFact(
+            crash = _CrashFact(
                 incarnation_key, request.fingerprint, request.workspace, at_seconds
             )
-            self._add_crash(end, now_seconds)
-
-    def _receive_stopped(self, stopped: StoppedRequest, now_seconds: float) -> bool:
-        is_new = self.tracker.note_stopped(
-            stopped.fingerprint,
-            stopped.workspace,
-            stopped.ends_count,
-            now_seconds - stopped.age_seconds,
+            self._add_crash(crash, now_seconds)
+
+    def _receive_quarantined(
+        self, quarantined: StoppedRequest, now_seconds: float
+    ) -> bool:
+        is_new = self.tracker.note_quarantined(
+            quarantined.fingerprint,
+            quarantined.workspace,
+            quarantined.ends_count,
+            now_seconds - quarantined.age_seconds,
             now_seconds,
         )
-        suspect = self.tracker.get(stopped.fingerprint)
+        suspect = self.tracker.get(quarantined.fingerprint)
         if is_new and suspect is not None:
-            self._notice(suspect)
+            self._record_state(suspect)
         return is_new
 
     def take_update(self, now_seconds: float) -> CrashUpdate | None:
-        """Return what peers have not been told, to tell them now and again later."""
+        """Return the facts not broadcast yet, and keep them for retransmissions."""
         if not self._unsent:
             return None
         facts, self._unsent = self._unsent, []
-        self._told.extend(facts)
+        self._sent.extend(facts)
         return _to_update(facts, now_seconds)
 
     def take_retransmission(self, now_seconds: float) -> CrashUpdate | None:
-        """Return what peers were told of late, to tell it again."""
+        """Return the facts that were broadcast recently."""
         oldest_seconds = now_seconds - RETRANSMIT_SECONDS
-        while self._told and self._told[0].at_seconds < oldest_seconds:
-            self._told.popleft()
-        return _to_update(list(self._told), now_seconds) if self._told else None
+        while self._sent and self._sent[0].at_seconds < oldest_seconds:
+            self._sent.popleft()
+        return _to_update(list(self._sent), now_seconds) if self._sent else None
 
     def initial_state(self, now_seconds: float) -> CrashUpdate | None:
-        """Return what a host is to know that has just come."""
+        """Return the state that a newly connected host needs."""
         facts: list[_Fact] = []
         for suspect in self.tracker:
             facts += [
@@ -275,60 +277,60 @@
                     suspect.workspace_path,
                     at_seconds,
                 )
-                for incarnation_key, at_seconds in suspect.ends.items()
+                for incarnation_key, at_seconds in suspect.crashes.items()
                 if now_seconds - at_seconds < INITIAL_STATE_SECONDS
             ]
-            if suspect.stopped_at_seconds is not None:
+            if suspect.quarantined_at_seconds is not None:
                 facts.append(
                     _QuarantineFact(
                         suspect.fingerprint,
                         suspect.workspace_path,
                         suspect.ends_count,
-                        suspect.stopped_at_seconds,
+                        suspect.quarantined_at_seconds,
                     )
                 )
         return _to_update(facts, now_seconds) if facts else None
 
-    def _add_crash(self, end: _CrashFact, now_seconds: float) -> bool:
+    def _add_crash(self, crash: _CrashFact, now_seconds: float) -> bool:
         dropped_count = self.tracker.dropped_count
         is_new = self.tracker.note_crash(
-            end.incarnation_key,
-            end.fingerprint,
-            end.workspace_path,
-            end.at_seconds,
+            crash.incarnation_key,
+            crash.fingerprint,
+            crash.workspace_path,
+            crash.at_seconds,
             now_seconds,
         )
         if self.tracker.dropped_count > dropped_count:
-            reason = f"{len(self.tracker)} are remembered, which is the most"
-            self._notices.note("suspects", end.workspace_path, "dropped", reason)
-        suspect = self.tracker.get(end.fingerprint)
+            reason = f"the limit of {len(self.tracker)} tracked requests is reached"
+            self._notices.note("suspects", crash.workspace_path, "dropped", reason)
+        suspect = self.tracker.get(crash.fingerprint)
         if is_new and suspect is not None:
-            self._notice(suspect)
+            self._record_state(suspect)
         return is_new
 
-    def _notice(self, suspect: SuspectRequest) -> None:
+    def _record_state(self, suspect: SuspectRequest) -> None:
         quarantine_state = self.tracker.quarantine_state(suspect.fingerprint)
         if quarantine_state is QuarantineState.NONE:
             return
         name = suspect.fingerprint.hex()
         state = quarantine_state.name.lower()
-        self._notices.note("request", name, state, _describe_ends(suspect))
+        self._notices.note("request", name, state, _describe_crashes(suspect))
 
     def _enqueue(self, fact: _Fact) -> None:
         self._unsent.append(fact)
         self.on_update()
 
 
-def _describe_ends(suspect: SuspectRequest) -> str:
-    names = ", ".join(incarnation_key.upstream for incarnation_key in suspect.ends)
+def _describe_crashes(suspect: SuspectRequest) -> str:
+    names = ", ".join(incarnation_key.upstream for incarnation_key in suspect.crashes)
     return (
-        f"{suspect.ends_count} upstreams ended under it, of {suspect.workspace_path}"
-        + (f": {names}" if names else "")
+        f"{suspect.ends_count} upstreams crashed while running it, workspace "
+        f"{suspect.workspace_path}" + (f": {names}" if names else "")
     )
 
 
 def _to_update(facts: list[_Fact], now_seconds: float) -> CrashUpdate:
-    """Return facts as peers are told them, with their ages."""
+    """Return an update for peers with facts and their ages."""
     update = CrashUpdate()
     ended: dict[IncarnationKey, EndedUpstream] = {}
     for fact in facts:
@@ -349,7 +351,7 @@
                 )
             )
         else:
-            told = ended.setdefault(
+            entry = ended.setdefault(
                 fact.incarnation_key,
                 EndedUpstream(
                     fact.incarnation_key.upstream,
@@ -358,7 +360,7 @@
                     [],
                 ),
             )
-            told.aboard.append(AboardRequest(fact.fingerprint, fact.workspace_path))
+            entry.aboard.append(AboardRequest(fact.fingerprint, fact.workspace_path))
     update.ended.extend(ended.values())
     return update
 
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -240,7 +240,7 @@
             "workspace": suspect.workspace_path,
             "state": book.quarantine_state(suspect.fingerprint).name.lower(),
             "ends_count": suspect.ends_count,
-            "upstreams": [life.upstream for life in suspect.ends],
+            "upstreams": [key.upstream for key in suspect.crashes],
             "refused_count": suspect.refused_count,
             "seen_seconds_ago": round(now_seconds - suspect.seen_at_seconds, 1),
         }
--- a/tests/test_crash_attribution.py
+++ b/tests/test_crash_attribution.py
@@ -1,4 +1,4 @@
-"""Who is to blame for upstreams that end: by counts, by answers, by peers' words."""
+"""Attribution of crashes to requests by counts, answers and updates of peers."""
 
 import attrs
 from testtools import TestCase
@@ -27,8 +27,8 @@
     TreeView,
 )
 from rampwick_policy._crash_attribution import (
+    CRASH_REPORTS_SECONDS,
     MAX_SUSPECT_REQUESTS_COUNT,
-    SETTLE_SECONDS,
 )
 from rampwick_schema import (
     CrashUpdate,
@@ -45,12 +45,12 @@
 NAMES = [f"u-{index}" for index in range(6)]
 DEADLY, OTHER = b"deadly", b"other"
 
-#: Time after an end by which its host has settled whom to blame.
-SETTLED = SETTLE_SECONDS + 0.01
+#: Time after a crash by which its host has attributed it.
+ATTRIBUTION_SECONDS = CRASH_REPORTS_SECONDS + 0.01
 
 
 class Host:
-    """One host's scheduler before six upstreams of one service."""
+    """One host's scheduler with six upstreams of one service."""
 
     def __init__(self, names=NAMES):
         text = '[host]\nname = "e"\nhall = "h"\n'
@@ -85,12 +85,12 @@
                 self.sent[action.request_id] = action
         return actions
 
-    def later(self, seconds=SETTLED):
+    def later(self, seconds=ATTRIBUTION_SECONDS):
         self.at_seconds += seconds
         return self.do(Tick())
 
     def ask(self, body, deadline_seconds=30.0, latency_target_seconds=60.0):
-        """Send a request; return its id and what is done."""
+        """Send a request; return its id and the scheduler's actions."""
         self.count += 1
         name = f"r{self.count}"
         arrived = RequestArrived(
@@ -106,8 +106,8 @@
         )
         return name, self.do(arrived)
 
-    def end(self, *names, upstream=None):
-        """Have the upstream of some requests end under them."""
+    def crash(self, *names, upstream=None):
+        """Have the upstream of some requests crash while it runs them."""
         actions = []
         for name in names:
             sent = self.sent[name]
@@ -122,59 +122,62 @@
         self.do(AttemptAccepted(name, attempt))
         self.do(AttemptDone(name, attempt))
 
-    def end_under(self, body, count):
-        """Have upstreams end under a request, one after the other."""
+    def crash_under(self, body, count):
+        """Have upstreams crash on a request, one after the other."""
         for _ in range(count):
             name, _ = self.ask(body)
             self.later()
-            self.end(name)
+            self.crash(name)
             self.later()
 
     def suspect(self, *bodies):
-        """Have two upstreams that are gone have ended under each request."""
+        """Record two crashes of removed upstreams for each request."""
         for body in bodies:
-            found = RequestIdentity("/w", "h/x", body).fingerprint
-            for life in (IncarnationKey("gone", "1"), IncarnationKey("gone", "2")):
+            fingerprint = RequestIdentity("/w", "h/x", body).fingerprint
+            for incarnation_key in (
+                IncarnationKey("gone", "1"),
+                IncarnationKey("gone", "2"),
+            ):
                 self.scheduler.quarantine.tracker.note_crash(
-                    life, found, "/w", 0.0, 0.0
+                    incarnation_key, fingerprint, "/w", 0.0, 0.0
                 )
 
     def quarantine_state(self, body):
-        found = RequestIdentity("/w", "h/x", body).fingerprint
-        return self.scheduler.quarantine.tracker.quarantine_state(found)
+        fingerprint = RequestIdentity("/w", "h/x", body).fingerprint
+        return self.scheduler.quarantine.tracker.quarantine_state(fingerprint)
 
 
 class StopTest(TestCase):
-    """A request is stopped by its third end, and what is told its callers is true."""
+    """A request is quarantined after three crashes, and its callers get the reason."""
 
-    def test_the_fourth_try_is_refused_at_once_and_told_no_time_to_come_back(self):
+    def test_fourth_attempt_is_refused_at_once_without_a_retry_time(self):
         host = Host()
-        host.end_under(DEADLY, 3)
+        host.crash_under(DEADLY, 3)
         _, (refusal,) = host.ask(DEADLY)
         self.assertIsInstance(refusal, Refuse)
         self.assertEqual("ends_upstreams", refusal.reason)
         self.assertIsNone(refusal.retry_after_seconds)
-        self.assertIn("3 upstreams ended under it", refusal.evidence)
+        self.assertIn("3 upstreams crashed while running it", refusal.evidence)
         _, actions = host.ask(OTHER)
         self.assertIsInstance(actions[0], Dispatch)
 
-    def test_tries_under_way_and_in_line_are_stopped_as_well(self):
+    def test_running_and_queued_attempts_are_refused_as_well(self):
         host = Host()
-        host.end_under(DEADLY, 2)
+        host.crash_under(DEADLY, 2)
         first, _ = host.ask(DEADLY)
         host.later()
         second, _ = host.ask(DEADLY)
         self.assertIn(second, host.sent)
-        host.end(first)
+        host.crash(first)
         actions = host.later()
         refused = [item for item in actions if isinstance(item, Refuse)]
         self.assertEqual([second], [item.request_id for item in refused])
         self.assertEqual(RunState.MAYBE_RUN, refused[0].run_state)
         self.assertTrue(any(isinstance(item, CancelAttempt) for item in actions))
 
-    def test_an_answer_clears_it(self):
+    def test_complete_answer_clears_a_request(self):
         host = Host()
-        host.end_under(DEADLY, 2)
+        host.crash_under(DEADLY, 2)
         name, _ = host.ask(DEADLY)
         host.later()
         host.answer(name)
@@ -182,30 +185,30 @@
 
 
 class InnocentTest(TestCase):
-    """Those that were aboard by chance are served, however often it was."""
+    """Requests that ran beside the crashing one are served, however often they did."""
 
-    def test_who_lost_three_in_a_row_to_another_is_still_sent(self):
+    def test_request_with_three_crashes_beside_another_is_still_sent(self):
         host = Host()
         for _ in range(3):
             names = [host.ask(body)[0] for body in (DEADLY, OTHER)]
             host.later()
-            # Whoever they were with, all of it ended at once.
+            # Both requests were running on the upstream that crashed.
             upstream = host.sent[names[0]].upstream
             for name in names:
                 item = host.scheduler._requests.get(name)
                 item.upstream = item.incarnation = upstream
-            host.end(*names)
+            host.crash(*names)
             host.later()
         self.assertEqual(QuarantineState.APART, host.quarantine_state(OTHER))
         name, _ = host.ask(OTHER)
         host.later()
         host.answer(name)
-        # The one that is left is to blame, at its next end.
-        host.end_under(DEADLY, 1)
+        # The remaining request is held responsible at its next crash.
+        host.crash_under(DEADLY, 1)
         self.assertEqual(QuarantineState.STOPPED, host.quarantine_state(DEADLY))
         self.assertEqual(QuarantineState.NONE, host.quarantine_state(OTHER))
 
-    def test_suspects_are_kept_from_each_others_upstreams(self):
+    def test_suspects_are_isolated_on_different_upstreams(self):
         host = Host()
         bodies = [b"%d" % number for number in range(len(NAMES))]
         host.suspect(*bodies)
@@ -215,7 +218,7 @@
         upstreams = [host.sent[name].upstream for name in names]
         self.assertEqual(NAMES, sorted(upstreams))
 
-    def test_one_that_finds_no_upstream_of_its_own_waits_for_it(self):
+    def test_suspect_without_a_free_upstream_waits_for_one(self):
         host = Host(names=["u-0"])
         host.suspect(b"1", b"2")
         host.later()
@@ -227,7 +230,7 @@
         host.answer(first)
         self.assertIn(second, host.sent)
 
-    def test_nor_does_it_wait_for_good(self):
+    def test_suspect_without_a_free_upstream_is_refused_after_a_bounded_wait(self):
         host = Host(names=["u-0"])
         host.suspect(b"1", b"2")
         host.later()
@@ -240,9 +243,9 @@
         self.assertEqual(RunState.NOT_SENT, refused[0].run_state)
         self.assertLess(host.at_seconds, 3.0)
 
-    def test_an_upstream_that_answers_after_all_takes_its_end_back(self):
+    def test_later_answer_of_an_upstream_retracts_its_crash(self):
         host = Host(names=["u-0"])
-        host.end_under(DEADLY, 1)
+        host.crash_under(DEADLY, 1)
         host.later(2.0)
         host.do(LoadReported("u-0", None))
         host.scheduler.upstreams.due_probes(host.at_seconds)
@@ -250,14 +253,14 @@
         host.do(LoadReported("u-0", None))
         self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
-    def test_what_closes_on_purpose_is_no_end(self):
+    def test_connection_closed_while_draining_is_no_crash(self):
         host = Host(names=["u-0"])
         name, _ = host.ask(DEADLY)
         host.list_upstreams(u0="leaving")
-        host.end(name)
+        host.crash(name)
         self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
-    def test_one_that_is_silent_is_no_end(self):
+    def test_unresponsive_upstream_is_no_crash(self):
         host = Host()
         name, _ = host.ask(DEADLY)
         sent = host.sent[name]
@@ -265,59 +268,61 @@
         self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
 
-class NewsTest(TestCase):
-    """What one host saw, the others know."""
+class UpdateTest(TestCase):
+    """Hosts share the crashes that they observe."""
 
-    def tell(self, teller, hearer, take=None):
-        suspects = teller.scheduler.quarantine
-        news = (take or suspects.take_update)(teller.at_seconds)
-        if news is not None:
-            hearer.do(CrashUpdateReceived(news))
+    def send(self, sender, receiver, take=None):
+        quarantine = sender.scheduler.quarantine
+        update = (take or quarantine.take_update)(sender.at_seconds)
+        if update is not None:
+            receiver.do(CrashUpdateReceived(update))
 
-    def test_three_hosts_that_saw_one_end_each_stop_it(self):
+    def test_one_crash_on_each_of_three_hosts_quarantines_a_request(self):
         hosts = [Host(), Host(), Host()]
         for index, host in enumerate(hosts):
             host.at_seconds = 100.0 * index
             name, _ = host.ask(DEADLY)
-            # Each at another upstream.
+            # Each on a different upstream.
             item = host.scheduler._requests.get(name)
             item.upstream = item.incarnation = NAMES[index]
-            host.end(name)
+            host.crash(name)
             for other in hosts:
                 if other is not host:
-                    self.tell(host, other, host.scheduler.quarantine.initial_state)
+                    self.send(host, other, host.scheduler.quarantine.initial_state)
         for host in hosts:
             host.later()
             self.assertEqual(QuarantineState.STOPPED, host.quarantine_state(DEADLY))
 
-    def test_a_host_that_has_just_come_is_told(self):
+    def test_newly_connected_host_receives_the_state(self):
         old, new = Host(), Host()
-        old.end_under(DEADLY, 3)
-        self.tell(old, new, old.scheduler.quarantine.initial_state)
+        old.crash_under(DEADLY, 3)
+        self.send(old, new, old.scheduler.quarantine.initial_state)
         _, (refusal,) = new.ask(DEADLY)
         self.assertEqual("ends_upstreams", refusal.reason)
 
-    def test_news_is_told_again_for_a_while_only(self):
+    def test_updates_are_retransmitted_for_a_limited_time(self):
         host = Host()
-        host.end_under(DEADLY, 3)
-        suspects = host.scheduler.quarantine
-        self.assertIsNotNone(suspects.take_update(host.at_seconds))
-        self.assertIsNone(suspects.take_update(host.at_seconds))
-        self.assertIsNotNone(suspects.take_retransmission(host.at_seconds))
-        self.assertIsNone(suspects.take_retransmission(host.at_seconds + 10.0))
-
-    def test_a_request_let_go_stays_so_whatever_old_news_comes(self):
+        host.crash_under(DEADLY, 3)
+        quarantine = host.scheduler.quarantine
+        self.assertIsNotNone(quarantine.take_update(host.at_seconds))
+        self.assertIsNone(quarantine.take_update(host.at_seconds))
+        self.assertIsNotNone(quarantine.take_retransmission(host.at_seconds))
+        self.assertIsNone(quarantine.take_retransmission(host.at_seconds + 10.0))
+
+    def test_older_updates_do_not_restore_a_cleared_request(self):
         one, two = Host(), Host()
-        one.end_under(DEADLY, 3)
+        one.crash_under(DEADLY, 3)
         old = one.scheduler.quarantine.initial_state(one.at_seconds)
         two.do(CrashUpdateReceived(old))
         one.at_seconds += 1.0
         two.at_seconds += 1.0
-        found = RequestIdentity("/w", "h/x", DEADLY).fingerprint
+        fingerprint = RequestIdentity("/w", "h/x", DEADLY).fingerprint
         self.assertTrue(
-            one.scheduler.quarantine.clear(found, one.at_seconds, "an operator says so")
+            one.scheduler.quarantine.clear(
+                fingerprint, one.at_seconds, "an operator cleared it"
+            )
         )
-        self.tell(one, two)
+        self.send(one, two)
         self.assertEqual(QuarantineState.NONE, two.quarantine_state(DEADLY))
         aged = attrs.evolve(
             old,
@@ -327,23 +332,24 @@
         two.do(CrashUpdateReceived(aged))
         self.assertEqual(QuarantineState.NONE, two.quarantine_state(DEADLY))
 
-    def test_a_peers_word_stops_what_is_under_way(self):
+    def test_update_of_a_peer_stops_running_attempts(self):
         host = Host()
         name, _ = host.ask(DEADLY)
-        found = RequestIdentity("/w", "h/x", DEADLY).fingerprint
-        news = CrashUpdate(stopped=[StoppedRequest(found, "/w", 0.1, 3)])
-        actions = host.do(CrashUpdateReceived(news))
+        fingerprint = RequestIdentity("/w", "h/x", DEADLY).fingerprint
+        update = CrashUpdate(stopped=[StoppedRequest(fingerprint, "/w", 0.1, 3)])
+        actions = host.do(CrashUpdateReceived(update))
         self.assertEqual([name], [a.request_id for a in actions if type(a) is Refuse])
 
 
-class MidwayTest(TestCase):
-    """A stream whose upstream ended waits for another one, and not to its deadline.
+class InterruptedStreamTest(TestCase):
+    """A stream whose upstream crashed waits for another, but not until its deadline.
 
-    All five upstreams had ended within a second, and callers that had a part of their
-    answers were kept for four seconds and more, until they gave up.
+    Guards against streams that stay open without an upstream: when all five upstreams
+    crashed within a second, callers with a partial answer waited for four seconds and
+    more, until they gave up.
     """
 
-    def test_it_is_broken_off_after_some_seconds_without_any(self):
+    def test_stream_is_broken_off_after_some_seconds_without_an_upstream(self):
         host = Host(names=["u-0"])
         name, _ = host.ask(OTHER)
         attempt = host.sent[name].attempt_id
@@ -352,35 +358,37 @@
         item.lifecycle.max_attempts_count = 2
         host.do(AttemptAccepted(name, attempt))
         host.do(AttemptDelivered(name, attempt))
-        self.assertEqual([], [a for a in host.end(name) if type(a) is Refuse])
-        ended_at_seconds = host.at_seconds
+        self.assertEqual([], [a for a in host.crash(name) if type(a) is Refuse])
+        crashed_at_seconds = host.at_seconds
         refused = []
         while not refused and host.at_seconds < 29.0:
             refused = [a for a in host.later(0.1) if type(a) is Refuse]
-        self.assertLess(host.at_seconds - ended_at_seconds, 4.5)
+        self.assertLess(host.at_seconds - crashed_at_seconds, 4.5)
         self.assertEqual(RunState.RUNNING, refused[0].run_state)
 
 
 class BoundsTest(TestCase):
-    def note(self, book, number, workspace, now_seconds):
-        found = number.to_bytes(16, "big")
-        life = IncarnationKey("u", str(number))
-        book.note_crash(life, found, workspace, now_seconds, now_seconds)
-        return found
-
-    def test_a_workspace_that_makes_many_loses_its_own(self):
-        book = CrashTracker()
-        kept = self.note(book, 0, "/quiet", 0.0)
+    def note(self, tracker, number, workspace, now_seconds):
+        fingerprint = number.to_bytes(16, "big")
+        incarnation_key = IncarnationKey("u", str(number))
+        tracker.note_crash(
+            incarnation_key, fingerprint, workspace, now_seconds, now_seconds
+        )
+        return fingerprint
+
+    def test_eviction_hits_the_workspace_with_the_most_suspects(self):
+        tracker = CrashTracker()
+        other = self.note(tracker, 0, "/quiet", 0.0)
         for number in range(1, MAX_SUSPECT_REQUESTS_COUNT + 10):
-            self.note(book, number, "/loud", 1.0)
-        self.assertEqual(MAX_SUSPECT_REQUESTS_COUNT, len(book))
-        self.assertIsNotNone(book.get(kept))
-        self.assertEqual(10, book.dropped_count)
-
-    def test_what_nobody_asks_for_is_forgotten(self):
-        book = CrashTracker()
-        self.note(book, 1, "/w", 0.0)
-        book.sweep(899.0)
-        self.assertEqual(1, len(book))
-        book.sweep(910.0)
-        self.assertEqual(0, len(book))
+            self.note(tracker, number, "/loud", 1.0)
+        self.assertEqual(MAX_SUSPECT_REQUESTS_COUNT, len(tracker))
+        self.assertIsNotNone(tracker.get(other))
+        self.assertEqual(10, tracker.dropped_count)
+
+    def test_suspects_not_seen_for_long_expire(self):
+        tracker = CrashTracker()
+        self.note(tracker, 1, "/w", 0.0)
+        tracker.sweep(899.0)
+        self.assertEqual(1, len(tracker))
+        tracker.sweep(910.0)
+        self.assertEqual(0, len(tracker))
