--- a/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
@@ -1,25 +1,26 @@
-"""Whether a request that comes to a leaving host may still be served there."""
+"""Admission of requests to a draining host, by the estimated time of their answers."""
 
 import math
 
-#: Time that one answer token is taken to need: some three times what today's engines
-#: take at a middling load.
+#: Estimated time for one answer token: about three times what current engines take at
+#: medium load.
 TOKEN_SECONDS = 0.03
 
-#: Multiple of its latency target within which a request is taken to begin.
-TARGET_FACTOR = 2.0
+#: Multiple of its latency target within which a request is assumed to start.
+START_FACTOR = 2.0
 
-#: Least part of the reckoned time that the slowest answers are taken to need, and the
-#: time constant with which a slow one is forgotten.
+#: Minimum ratio assumed for the slowest answers, and the time constant of the decay of
+#: a measured ratio.
 MIN_WORST_RATIO = 2.0
 WORST_DECAY_SECONDS = 30.0
 
 
 class SlowAnswerTracker:
-    """How much longer than reckoned the slowest answers of late took.
+    """Tracks how much longer than estimated the slowest recent answers took.
 
-    After an outage of the store some take several times what is reckoned: hosts that
-    leave would take such requests with too little time left, and cut their answers.
+    After an outage of the store some answers take several times the estimate. Without
+    the measured ratio, draining hosts would admit such requests with too little time
+    left, and truncate their answers.
     """
 
     def __init__(self) -> None:
@@ -28,21 +29,21 @@
 
     def note(
         self,
-        whole_seconds: float,
+        answer_seconds: float,
         *,
         latency_target_seconds: float,
         answer_tokens: int,
         now_seconds: float,
     ) -> None:
-        """Note how long a whole answer took."""
-        needed_seconds = _needed_seconds(latency_target_seconds, answer_tokens)
-        ratio = whole_seconds / needed_seconds
+        """Record the duration of a complete answer."""
+        estimated_seconds = _estimated_seconds(latency_target_seconds, answer_tokens)
+        ratio = answer_seconds / estimated_seconds
         if ratio > self._decayed_ratio(now_seconds):
             self._worst_ratio = ratio
             self._at_seconds = now_seconds
 
     def worst_ratio(self, now_seconds: float) -> float:
-        """Return the multiple of the reckoned time that is surely enough."""
+        """Return the multiple of the estimate that even slow answers stay within."""
         return max(MIN_WORST_RATIO, self._decayed_ratio(now_seconds))
 
     def _decayed_ratio(self, now_seconds: float) -> float:
@@ -58,14 +59,14 @@
     now_seconds: float,
     overrun_ratio: float = 1.0,
 ) -> bool:
-    """Return whether a request will have its whole answer by ``end_seconds``.
+    """Return whether a request will have its complete answer by ``end_seconds``.
 
-    One that may not is better refused at once, while it has not run. ``pace_ratio`` is
-    how much longer than reckoned its answer may take.
+    A request that may not is refused at once, before it has run. ``overrun_ratio`` is
+    the multiple of the estimate that its answer may take.
     """
-    needed_seconds = _needed_seconds(latency_target_seconds, max_answer_tokens)
-    return now_seconds + needed_seconds * overrun_ratio <= end_seconds
+    estimated_seconds = _estimated_seconds(latency_target_seconds, max_answer_tokens)
+    return now_seconds + estimated_seconds * overrun_ratio <= end_seconds
 
 
-def _needed_seconds(latency_target_seconds: float, answer_tokens: int) -> float:
-    return latency_target_seconds * TARGET_FACTOR + answer_tokens * TOKEN_SECONDS
+def _estimated_seconds(latency_target_seconds: float, answer_tokens: int) -> float:
+    return latency_target_seconds * START_FACTOR + answer_tokens * TOKEN_SECONDS
--- a/packages/rampwick-policy/src/rampwick_policy/_evidence.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_evidence.py
@@ -1,4 +1,4 @@
-"""What a refusal rested on, in a line for logs and explanations."""
+"""One-line descriptions of the state behind a refusal, for logs and operators."""
 
 from collections import Counter
 
@@ -17,25 +17,26 @@
     saved_retries: float,
     now_seconds: float,
 ) -> str:
-    """Return how long a request waited, what it tried, and who could have taken it."""
+    """Return a refused request's wait, its attempts and the states of its upstreams."""
     lifecycle = item.lifecycle
     waited_seconds = now_seconds - item.arrived_at_seconds
     left_seconds = item.arrival.deadline_seconds - now_seconds
     return (
         f"waited {waited_seconds:.3f} s, {left_seconds:.3f} s left; "
         f"{lifecycle.attempts_count} attempts, {lifecycle.runs_count} may have run; "
-        f"{waiting_count} wait here; {saved_retries:.1f} retries saved; "
+        f"{waiting_count} queued on this host; "
+        f"retry budget {saved_retries:.1f}; "
         f"upstreams: {_describe_upstreams(item, pool, now_seconds)}"
         + (f"; {quarantine_state}" if quarantine_state else "")
     )
 
 
 def describe_limit(state: LimitState) -> str:
-    """Return how a limit stands that a request was refused for."""
+    """Return the state of a limit for which a request was refused."""
     return (
         f"{state.used_tokens:.0f} of {state.allowed_tokens:.0f} tokens sent by all "
-        f"within the window; admitted {state.admit_ratio:.3f} of what is asked for; "
-        f"part of the fleet heard {state.part_ratio:.2f}"
+        f"hosts within the window; admitted share of the demand "
+        f"{state.admit_ratio:.3f}; usable share of the limit {state.part_ratio:.2f}"
     )
 
 
@@ -52,10 +53,10 @@
 
 def _state(upstream: Upstream, pool: Pool, now_seconds: float) -> str:
     state = pool.upstreams.describe(upstream, now_seconds).partition(" ")[0]
-    turn = pool.turns.state(upstream, now_seconds)
-    if state != "up" or turn is None:
+    rate_state = pool.turns.state(upstream, now_seconds)
+    if state != "up" or rate_state is None:
         return state
     return (
-        f"up at {turn.requests_per_second:g}/s of which "
-        f"{turn.own_requests_per_second:.2g}/s are this host's"
+        f"up (limited to {rate_state.requests_per_second:g}/s, "
+        f"{rate_state.own_requests_per_second:.2g}/s for this host)"
     )
--- a/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
@@ -1,6 +1,6 @@
-"""Upstreams that are no longer listed, for the case that the store forgets it.
+"""Recently removed upstream entries, to detect that a restored store lists them again.
 
-A store that is restored from an older copy lists upstreams that had left by then.
+A store that is restored from an older copy lists upstreams that were removed since.
 """
 
 from collections.abc import Iterable
@@ -12,13 +12,13 @@
 from ._shutdown_announcements import Incarnation
 from ._upstream import Upstream
 
-#: Age of a copy up to which what it lists is compared with what is known.
+#: Retention of removed entries, which is the maximum age of a copy that is detected.
 RETENTION_SECONDS = 120.0
 
 
 @attrs.frozen(repr=False)
 class FormerEntry(Shown):
-    """An upstream as it was when its entry went."""
+    """The state of an upstream when its entry was removed."""
 
     incarnation: Incarnation
     was_draining: bool
@@ -26,28 +26,28 @@
 
 
 class FormerEntries:
-    """The upstreams whose entries went of late, by name."""
+    """The recently removed upstream entries by name."""
 
     def __init__(self) -> None:
         self._entries: dict[str, FormerEntry] = {}
 
     def get(self, name: str, now_seconds: float) -> FormerEntry | None:
-        """Return the upstream of this name, if it went of late."""
+        """Return the entry of this name if it was removed recently."""
         entry = self._entries.get(name)
-        is_kept = entry is not None and _is_retained(entry, now_seconds)
-        return entry if is_kept else None
+        is_retained = entry is not None and _is_retained(entry, now_seconds)
+        return entry if is_retained else None
 
     def note_removed(
         self, upstream: Upstream, was_draining: bool, now_seconds: float
     ) -> None:
-        """Note that an upstream's entry went."""
+        """Record that an upstream's entry was removed."""
         incarnation = Incarnation(upstream.name, upstream.incarnation)
         self._entries[upstream.name] = FormerEntry(
             incarnation, was_draining, now_seconds
         )
 
     def forget(self, listed: Iterable[str], now_seconds: float) -> None:
-        """Drop those that are listed again, and those of long ago."""
+        """Drop the entries that are listed again and those past their retention."""
         for name in listed:
             self._entries.pop(name, None)
         self._entries = {
--- a/packages/rampwick-policy/src/rampwick_policy/_health.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_health.py
@@ -1,8 +1,8 @@
-"""Health of one upstream: down at the first failure, back on a ramp.
+"""Health of one upstream: down at the first failure, then a gradual recovery.
 
-A breaker that closes at once hands a runner that has just come back, with an empty
-cache, the whole load under which it failed. The ramp is taken from the Switchyard
-paper (related reading); docs/design/retries.md has our measurement.
+A circuit breaker that closes at once would send a restarted runner, with an empty
+cache, the full load under which it failed. The slow-start ramp follows the Switchyard
+paper (see related reading); docs/design/retries.md has the measurement.
 """
 
 import enum
@@ -11,16 +11,16 @@
 
 from rampwick_schema import Shown
 
-#: Shortest and longest time without new work after a failure.
+#: Minimum and maximum time without new work after a failure.
 MIN_PAUSE_SECONDS = 0.25
 MAX_PAUSE_SECONDS = 8.0
 
-#: Failures in a row that are told apart.
+#: Maximum count of consecutive failures.
 MAX_COUNTED_FAILURES = 16
 
 
 class HealthState(enum.Enum):
-    """Whether an upstream gets work."""
+    """Whether an upstream gets new work."""
 
     UP = "up"
     DOWN = "down"
@@ -35,24 +35,24 @@
     ramp_seconds: float
     state: HealthState = HealthState.UP
     pause_seconds: float = MIN_PAUSE_SECONDS
-    #: When the present state began; while it is down, when it failed last.
+    #: When the current state began; while down, the time of the last failure.
     since_seconds: float = 0.0
-    #: When it went down.
+    #: When it last changed to down.
     down_at_seconds: float = 0.0
     last_error: str = ""
-    #: Failures in a row, answers between them set it to nothing.
+    #: Consecutive failures; an answered probe resets the count.
     failures_count: int = 0
 
     def note_failure(self, error: str, now_seconds: float) -> None:
-        """Take the upstream out; soon after a return, for twice as long."""
-        was_back_seconds = now_seconds - self.since_seconds
+        """Mark the upstream as down; double the pause if it failed during its ramp."""
+        since_return_seconds = now_seconds - self.since_seconds
         self.failures_count = min(self.failures_count + 1, MAX_COUNTED_FAILURES)
         if self.state is not HealthState.DOWN:
             self.down_at_seconds = now_seconds
-            is_soon_again = was_back_seconds < self.ramp_seconds and self.last_error
+            is_repeated = since_return_seconds < self.ramp_seconds and self.last_error
             self.pause_seconds = (
                 min(MAX_PAUSE_SECONDS, self.pause_seconds * 2)
-                if is_soon_again
+                if is_repeated
                 else MIN_PAUSE_SECONDS
             )
         self.state = HealthState.DOWN
@@ -60,10 +60,10 @@
         self.last_error = error
 
     def note_probe(self, is_same_generation: bool, now_seconds: float) -> None:
-        """Let the upstream back in if an answered probe comes after the pause.
+        """Readmit the upstream if a probe was answered after the pause.
 
-        A life that went on had only a broken connection, and its cache is warm: it
-        gets its slots back at once. A new one gets them on the ramp.
+        If the generation is unchanged, only a connection broke and the cache is warm:
+        all slots are available at once. A new generation gets them on the ramp.
         """
         self.failures_count = 0
         if self.state is not HealthState.DOWN:
@@ -83,5 +83,5 @@
         if progress >= 1.0:
             self.state = HealthState.UP
             return 1.0
-        # Geometric: the ratio grows by equal factors in equal times.
+        # Geometric growth: equal factors in equal times.
         return self.ramp_start_ratio ** (1.0 - progress)
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -1,6 +1,6 @@
-"""What one host knows of the pool: upstreams, peers, use, limits and rates.
+"""One host's state of the pool: upstreams, peers, usage, limits and rates.
 
-It takes events and answers questions; it decides nothing about requests.
+The pool applies events and answers queries; it makes no decisions about requests.
 """
 
 from collections.abc import Callable, Sequence
@@ -26,17 +26,19 @@
 from ._shutdown_announcements import Incarnation
 from ._upstreams import IneligibleReason, Upstream, UpstreamTable
 
-#: Upstreams of a hall that must fall silent for this host, and within which time, for
-#: the rest of them to be asked how they are before they are sent anything. One may be
-#: ill by itself; the time is that in which a host notices a silence twice.
+#: Number of upstreams of a hall that must become unresponsive to this host within the
+#: time below before it probes the others of that hall instead of sending them requests.
+#: A single one may have failed by itself. Within the time, a host detects two
+#: unresponsive upstreams.
 HALL_OUTAGE_COUNT = 2
 HALL_OUTAGE_SECONDS = 1.5
 
-#: Part of the upstreams beyond which a word that they are down is neither told nor
-#: taken: who found them so is more likely cut off itself, or many found one each.
+#: Share of the upstreams beyond which a report that they are down is neither sent nor
+#: applied. Its sender is more likely partitioned itself, or the report sums up single
+#: findings of many hosts.
 MAX_REPORTED_DOWN_RATIO = 0.5
 
-#: Events that the pool takes.
+#: Events that the pool handles.
 PoolEvent = (
     ev.LoadReported
     | ev.ProbeFailed
@@ -56,7 +58,7 @@
 
 
 class Pool:
-    """Upstreams, caches, peers and use as this host knows them."""
+    """Upstreams, caches, peers and usage as this host has observed them."""
 
     def __init__(self, settings: Settings) -> None:
         self.peers = Membership(settings.peers.dead_after_seconds)
@@ -68,11 +70,11 @@
             settings.placement,
             settings.queue.slots_factor,
         )
-        #: Names of the services that requests may be led to.
+        #: Names of the services that requests may be routed to.
         self.services: frozenset[str] = frozenset()
         self.notices = NoticeBook()
-        #: Requests a second that upstreams in need take from all hosts, and whose turn
-        #: it is to send them one.
+        #: Request rates that overloaded upstreams accept from all hosts together, and
+        #: this host's share of them.
         self.rates = RequestRates(self.notices)
         self.turns = RequestTurns(
             self.rates,
@@ -86,30 +88,30 @@
         self.imports = self.caches.imports
         self.cache_transfers = self.caches.cache_transfers
         self._handlers: dict[type, Callable[[Any, float], None]] = {
-            ev.LoadReported: self._on_report,
+            ev.LoadReported: self._on_load_report,
             ev.ProbeFailed: self._on_probe_failed,
             ev.HostListRead: self._on_host_list,
-            ev.PeerSummaryReceived: self._on_peer,
+            ev.PeerSummaryReceived: self._on_peer_summary,
             ev.PeerGone: self._on_peer_gone,
             ev.WeightsSeen: self._on_weights,
             ev.LoadOrdered: self._on_load,
             ev.TargetsRead: self._on_targets,
             ev.CacheSeen: self.caches.apply_changes,
-            ev.RateNamed: self._on_rate,
+            ev.RateNamed: self._on_rate_limit_reported,
             ev.RateLimitUpdateReceived: self._on_rate_limits_received,
             ev.UpstreamSignalled: self._on_signalled,
             ev.LeavingUpdateReceived: self._on_leaving_received,
-            ev.NeighboursSeen: self._on_neighbours,
+            ev.NeighboursSeen: self._on_peers_changed,
         }
 
     def handle(self, event: PoolEvent, now_seconds: float) -> None:
-        """Take an event."""
+        """Apply an event."""
         self._handlers[type(event)](event, now_seconds)
 
     def is_in_service(self, upstream: Upstream) -> bool:
-        """Return whether an upstream belongs to a service that is in force.
+        """Return whether an upstream belongs to a configured service.
 
-        An entry that names another service names no runner to use, or to order.
+        A runner whose entry names another service gets neither requests nor orders.
         """
         group = upstream.entry.group
         return not group or group in self.services
@@ -117,112 +119,120 @@
     def note_failure(
         self, failed: Incarnation, event: ev.AttemptFailed, now_seconds: float
     ) -> None:
-        """Note what an attempt's failure says about its upstream."""
+        """Update the state of an upstream after a failed attempt."""
         upstream = self.upstreams.get(failed.upstream)
         if upstream is None:
             return
         if event.outcome.is_ill_health:
-            self._take_down(upstream, event.message, now_seconds)
+            self._mark_down(upstream, event.message, now_seconds)
             if not event.was_closed:
                 self._check_hall_outage(upstream, now_seconds)
         elif event.outcome in (Outcome.STALE, Outcome.MISDIRECTED):
-            # The next probe says which life it is now.
+            # The next probe reports the present generation.
             upstream.cache_generation = None
-            self._notice(upstream, event.message, now_seconds)
+            self._record_state(upstream, event.message, now_seconds)
         elif event.outcome is Outcome.BUSY:
             self._pause(failed, event.retry_after_seconds, event.message, now_seconds)
 
     def note_stalled_upstream(self, name: str, now_seconds: float) -> None:
-        """Note that an upstream does not begin to answer this host."""
+        """Record that an upstream does not start to answer this host."""
         self.suspect(name, now_seconds)
         upstream = self.upstreams.get(name)
         if upstream is not None:
             self._check_hall_outage(upstream, now_seconds)
 
     def _check_hall_outage(self, upstream: Upstream, now_seconds: float) -> None:
-        """Suspect all upstreams of a hall of which two have just fallen silent.
+        """Suspect all upstreams of a hall if two have just become unresponsive.
 
-        A hall that is cut off takes all of them along. Found out one by one, each cost
-        requests the whole bound on silence.
+        A partitioned hall makes all its upstreams unreachable. When they were detected
+        one by one, each of them cost requests the full stall timeout.
         """
         hall = upstream.entry.hall
-        mates = [item for item in self.upstreams if item.entry.hall == hall]
-        if any(item.has_answered_recently(now_seconds) for item in mates):
+        hall_upstreams = [item for item in self.upstreams if item.entry.hall == hall]
+        if any(item.has_answered_recently(now_seconds) for item in hall_upstreams):
             return
         upstream.unresponsive_at_seconds = now_seconds
         oldest_seconds = now_seconds - HALL_OUTAGE_SECONDS
-        silent = [
-            item for item in mates if item.unresponsive_at_seconds > oldest_seconds
+        unresponsive = [
+            item
+            for item in hall_upstreams
+            if item.unresponsive_at_seconds > oldest_seconds
         ]
-        if len(silent) < HALL_OUTAGE_COUNT:
+        if len(unresponsive) < HALL_OUTAGE_COUNT:
             return
-        for item in mates:
-            if item not in silent and self.upstreams.suspect(item, now_seconds):
-                self._notice(item, f"others of {hall} are silent", now_seconds)
+        for item in hall_upstreams:
+            if item not in unresponsive and self.upstreams.suspect(item, now_seconds):
+                self._record_state(
+                    item,
+                    f"other upstreams of hall {hall} are unresponsive",
+                    now_seconds,
+                )
 
     def withdrawal(
         self, name: str, incarnation: str, now_seconds: float
     ) -> IneligibleReason | None:
-        """Return why a request that was placed must not be sent after all.
+        """Return why a request that was placed must not be sent any more, if so.
 
-        What an upstream asks for while a request waits for its connection holds for
-        that request, too.
+        An upstream's shutdown or pause that is announced while a request waits for its
+        connection also applies to that request.
         """
         upstream = self.upstreams.get(name)
         if upstream is None:
             return None
         if incarnation not in ("", upstream.incarnation):
             return None
-        ineligible_reason = self.upstreams.ineligible_reason(upstream, now_seconds)
-        return (
-            ineligible_reason
-            if ineligible_reason and ineligible_reason.is_requested_by_upstream
-            else None
-        )
+        reason = self.upstreams.ineligible_reason(upstream, now_seconds)
+        return reason if reason and reason.is_requested_by_upstream else None
 
     def suspect(self, name: str, now_seconds: float) -> bool:
-        """Suspect an upstream that fell silent; return whether that is new."""
+        """Suspect an unresponsive upstream; return whether that is new."""
         upstream = self.upstreams.get(name)
         if upstream is None or not self.upstreams.suspect(upstream, now_seconds):
             return False
-        self._notice(upstream, "it is silent, or a peer says so", now_seconds)
+        self._record_state(
+            upstream, "unresponsive, or reported down by a peer", now_seconds
+        )
         return True
 
     def expire_peers(self, now_seconds: float) -> None:
-        """Drop peers that have been silent for too long."""
+        """Drop peers that have been unresponsive for too long."""
         for view in self.peers.expire(now_seconds):
             silent_seconds = now_seconds - view.heard_at_seconds
-            self.notices.forget("peer", view.name, f"silent for {silent_seconds:.1f} s")
+            self.notices.forget(
+                "peer", view.name, f"no message for {silent_seconds:.1f} s"
+            )
 
     def update_limit_states(self, now_seconds: float) -> None:
-        """Note who is there to keep limits, and which begin or end to bind."""
+        """Update the number of hosts sharing the limits, and record binding limits."""
         self.limits.note_time(self.peers.hosts_count(now_seconds), now_seconds)
         self.rates.sweep(now_seconds)
         for path, is_binding in self.limits.bindings(now_seconds):
             if not is_binding and not self.notices.knows("limit", path):
                 continue
-            belief = "binding" if is_binding else "open"
+            limit_state = "binding" if is_binding else "open"
             state = self.limits.state(path, now_seconds)
             reason = (
                 f"{state.used_tokens:.0f} of {state.allowed_tokens:.0f} tokens sent by "
-                f"all, part {state.part_ratio:.2f}"
+                f"all hosts, usable share {state.part_ratio:.2f}"
             )
-            self.notices.note("limit", path, belief, reason)
+            self.notices.note("limit", path, limit_state, reason)
 
-    def _notice(self, upstream: Upstream, reason: str, now_seconds: float) -> None:
-        """Note what is believed of an upstream now, and why."""
+    def _record_state(
+        self, upstream: Upstream, reason: str, now_seconds: float
+    ) -> None:
+        """Record the present state of an upstream and the reason for it."""
         state = self.upstreams.describe(upstream, now_seconds)
         self.notices.note("upstream", upstream.name, state, reason)
 
-    def _take_down(self, upstream: Upstream, error: str, now_seconds: float) -> None:
+    def _mark_down(self, upstream: Upstream, error: str, now_seconds: float) -> None:
         upstream.is_suspected = False
         upstream.health.note_failure(error, now_seconds)
-        # Nothing is known of the engine until it reports a life again; if it is
-        # the old one, what it holds is still good.
+        # The engine's generation is unknown until it reports one again. If that is the
+        # old one, the index of its cache is still valid.
         upstream.cache_generation = None
-        self._notice(upstream, error, now_seconds)
+        self._record_state(upstream, error, now_seconds)
 
-    def _on_report(self, event: ev.LoadReported, now_seconds: float) -> None:
+    def _on_load_report(self, event: ev.LoadReported, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
         if upstream is None:
             return
@@ -232,12 +242,12 @@
             self.caches.observe(upstream, event.report.cache_tokens)
         upstream.health.note_probe(is_same_generation, now_seconds)
         self.upstreams.clear(upstream, now_seconds)
-        self._notice(upstream, "it answered a probe", now_seconds)
+        self._record_state(upstream, "it answered a probe", now_seconds)
 
     def _on_probe_failed(self, event: ev.ProbeFailed, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
         if upstream is not None:
-            self._take_down(upstream, event.message, now_seconds)
+            self._mark_down(upstream, event.message, now_seconds)
 
     def _on_host_list(self, event: ev.HostListRead, now_seconds: float) -> None:
         reason = f"host list {event.host_list.version}"
@@ -250,7 +260,7 @@
         for upstream in self.upstreams:
             if upstream.entry.incarnation and upstream.is_runner:
                 self.caches.observe(upstream)
-            self._notice(upstream, reason, now_seconds)
+            self._record_state(upstream, reason, now_seconds)
 
     def _on_weights(self, event: ev.WeightsSeen, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
@@ -259,11 +269,11 @@
         generation = CacheGeneration(event.incarnation, event.weights_version)
         known = upstream.last_generation
         if known is not None and known.incarnation != event.incarnation:
-            # Another life is for the list or a probe to tell.
+            # Only the host list or a probe may introduce another incarnation.
             return
         if self.upstreams.note_generation(upstream, generation, event.is_own_report):
             self.caches.observe(upstream)
-            self._notice(upstream, "its weights were seen", now_seconds)
+            self._record_state(upstream, "an answer reported its weights", now_seconds)
 
     def _on_load(self, event: ev.LoadOrdered, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
@@ -271,7 +281,9 @@
             return
         upstream.load_version = event.weights_version
         upstream.load_until_seconds = event.until_seconds
-        self._notice(upstream, "the steward says so", now_seconds)
+        self._record_state(
+            upstream, "the rollout controller ordered a load", now_seconds
+        )
 
     def _on_targets(self, event: ev.TargetsRead, now_seconds: float) -> None:
         targets = self.upstreams.targets
@@ -289,16 +301,16 @@
             state = f"version {target.weights_version}"
             self.notices.note("target", target.model, state, event.source)
 
-    def _on_rate(self, event: ev.RateNamed, now_seconds: float) -> None:
+    def _on_rate_limit_reported(self, event: ev.RateNamed, now_seconds: float) -> None:
         if self.upstreams.get(event.upstream) is None:
             return
-        word = RateObservation(
+        observation = RateObservation(
             event.incarnation,
             event.requests_per_second,
             event.asked_at_seconds,
             now_seconds,
         )
-        self.rates.take_answer(event.upstream, word, now_seconds)
+        self.rates.take_answer(event.upstream, observation, now_seconds)
 
     def _on_rate_limits_received(
         self, event: ev.RateLimitUpdateReceived, now_seconds: float
@@ -312,7 +324,7 @@
             leaving = Incarnation(event.upstream, incarnation)
             self.upstreams.note_shutdown(leaving, now_seconds)
             if upstream is not None:
-                self._notice(upstream, event.source, now_seconds)
+                self._record_state(upstream, event.source, now_seconds)
         if event.pause_seconds is not None:
             paused = Incarnation(event.upstream, incarnation)
             self._pause(paused, event.pause_seconds, event.source, now_seconds)
@@ -324,7 +336,9 @@
         for incarnation in received:
             upstream = self.upstreams.get(incarnation.upstream)
             if upstream is not None:
-                self._notice(upstream, "a peer had an answer", now_seconds)
+                self._record_state(
+                    upstream, "announced in an answer to a peer", now_seconds
+                )
 
     def _pause(
         self,
@@ -336,17 +350,21 @@
         self.upstreams.note_pause(paused, pause_seconds, now_seconds)
         upstream = self.upstreams.get(paused.upstream)
         if upstream is not None:
-            asked = "no time" if pause_seconds is None else f"{pause_seconds:g} s"
-            self._notice(upstream, f"{source}, it asks for {asked}", now_seconds)
+            duration = (
+                "unknown length" if pause_seconds is None else f"{pause_seconds:g} s"
+            )
+            self._record_state(
+                upstream, f"{source}, requested a pause of {duration}", now_seconds
+            )
 
     def expire_pauses(self, now_seconds: float) -> None:
-        """Drop the pauses that are over."""
+        """Drop the pauses that have ended."""
         for incarnation in self.upstreams.pauses.expire(now_seconds):
             upstream = self.upstreams.get(incarnation.upstream)
             if upstream is not None:
-                self._notice(upstream, "its pause is over", now_seconds)
+                self._record_state(upstream, "its pause has ended", now_seconds)
 
-    def _on_neighbours(self, event: ev.NeighboursSeen, now_seconds: float) -> None:
+    def _on_peers_changed(self, event: ev.NeighboursSeen, now_seconds: float) -> None:
         self.turns.standpoint = attrs.evolve(
             self.turns.standpoint,
             neighbours=event.neighbours,
@@ -357,14 +375,16 @@
         self.peers.drop(event.name)
         self.ledger.hear(event.name, (), now_seconds)
         self.limits.forget(event.name)
-        self.notices.forget("peer", event.name, "others speak for it now")
+        self.notices.forget("peer", event.name, "covered by summaries of other hosts")
 
-    def _on_peer(self, event: ev.PeerSummaryReceived, now_seconds: float) -> None:
+    def _on_peer_summary(
+        self, event: ev.PeerSummaryReceived, now_seconds: float
+    ) -> None:
         is_new = self.peers.hear(
             event.name, event.hall, event.incarnation, event.summary, now_seconds
         )
         if is_new:
-            self.notices.note("peer", event.name, "heard", "its summary came")
+            self.notices.note("peer", event.name, "heard", "received its summary")
             self.ledger.hear(event.name, event.summary.workspaces, now_seconds)
             self.limits.hear(event.name, event.summary, event.age_seconds, now_seconds)
             self._on_down_reports(event.summary.down, now_seconds)
@@ -373,15 +393,15 @@
                     self.cache_index.note_reported(placed)
 
     def _on_down_reports(self, names: Sequence[str], now_seconds: float) -> None:
-        """Suspect what a peer has found down.
+        """Suspect the upstreams that a peer reports as down.
 
-        A relay puts together what each of its hosts found: were all of that taken, one
-        overloaded moment would have every host ask every upstream and send nothing.
+        A relay merges the findings of all its hosts. If every report were applied, a
+        single overload would make every host probe every upstream and send nothing.
         """
         if len(names) > MAX_REPORTED_DOWN_RATIO * len(self.upstreams):
             return
         for name in names:
-            # Each host asks for itself: it may reach what the peer does not.
+            # Each host probes by itself: it may reach an upstream that the peer cannot.
             upstream = self.upstreams.get(name)
             if upstream is not None and not upstream.has_answered_recently(now_seconds):
                 self.suspect(name, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
@@ -1,4 +1,4 @@
-"""Upstreams that announced their shutdown in an answer."""
+"""Upstreams that announced their shutdown in an answer to a host."""
 
 from collections.abc import Callable, Collection, Iterable
 
@@ -6,8 +6,8 @@
 
 from rampwick_schema import LeavingUpdate, LeavingUpstream, Shown
 
-#: Time for which the announcement of an upstream that is no longer listed is kept: an
-#: entry that lapsed with the store may come back for the same incarnation.
+#: Retention of an announcement after the upstream is no longer listed: an entry that
+#: expired in an outage of the store may be written again for the same incarnation.
 UNLISTED_SECONDS = 600.0
 
 #: Covers messages dropped by a full send queue and a relay fail-over.
@@ -16,18 +16,18 @@
 
 @attrs.frozen(repr=False)
 class Incarnation(Shown):
-    """One run of an upstream, from its start to its end."""
+    """One run of an upstream process, from its start to its exit."""
 
     upstream: str
-    #: Empty where incarnations are not told apart.
+    #: Empty if the upstream does not report an incarnation.
     name: str
 
 
 class ShutdownAnnouncements:
-    """The incarnations that are shutting down; none of them ever takes that back."""
+    """The incarnations that are shutting down; an announcement is never retracted."""
 
     def __init__(self) -> None:
-        self._noted_at: dict[Incarnation, float] = {}
+        self._announced_at: dict[Incarnation, float] = {}
         self._pending: set[Incarnation] = set()
         #: When each was broadcast by this host, for retransmissions.
         self._broadcast_at: dict[Incarnation, float] = {}
@@ -35,15 +35,15 @@
         self.on_update: Callable[[], None] = _do_nothing
 
     def __len__(self) -> int:
-        return len(self._noted_at)
+        return len(self._announced_at)
 
     def __contains__(self, incarnation: Incarnation) -> bool:
-        return incarnation in self._noted_at
+        return incarnation in self._announced_at
 
     def note(self, incarnation: Incarnation, now_seconds: float) -> bool:
-        """Note an announcement that an answer to this host made.
+        """Record an announcement in an answer to this host.
 
-        Return whether it is the first; peers are sent it then.
+        Return whether it is new; only a new one is broadcast to peers.
         """
         if not self._add(incarnation, now_seconds):
             return False
@@ -52,26 +52,26 @@
         return True
 
     def receive(self, update: LeavingUpdate, now_seconds: float) -> list[Incarnation]:
-        """Take a peer's update; return what was not known here."""
+        """Apply a peer's update; return the incarnations that are new."""
         received = [
             Incarnation(item.upstream, item.incarnation) for item in update.leaving
         ]
         return [item for item in received if self._add(item, now_seconds)]
 
     def _add(self, incarnation: Incarnation, now_seconds: float) -> bool:
-        if incarnation in self._noted_at:
+        if incarnation in self._announced_at:
             return False
-        self._noted_at[incarnation] = now_seconds
+        self._announced_at[incarnation] = now_seconds
         return True
 
     def take_update(self, now_seconds: float) -> LeavingUpdate | None:
-        """Return what was not broadcast yet; none if nothing is new."""
+        """Return the announcements not broadcast yet, or None."""
         pending, self._pending = self._pending, set()
         self._broadcast_at.update(dict.fromkeys(pending, now_seconds))
         return _to_update(pending)
 
     def take_retransmission(self, now_seconds: float) -> LeavingUpdate | None:
-        """Return what was broadcast of late; none if nothing was."""
+        """Return the announcements broadcast recently, or None."""
         oldest_seconds = now_seconds - RETRANSMIT_SECONDS
         self._broadcast_at = {
             incarnation: at_seconds
@@ -81,25 +81,25 @@
         return _to_update(self._broadcast_at)
 
     def initial_state(self, now_seconds: float) -> LeavingUpdate | None:
-        """Return what a host needs that has just connected; none if nothing."""
-        return _to_update(self._noted_at)
+        """Return the announcements for a newly connected host, or None."""
+        return _to_update(self._announced_at)
 
     def sweep(self, listed: Collection[str], now_seconds: float) -> None:
-        """Drop what concerns upstreams that have not been listed for long."""
+        """Drop the announcements of upstreams that have not been listed for long."""
         oldest_seconds = now_seconds - UNLISTED_SECONDS
-        for incarnation, noted_at_seconds in list(self._noted_at.items()):
+        for incarnation, announced_at_seconds in list(self._announced_at.items()):
             if incarnation.upstream in listed:
-                self._noted_at[incarnation] = now_seconds
-            elif noted_at_seconds < oldest_seconds:
-                del self._noted_at[incarnation]
+                self._announced_at[incarnation] = now_seconds
+            elif announced_at_seconds < oldest_seconds:
+                del self._announced_at[incarnation]
 
 
 def _to_update(incarnations: Iterable[Incarnation]) -> LeavingUpdate | None:
-    leaving = [
+    announcements = [
         LeavingUpstream(item.upstream, item.name)
         for item in sorted(incarnations, key=lambda item: (item.upstream, item.name))
     ]
-    return LeavingUpdate(leaving) if leaving else None
+    return LeavingUpdate(announcements) if announcements else None
 
 
 def _do_nothing() -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream.py
@@ -1,4 +1,4 @@
-"""One upstream as this host sees it: its life, health, load and connections."""
+"""State of one upstream on this host: incarnation, health, load and connections."""
 
 import math
 
@@ -10,65 +10,67 @@
 from ._prefill_speed import PrefillSpeed
 from ._prefix_cache_index import CacheGeneration, generation_label
 
-#: Role in which a runner takes requests.
+#: Role of a runner that serves requests.
 SERVING_ROLE = "serve"
 
 #: Slots assumed for an upstream that reports none.
 DEFAULT_SLOTS = 32
 
-#: Time after an answer for which peers' word that an upstream is down is not followed.
+#: Time after an answer in which peers' reports that an upstream is down are ignored.
 RECENT_ANSWER_SECONDS = 0.5
 
-#: Weight of the newest run in the mean length of runs, and the mean assumed before.
+#: Weight of the latest run in the moving average of run times, and its initial value.
 RUN_SMOOTHING = 0.1
-FIRST_RUN_SECONDS = 1.0
+INITIAL_RUN_SECONDS = 1.0
 
 
 @attrs.define(repr=False)
 class Upstream(Shown):
-    """One runner or service as this host sees it."""
+    """One runner or service as this host has observed it."""
 
     entry: HostEntry
     health: Health
-    #: Present life; none while it must be asked for again.
+    #: Current generation of its cache; None until a probe reports it.
     cache_generation: CacheGeneration | None = None
-    #: Life that it reported last.
+    #: Generation that was observed last.
     last_generation: CacheGeneration | None = None
     model: str = ""
     role: str = SERVING_ROLE
     slots_count: int = DEFAULT_SLOTS
-    #: Its own word of how fast it reads prompts; none if it says nothing of it.
+    #: Prefill speed that it reports; 0 if it reports none.
     reported_tokens_per_second: float = 0.0
     reported_running_count: int = 0
-    #: Prompt tokens whose first token has not come, by own attempt.
+    #: Prompt tokens still to be computed, by attempt of this host.
     own_attempts: dict[str, int] = attrs.field(factory=dict)
-    #: Weights that it is loading and until when; it serves nothing meanwhile.
+    #: Version of the weights that it is loading and the time by which it has them; it
+    #: serves no requests meanwhile.
     load_version: int = 0
     load_until_seconds: float = -math.inf
-    #: Whether its present incarnation announced its shutdown, and until when that wants
-    #: no requests from this host.
+    #: Whether its current incarnation announced its shutdown, and until when that
+    #: incarnation asked this host to pause.
     is_shutting_down: bool = False
     paused_until_seconds: float = -math.inf
-    #: Whether it fell silent and is to be asked at once if it is well.
+    #: Whether it is unresponsive; it is probed at once and gets no work until then.
     is_suspected: bool = False
-    #: Until when its silence raises no suspicion, since it has just proved well.
+    #: Until when it is not suspected again, because it has just answered a probe.
     suspicion_exempt_until_seconds: float = -math.inf
-    #: When one of this host's attempts had a piece of an answer last.
+    #: When an attempt of this host last received a part of an answer.
     answered_at_seconds: float = -math.inf
-    #: When one of them found no answer, and none of its hall had one shortly before.
+    #: When an attempt of this host last got no answer while no upstream of the hall had
+    #: answered recently.
     unresponsive_at_seconds: float = -math.inf
-    #: Until when it counts as leaving, whatever its entry says.
-    leaving_until_seconds: float = -math.inf
-    #: Until when it is doubted that it is still there.
+    #: Until when it counts as draining regardless of its entry.
+    draining_until_seconds: float = -math.inf
+    #: Until when its restored entry is not trusted.
     unconfirmed_until_seconds: float = -math.inf
-    #: When it was last asked for its load.
+    #: When it was last probed.
     probed_at_seconds: float = -math.inf
-    #: Mean time for which an attempt holds a slot.
-    run_seconds: float = FIRST_RUN_SECONDS
+    #: Moving average of the time for which an attempt holds a slot.
+    run_seconds: float = INITIAL_RUN_SECONDS
     _started_at: dict[str, float] = attrs.field(factory=dict)
-    #: Tokens to be read of attempts that found nothing waiting, by attempt.
+    #: Tokens to compute of attempts that were sent to an empty queue, by attempt.
     _unqueued_tokens: dict[str, int] = attrs.field(factory=dict)
-    #: Until when each connection rests that this host keeps and nobody uses.
+    #: Time until which each idle connection of this host can be reused.
     _idle_until: list[float] = attrs.field(factory=list)
 
     @property
@@ -83,12 +85,12 @@
 
     @property
     def generation_name(self) -> str:
-        """Present life as peers name it, empty while none is known."""
+        """Label of the current generation in peer messages; empty if unknown."""
         return generation_label(self.cache_generation) if self.cache_generation else ""
 
     @property
     def known_incarnation(self) -> str:
-        """Life that attempts name; empty where none is known, or there are no lives."""
+        """Incarnation of the current generation; empty if unknown or for a service."""
         return (
             self.cache_generation.incarnation
             if self.cache_generation is not None
@@ -97,21 +99,21 @@
 
     @property
     def incarnation(self) -> str:
-        """Life that attempts are sent to, as far as it is known."""
+        """Incarnation that attempts are sent to, by its cache or else its entry."""
         if self.cache_generation is not None:
             return self.cache_generation.incarnation
         return self.entry.incarnation
 
     def is_loading(self, now_seconds: float) -> bool:
-        """Return whether it was told to load weights that it does not have yet."""
-        has_them = self.cache_generation is not None and (
+        """Return whether it was ordered to load weights that it does not have yet."""
+        has_weights = self.cache_generation is not None and (
             self.cache_generation.weights_version >= self.load_version
         )
-        return not has_them and now_seconds < self.load_until_seconds
+        return not has_weights and now_seconds < self.load_until_seconds
 
     @property
     def own_waiting_tokens(self) -> int:
-        """Prompt tokens of own attempts whose first token has not come."""
+        """Prompt tokens still to be computed for attempts of this host."""
         return sum(self.own_attempts.values())
 
     def start(
@@ -121,7 +123,7 @@
         now_seconds: float,
         is_queue_empty: bool = False,
     ) -> None:
-        """Note an attempt that is sent here, and whether it finds nothing waiting."""
+        """Record an attempt sent here, and whether it found the queue empty."""
         if is_queue_empty:
             self._unqueued_tokens[attempt_id] = missing_tokens
         self.own_attempts[attempt_id] = missing_tokens
@@ -130,13 +132,13 @@
             self._idle_until.pop()
 
     def has_answered_recently(self, now_seconds: float) -> bool:
-        """Return whether it has just answered this host, whatever others say."""
+        """Return whether it has answered this host very recently."""
         return now_seconds - self.answered_at_seconds < RECENT_ANSWER_SECONDS
 
     def note_first_token(
         self, attempt_id: str, speed: PrefillSpeed, now_seconds: float
     ) -> None:
-        """Note that an attempt's prompt is computed, and how long that took."""
+        """Record that an attempt's prompt is computed, and update the prefill speed."""
         self.answered_at_seconds = now_seconds
         if attempt_id in self.own_attempts:
             self.own_attempts[attempt_id] = 0
@@ -146,15 +148,15 @@
             speed.note(tokens, now_seconds - started_at_seconds)
 
     def has_connection(self, now_seconds: float) -> bool:
-        """Return whether a kept connection is free for another attempt."""
+        """Return whether an idle connection is available for another attempt."""
         return any(until > now_seconds for until in self._idle_until)
 
     def note_idle_connection(self, until_seconds: float) -> None:
-        """Note that a connection rests, to be used again until then."""
+        """Record an idle connection that can be reused until a given time."""
         self._idle_until.append(until_seconds)
 
     def release(self, attempt_id: str, now_seconds: float) -> None:
-        """Note that an attempt's slot is free again."""
+        """Record that an attempt released its slot."""
         self._idle_until = [until for until in self._idle_until if until > now_seconds]
         self._unqueued_tokens.pop(attempt_id, None)
         if self.own_attempts.pop(attempt_id, None) is None:
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that can be given work: their list, and what placement may know."""
+"""Table of the listed upstreams: their state, eligibility and views for placement."""
 
 import enum
 import math
@@ -25,68 +25,69 @@
 from ._targets import TargetWeights
 from ._upstream import SERVING_ROLE, Upstream
 
-#: Time by which a runner with older weights gets nothing any more before nothing may
-#: begin on them: requests wait at runners, too.
+#: Time before the maximum age of outdated weights at which their runners get no new
+#: requests. Requests also wait at the runner before they start.
 OUTDATED_MARGIN_SECONDS = 1.5
 
-#: Age of weights that were named before anybody looked, as a part of the time after
-#: which nothing may begin on older ones. All of it would refuse every prompt until the
-#: first load after a restart of all hosts, nothing of it doubles the time.
+#: Assumed age of target weights that were published before this host's first read, as a
+#: share of the maximum age of outdated weights. After a restart of all hosts, a share
+#: of 1 would refuse every prompt until the first load, and 0 would double the time for
+#: which outdated weights are used.
 ASSUMED_AGE_RATIO = 0.5
 
-#: Time between two probes of an upstream that is waited for: the first, the factor
-#: after each one that failed, and the longest. Most that are down stay down, and each
-#: host asks for itself.
-AWAITED_PROBE_SECONDS = 0.25
-PROBE_FACTOR = 1.6
-MAX_AWAITED_PROBE_SECONDS = 2.0
+#: Probe interval of an upstream that cannot be used until it answers: the initial
+#: value, the factor after each failed probe, and the maximum. The interval grows
+#: because most upstreams that are down stay down, and every host probes them.
+UNUSABLE_PROBE_SECONDS = 0.25
+PROBE_BACKOFF_FACTOR = 1.6
+MAX_UNUSABLE_PROBE_SECONDS = 2.0
 
-#: Time for which a suspicion that a probe has cleared does not come again.
-#: Time for which an upstream that went down is expected back any moment.
+#: Time after an upstream went down in which it is expected to recover shortly.
 EXPECTED_RECOVERY_SECONDS = 2.0
 
+#: Time after a successful probe in which an upstream is not suspected again.
 SUSPICION_EXEMPTION_SECONDS = 2.0
 
 
-#: Longest time taken to go by between two freed slots of a full upstream.
+#: Maximum assumed time between two slot releases of a full upstream.
 MAX_SLOT_RELEASE_SECONDS = 0.5
 
 
-#: Time within which the entry of an upstream that has ended goes from the store, and
-#: within which one that leaves has said so again to a store that was restored.
+#: Time in which the entry of a crashed upstream expires from the store, and time in
+#: which a draining upstream has written its state again to a restored store.
 UNCONFIRMED_SECONDS = 5.0
-RESTORED_LEAVING_SECONDS = 20.0
+RESTORED_DRAINING_SECONDS = 20.0
 
 #: State of the entry of an upstream that is shutting down.
 LEAVING_STATE = "leaving"
 
 
 class IneligibleReason(enum.Enum):
-    """Why an upstream is given no new requests."""
+    """Why an upstream gets no new requests."""
 
     LEAVING = "leaving"
-    #: It refused a request and wants none for a while.
+    #: It refused a request and announced a pause.
     PAUSED = "paused"
-    #: Its entry had gone, and is back only since the store was restored from a copy.
+    #: Its entry had been removed and is listed only since the store was restored.
     UNCONFIRMED = "unconfirmed"
-    #: Its incarnation has to be learned from a probe.
+    #: Its incarnation is unknown until it answers a probe.
     UNKNOWN = "unknown"
-    #: It has another role than to serve requests.
+    #: It has a role other than serving requests.
     NOT_SERVING = "not serving"
     LOADING = "loading"
     SUSPECTED = "suspected"
-    #: It has weights that nothing may begin on any more.
+    #: Its weights are too old for new requests.
     OUTDATED = "outdated"
     DOWN = "down"
 
     @property
     def is_requested_by_upstream(self) -> bool:
-        """Whether the upstream itself asks for no more requests."""
+        """Whether the upstream itself announced that it accepts no requests."""
         return self in (IneligibleReason.LEAVING, IneligibleReason.PAUSED)
 
 
 class UpstreamTable:
-    """All upstreams by name."""
+    """The listed upstreams by name."""
 
     def __init__(
         self,
@@ -119,10 +120,9 @@
         return self._upstreams.get(name)
 
     def apply_list(self, host_list: HostList, now_seconds: float) -> list[str]:
-        """Take a newer host list; return the names that are gone.
+        """Apply a newer host list; return the names of removed upstreams.
 
-        An older version changes nothing. A new address under an old name is a new
-        upstream.
+        An older version is ignored. A known name with a new address is a new upstream.
         """
         if host_list.version <= self.list_version:
             return []
@@ -134,40 +134,50 @@
             for entry in host_list.hosts
             if entry.kind in ("runner", "service")
         }
-        gone = [name for name in self._upstreams if name not in listed]
-        for name in gone:
+        removed = [name for name in self._upstreams if name not in listed]
+        for name in removed:
             upstream = self._upstreams.pop(name)
             was_draining = upstream.entry.state == LEAVING_STATE
             self._former.note_removed(upstream, was_draining, now_seconds)
-        leaving = (
+        draining = (
             self._draining_before_restore(listed, now_seconds) if is_restored else set()
         )
         for entry in listed.values():
             self._apply_entry(entry)
         if is_restored:
-            self._override_restored(leaving, now_seconds)
+            self._override_restored(draining, now_seconds)
         self._former.forget(listed, now_seconds)
-        return gone
+        return removed
 
     def _draining_before_restore(
         self, listed: Collection[str], now_seconds: float
     ) -> set[Incarnation]:
-        """Return the listed ones that were leaving, or had been as they went."""
-        leaving = {
+        """Return the listed upstreams that were draining before the store was restored.
+
+        Includes upstreams that were draining when their entries were removed.
+        """
+        draining = {
             Incarnation(upstream.name, upstream.incarnation)
             for upstream in self
             if upstream.entry.state == LEAVING_STATE
         }
         former = [self._former.get(name, now_seconds) for name in listed]
-        return leaving | {
+        return draining | {
             item.incarnation for item in former if item and item.was_draining
         }
 
-    def _override_restored(self, leaving: set[Incarnation], now_seconds: float) -> None:
-        """Keep what is known to have left, or to leave, over what a copy shows."""
+    def _override_restored(
+        self, draining: set[Incarnation], now_seconds: float
+    ) -> None:
+        """Let the state known before a restore override the restored entries.
+
+        The restored copy may list upstreams as live that were draining or removed.
+        """
         for upstream in self:
-            if Incarnation(upstream.name, upstream.incarnation) in leaving:
-                upstream.leaving_until_seconds = now_seconds + RESTORED_LEAVING_SECONDS
+            if Incarnation(upstream.name, upstream.incarnation) in draining:
+                upstream.draining_until_seconds = (
+                    now_seconds + RESTORED_DRAINING_SECONDS
+                )
             elif self._former.get(upstream.name, now_seconds) is not None:
                 upstream.unconfirmed_until_seconds = now_seconds + UNCONFIRMED_SECONDS
 
@@ -185,7 +195,10 @@
         self._apply_signals(entry.name)
 
     def _apply_listed_state(self, upstream: Upstream) -> None:
-        """Take what the list itself tells; it lags, so weights only rise by it."""
+        """Apply the fields of a list entry.
+
+        The list lags behind: it can raise the known weights version but not lower it.
+        """
         entry = upstream.entry
         if entry.slots_count:
             upstream.slots_count = entry.slots_count
@@ -197,9 +210,10 @@
     def note_generation(
         self, upstream: Upstream, generation: CacheGeneration, is_own_report: bool
     ) -> bool:
-        """Take a life that was seen; return whether it is new.
+        """Record an observed cache generation; return whether it is new.
 
-        Word that is not the upstream's own may be old: it can't lower the version.
+        Only the upstream's own report can lower the weights version, because others may
+        be old.
         """
         known = upstream.last_generation
         is_older = (
@@ -211,15 +225,15 @@
             return False
         upstream.cache_generation = upstream.last_generation = generation
         if generation != known:
-            # Whatever it was doing before, it has come out of it.
+            # A new generation ends any other role until the runner reports one.
             upstream.role = SERVING_ROLE
         self._apply_signals(upstream.name)
         return generation != known
 
     def due_probes(self, now_seconds: float) -> list[HostEntry]:
-        """Return the upstreams to be probed now, and count them as probed.
+        """Return the upstreams to be probed now, and record them as probed.
 
-        One that can't be used until it answers is asked more often.
+        An upstream that cannot be used until it answers is probed more often.
         """
         due = []
         for upstream in self:
@@ -229,32 +243,32 @@
         return due
 
     def probe_pause(self, now_seconds: float) -> float:
-        """Return the time until the next probe is due; infinite if none will be."""
+        """Return the time until the next probe is due; infinite if there is none."""
         waits = (self._probe_wait(upstream, now_seconds) for upstream in self)
         return max(0.0, min(waits, default=math.inf))
 
     def _probe_wait(self, upstream: Upstream, now_seconds: float) -> float:
-        is_awaited = upstream.health.state is HealthState.DOWN or (
+        is_unusable = upstream.health.state is HealthState.DOWN or (
             upstream.is_runner and upstream.cache_generation is None
         )
         interval_seconds = self._retry.probe_interval_seconds
-        if upstream.is_suspected or is_awaited:
-            growth = PROBE_FACTOR**upstream.health.failures_count
+        if upstream.is_suspected or is_unusable:
+            factor = PROBE_BACKOFF_FACTOR**upstream.health.failures_count
             interval_seconds = min(
-                AWAITED_PROBE_SECONDS * growth, MAX_AWAITED_PROBE_SECONDS
+                UNUSABLE_PROBE_SECONDS * factor, MAX_UNUSABLE_PROBE_SECONDS
             )
         if not interval_seconds:
             return math.inf
         due_at_seconds = upstream.probed_at_seconds + interval_seconds
         if not upstream.is_runner:
-            # A health probe waits for a slot as a request does.
+            # A health probe takes a slot like a request, so it waits for the pause.
             due_at_seconds = max(due_at_seconds, upstream.paused_until_seconds)
         return due_at_seconds - now_seconds
 
     def suspect(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Suspect an upstream that fell silent; return whether that is new.
+        """Suspect an unresponsive upstream; return whether that is new.
 
-        It gets no new work until a probe, which comes at once, has cleared it.
+        It is probed at once and gets no new work until a probe clears it.
         """
         if (
             upstream.is_suspected
@@ -267,7 +281,7 @@
         return True
 
     def clear(self, upstream: Upstream, now_seconds: float) -> None:
-        """Trust an upstream that has answered a probe."""
+        """Clear the suspicion of an upstream that has answered a probe."""
         if upstream.is_suspected:
             upstream.is_suspected = False
             upstream.suspicion_exempt_until_seconds = (
@@ -275,7 +289,7 @@
             )
 
     def note_report(self, upstream: Upstream, report: LoadReport) -> bool:
-        """Take a runner's report; return whether it shows a new life."""
+        """Apply a runner's load report; return whether its generation is new."""
         upstream.model = report.model
         upstream.slots_count = report.slots_count
         upstream.reported_tokens_per_second = report.prefill_tokens_per_second
@@ -289,17 +303,17 @@
         """Return whether an upstream is shutting down, by its entry or its answers."""
         if upstream.is_shutting_down or upstream.entry.state == LEAVING_STATE:
             return True
-        return now_seconds < upstream.leaving_until_seconds
+        return now_seconds < upstream.draining_until_seconds
 
     def note_shutdown(self, incarnation: Incarnation, now_seconds: float) -> None:
-        """Note that an answer to this host announced a shutdown."""
+        """Record a shutdown that was announced in an answer to this host."""
         self.shutdown_announcements.note(incarnation, now_seconds)
         self._apply_signals(incarnation.upstream)
 
     def receive_shutdowns(
         self, update: LeavingUpdate, now_seconds: float
     ) -> list[Incarnation]:
-        """Take a peer's update; return what was not known here."""
+        """Apply a peer's update; return the shutdowns that are new to this host."""
         received = self.shutdown_announcements.receive(update, now_seconds)
         for incarnation in received:
             self._apply_signals(incarnation.upstream)
@@ -308,26 +322,26 @@
     def note_pause(
         self, incarnation: Incarnation, pause_seconds: float | None, now_seconds: float
     ) -> None:
-        """Note that an upstream wants no requests from this host for a while."""
+        """Record that an upstream asked this host to pause its requests."""
         self.pauses.note(incarnation, pause_seconds, now_seconds)
         self._apply_signals(incarnation.upstream)
 
     def _apply_signals(self, name: str) -> None:
-        """Have an upstream show what its present incarnation asked for.
+        """Copy the shutdown and pause of an upstream's current incarnation to it.
 
-        It is looked at far more often than that changes.
+        They are read far more often than they change.
         """
         upstream = self._upstreams.get(name)
         if upstream is None:
             return
-        present = Incarnation(name, upstream.incarnation)
-        upstream.is_shutting_down = present in self.shutdown_announcements
-        upstream.paused_until_seconds = self.pauses.until_seconds(present)
+        current = Incarnation(name, upstream.incarnation)
+        upstream.is_shutting_down = current in self.shutdown_announcements
+        upstream.paused_until_seconds = self.pauses.until_seconds(current)
 
     def ineligible_reason(
         self, upstream: Upstream, now_seconds: float
     ) -> IneligibleReason | None:
-        """Return why an upstream may be given no new request; none if it may."""
+        """Return why an upstream gets no new requests, or None if it is eligible."""
         if self.is_leaving(upstream, now_seconds):
             return IneligibleReason.LEAVING
         if now_seconds < upstream.paused_until_seconds:
@@ -349,13 +363,13 @@
         return None
 
     def is_eligible(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether the upstream may be given new work."""
+        """Return whether the upstream may get new requests."""
         return self.ineligible_reason(upstream, now_seconds) is None
 
     def has_crashed(self, name: str, now_seconds: float) -> bool:
-        """Return whether an upstream that closed a connection ended unexpectedly.
+        """Return whether an upstream that closed a connection has crashed.
 
-        One that leaves, or loads weights, closes them on purpose.
+        A draining upstream, or one that loads weights, closes connections on purpose.
         """
         upstream = self._upstreams.get(name)
         return (
@@ -365,7 +379,7 @@
         )
 
     def may_recover_soon(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether one that is not open now may be in a moment."""
+        """Return whether an ineligible upstream may become eligible shortly."""
         if self.is_leaving(upstream, now_seconds):
             return False
         if now_seconds < upstream.unconfirmed_until_seconds:
@@ -378,7 +392,7 @@
         )
 
     def describe(self, upstream: Upstream, now_seconds: float) -> str:
-        """Return what is believed of an upstream in a word or two, for logs."""
+        """Return a short description of an upstream's state, for logs."""
         if self.is_leaving(upstream, now_seconds):
             return "leaving"
         if now_seconds < upstream.paused_until_seconds:
@@ -396,18 +410,18 @@
         return "up"
 
     def outdated_seconds(self, upstream: Upstream, now_seconds: float) -> float:
-        """Return for how long newer weights than the upstream's have been named."""
+        """Return the time since newer weights than the upstream's were published."""
         if upstream.cache_generation is None or not upstream.model:
             return 0.0
         version = upstream.cache_generation.weights_version
         return self.targets.outdated_seconds(upstream.model, version, now_seconds)
 
     def _is_outdated(self, upstream: Upstream, now_seconds: float) -> bool:
-        most_seconds = self._placement.max_outdated_seconds
-        if not most_seconds:
+        max_seconds = self._placement.max_outdated_seconds
+        if not max_seconds:
             return False
         outdated_seconds = self.outdated_seconds(upstream, now_seconds)
-        return outdated_seconds > most_seconds - OUTDATED_MARGIN_SECONDS
+        return outdated_seconds > max_seconds - OUTDATED_MARGIN_SECONDS
 
     def _outdated_penalty_seconds(
         self, upstream: Upstream, now_seconds: float
@@ -418,7 +432,7 @@
         return self._placement.outdated_penalty_seconds
 
     def prefill_speed(self, model: str) -> PrefillSpeed:
-        """Return how fast runners of a model read prompts, as learned here."""
+        """Return the estimated prefill speed of a model's runners."""
         speed = self._prefill_speeds.get(model)
         if speed is None:
             start = self._placement.prefill_tokens_per_second
@@ -428,7 +442,7 @@
     def usable_slots(
         self, upstream: Upstream, part_ratio: float, now_seconds: float
     ) -> int:
-        """Return the requests that may run there at once, from all hosts."""
+        """Return the number of requests that may run there at once, from all hosts."""
         ratio = upstream.health.admit_ratio(now_seconds) * part_ratio
         return max(1, int(upstream.slots_count * self._slots_factor * ratio))
 
@@ -440,20 +454,20 @@
         extra_slots_ratio: float,
         now_seconds: float,
     ) -> RunnerView:
-        """Return what placement may know; peers' work counts as running.
+        """Return the view for placement, which includes the load of peers.
 
-        ``part_ratio`` is this host's part of the pool; ``extra_slots_ratio`` lets
-        urgent requests use slots beyond the usual ones.
+        ``part_ratio`` is this host's share of the pool; ``extra_slots_ratio`` lets
+        urgent requests use additional slots.
         """
         load = peers.load_of(upstream.name, upstream.generation_name)
         usable = self.usable_slots(upstream, part_ratio, now_seconds)
         slots = usable + math.ceil(usable * extra_slots_ratio)
         running = len(upstream.own_attempts) + load.running_count
         waiting = upstream.own_waiting_tokens + load.waiting_tokens
-        over = max(0, running - slots + 1)
+        excess = max(0, running - slots + 1)
         release_seconds = min(MAX_SLOT_RELEASE_SECONDS, upstream.run_seconds / usable)
-        is_near = upstream.entry.hall == self._hall
-        distance = 0.0 if is_near else self._placement.hall_distance_seconds
+        is_same_hall = upstream.entry.hall == self._hall
+        distance = 0.0 if is_same_hall else self._placement.hall_distance_seconds
         connect_seconds = self._placement.connect_price_seconds
         if upstream.has_connection(now_seconds):
             connect_seconds = 0.0
@@ -467,7 +481,7 @@
             hall=upstream.entry.hall,
             distance_seconds=distance,
             connect_seconds=connect_seconds,
-            slot_wait_seconds=over * release_seconds,
+            slot_wait_seconds=excess * release_seconds,
             max_prefill_queue_seconds=self._placement.max_prefill_queue_seconds,
             weights_version=upstream.cache_generation.weights_version
             if upstream.cache_generation
