--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -1,8 +1,8 @@
-"""Cache events of engines and stores: who reads them, and what they are about.
+"""Cache events of engines and stores: their readers, and the entries they refer to.
 
-An engine names a cached part by the salt under which it was made and the part's own
-name. A salt stands for a scope and a weights version, so the hosts that chose it can
-turn an event into the key under which they know the part.
+An engine identifies a cached part by the salt that it was computed with and the part's
+own name. A salt identifies a scope and a weights version, so the hosts that chose it
+can map an event to their key of the part.
 """
 
 from collections.abc import Iterable
@@ -21,70 +21,70 @@
 
 @attrs.frozen(repr=False)
 class SaltContext(Shown):
-    """What was cached under a salt."""
+    """The scope and weights version that a salt identifies."""
 
     scope: Scope
     weights_version: int
 
 
 class SaltTable:
-    """The salts that hosts of this fleet choose, both ways."""
+    """Maps between salts of this fleet and what they identify, in both directions."""
 
     def __init__(self, secret: str) -> None:
         self._secret = secret
         self._salts: dict[SaltContext, str] = {}
-        self._meanings: dict[str, SaltContext] = {}
+        self._contexts: dict[str, SaltContext] = {}
 
     def salt(self, scope: Scope, weights_version: int) -> str:
         """Return the salt of a scope's entries under one version of the weights."""
-        meaning = SaltContext(scope, weights_version)
-        salt = self._salts.get(meaning)
+        context = SaltContext(scope, weights_version)
+        salt = self._salts.get(context)
         if salt is None:
             salt = cache_salt(scope, weights_version, self._secret)
-            self._salts[meaning] = salt
-            self._meanings[salt] = meaning
+            self._salts[context] = salt
+            self._contexts[salt] = context
         return salt
 
     def prepare(self, scopes: Iterable[Scope], versions: Iterable[int]) -> None:
-        """Note the salts that other hosts may be choosing."""
+        """Compute the salts that other hosts may choose, so that they can be found."""
         known = list(versions)
         for scope in scopes:
             for version in known:
                 self.salt(scope, version)
 
     def find(self, salt: str) -> SaltContext | None:
-        """Return what a salt stands for, if this fleet chose it."""
-        return self._meanings.get(salt)
+        """Return what a salt identifies, or None if this fleet did not choose it."""
+        return self._contexts.get(salt)
 
 
 @attrs.define(repr=False)
 class _PendingChanges(Shown):
-    """What waits to be told of one cache."""
+    """Changes of one cache that have not been sent yet."""
 
     is_reset: bool = False
-    #: Tokens kept by life and prefix.
+    #: Cached tokens by generation label and prefix.
     tokens: dict[str, dict[bytes, int]] = attrs.field(factory=dict)
 
 
 @attrs.define(repr=False)
 class CacheEventBuffer(Shown):
-    """Cache events gathered for a while; of each entry only the newest is told."""
+    """Batches cache events; only the latest change of each entry is sent."""
 
     _by_upstream: dict[str, _PendingChanges] = attrs.field(factory=dict)
 
-    def add(self, seen: CacheSeen) -> None:
-        """Gather the changes of one cache."""
-        gathered = self._by_upstream.setdefault(seen.upstream, _PendingChanges())
-        if seen.is_reset:
-            gathered.is_reset = True
-            gathered.tokens.clear()
-        for change in seen.changes:
-            known = gathered.tokens.setdefault(change.label, {})
+    def add(self, event: CacheSeen) -> None:
+        """Add the changes of one cache."""
+        pending = self._by_upstream.setdefault(event.upstream, _PendingChanges())
+        if event.is_reset:
+            pending.is_reset = True
+            pending.tokens.clear()
+        for change in event.changes:
+            known = pending.tokens.setdefault(change.label, {})
             known.update(zip(change.prefixes, change.tokens, strict=False))
 
     def take(self) -> list[CacheSeen]:
-        """Return what was gathered, by cache, and begin anew."""
-        gathered, self._by_upstream = self._by_upstream, {}
+        """Return the batched changes by cache, and clear them."""
+        pending, self._by_upstream = self._by_upstream, {}
         return [
             CacheSeen(
                 upstream,
@@ -94,20 +94,20 @@
                 ),
                 item.is_reset,
             )
-            for upstream, item in gathered.items()
+            for upstream, item in pending.items()
         ]
 
 
-def is_cache_reader(own: Member, upstream: str, hall: str, near: Neighbours) -> bool:
-    """Return whether this host shall read the cache events of an upstream.
+def is_cache_reader(own: Member, upstream: str, hall: str, peers: Neighbours) -> bool:
+    """Return whether this host is to read the cache events of an upstream.
 
-    One host of the upstream's own hall does for all, where any is heard: then the
-    events cross between halls once. Hosts agree as far as they hear each other; one
-    that hears nobody reads for itself.
+    One host reads them for all, in the upstream's hall if a host there is alive, so
+    that the events cross between halls once. Hosts with the same live peers select the
+    same reader; a host without live peers reads for itself.
     """
     key = _KEY + upstream.encode()[:40]
-    halls = near.halls | {own.hall}
+    halls = peers.halls | {own.hall}
     reading_hall = hall if hall in halls else _rendezvous.rank(key, halls)[0]
     if reading_hall != own.hall:
         return False
-    return _rendezvous.rank(key, near.staying | {own.name})[0] == own.name
+    return _rendezvous.rank(key, peers.staying | {own.name})[0] == own.name
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
@@ -1,9 +1,9 @@
-"""Importing cached prompts instead of computing them, and saving them to a store.
+"""Import of cached prompts instead of computing them, and saving them to a KV store.
 
-An import moves the cache of tokens over a link, which takes a small part of the time
-that computing them would. Sources are the other runners with the same weights and a
-store of kept cache. What is known of them is an estimate: a wrong import costs the
-round trip of one question.
+An import transfers the KV cache of tokens over a link, which takes a small fraction of
+the time to compute them. Sources are the other runners with the same weights and the KV
+stores. Their contents are an estimate: a failed import costs the round trip of one
+query.
 """
 
 import attrs
@@ -15,17 +15,17 @@
 from ._prefix import PrefixChain
 from ._routes import RouteIndex
 
-#: Time that setting up one import takes; from the engines' data sheets.
+#: Setup time of one import, from the engines' data sheets.
 SETUP_SECONDS = 0.004
 
-#: How many times longer a move between two halls takes than one within a hall; the
-#: platform says so of its links.
+#: Ratio of the transfer times between two halls and within a hall, as the platform
+#: specifies for its links.
 CROSS_HALL_FACTOR = 2.0
 
 
 @attrs.frozen(repr=False)
 class ImportSource(Shown):
-    """A cache that holds a part of a prompt."""
+    """A cache that a prompt may be imported from."""
 
     name: str
     address: str
@@ -33,22 +33,22 @@
     seconds_per_token: float
     weights_version: int
     hall: str = ""
-    #: Time that what moves from this cache already takes.
+    #: Remaining time of the transfers from this cache that are in progress.
     queue_seconds: float = 0.0
 
     def seconds(self, own_tokens: int, hall: str) -> float:
-        """Return the time to import into a hall what goes beyond ``own_tokens``."""
+        """Return the time to import the tokens beyond ``own_tokens`` into a hall."""
         tokens = max(0, self.held_tokens - own_tokens)
         if not tokens:
             return 0.0
         factor = CROSS_HALL_FACTOR if hall and self.hall and hall != self.hall else 1.0
-        moving_seconds = tokens * self.seconds_per_token * factor
-        return SETUP_SECONDS + self.queue_seconds + moving_seconds
+        transfer_seconds = tokens * self.seconds_per_token * factor
+        return SETUP_SECONDS + self.queue_seconds + transfer_seconds
 
 
 @attrs.frozen(repr=False)
 class CacheHolder(Shown):
-    """A runner that may be asked for its cache."""
+    """A runner whose cache holds a part of a prompt."""
 
     name: str
     address: str
@@ -58,7 +58,7 @@
 
 
 class CacheImports:
-    """Sources of cached prompts for the engines of one configuration."""
+    """Import sources for the engines of the current configuration."""
 
     def __init__(self) -> None:
         self._routes: RouteIndex | None = None
@@ -66,13 +66,15 @@
         self._kv_store_contents: dict[str, KvStoreContents] = {}
 
     def apply(self, routes: RouteIndex) -> None:
-        """Take the services and stores of another configuration."""
+        """Apply the services and stores of a new configuration."""
         self._routes = routes
         self._stores = {store.name: store for store in routes.routing.kept_stores}
-        self._kv_store_contents = {name: self.kept(name) for name in self._stores}
+        self._kv_store_contents = {
+            name: self.store_contents(name) for name in self._stores
+        }
 
     def service(self, name: str) -> Service | None:
-        """Return a service whose engines can import, if this is one."""
+        """Return the service of this name if its engines can import, or None."""
         if self._routes is None:
             return None
         service = self._routes.service(name)
@@ -81,11 +83,11 @@
         return service
 
     def stores(self) -> list[KeptStore]:
-        """Return the stores of kept cache."""
+        """Return the KV stores."""
         return list(self._stores.values())
 
-    def kept(self, store: str) -> KvStoreContents:
-        """Return what a store is believed to hold; nothing of an unknown one."""
+    def store_contents(self, store: str) -> KvStoreContents:
+        """Return the estimated contents of a store; empty for an unknown store."""
         return self._kv_store_contents.get(store, KvStoreContents())
 
     def runner_source(self, service: Service, holder: CacheHolder) -> ImportSource:
@@ -107,9 +109,9 @@
         chain: PrefixChain,
         now_seconds: float,
     ) -> list[ImportSource]:
-        """Return the stores as sources, with what each is believed to hold.
+        """Return the stores as sources, with the estimated contents of each.
 
-        The one that a prompt is saved to comes last.
+        The store that the prompt is saved to comes last.
         """
         bits_per_token = 8.0 * service.token_bytes
         return [
@@ -128,24 +130,24 @@
         ]
 
     def note_reported(self, placed: PlacedPrefix, now_seconds: float) -> bool:
-        """Take what a peer had saved; return whether it is about a store."""
+        """Apply a peer's placement if it is a save to a store; return whether it is."""
         version = store_weights_version(placed.incarnation)
         if version is None:
             return False
-        kept = self.kept(placed.upstream)
+        store_contents = self.store_contents(placed.upstream)
         pairs = zip(placed.prefixes, placed.extents_tokens, strict=False)
         for prefix, tokens in pairs:
-            kept.note_saved(version, prefix, tokens, now_seconds)
+            store_contents.note_saved(version, prefix, tokens, now_seconds)
         return True
 
-    def take_store(
+    def select_store(
         self, weights_version: int, chain: PrefixChain, now_seconds: float
     ) -> KeptStore | None:
-        """Return where to save a prompt's shared part; none if it is kept already.
+        """Return the store to save a prompt's shared part to, or None if one holds it.
 
-        One copy does for the fleet: a store's link carries a prompt in a small part
-        of the time that reading it takes, and together the stores then hold the
-        more. The prefixes count as saved from now on.
+        The fleet saves one copy: a store's link transfers a prompt in a small fraction
+        of the time to compute it, and the stores together then hold more prompts. The
+        prefixes count as saved from now on.
         """
         ranked = self._ranked(chain)
         levels = chain.levels
@@ -157,15 +159,17 @@
             )
             if held >= levels[-1].tokens:
                 return None
-        kept = self._kv_store_contents[ranked[0].name]
+        store_contents = self._kv_store_contents[ranked[0].name]
         previous = 0
         for level in levels:
             extent = level.tokens - previous
             previous = level.tokens
-            kept.note_saved(weights_version, level.prefix, extent, now_seconds)
+            store_contents.note_saved(
+                weights_version, level.prefix, extent, now_seconds
+            )
         return ranked[0]
 
     def _ranked(self, chain: PrefixChain) -> list[KeptStore]:
-        """Return the stores, with that first to which a prompt is saved."""
+        """Return the stores, starting with the one that the prompt is saved to."""
         names = _rendezvous.rank(chain.affinity_key, self._stores)
         return [self._stores[name] for name in names]
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_tracker.py
@@ -1,7 +1,7 @@
-"""What one host knows of the caches of its upstreams and of the stores beside them.
+"""One host's estimate of the prefix caches of its upstreams and of the KV stores.
 
-It says where a prompt is held, from where it may be imported, and what peers are to be
-told of what was placed.
+Finds the caches that hold a prompt and those that it may be imported from, and collects
+the placements to publish to peers.
 """
 
 import heapq
@@ -23,13 +23,14 @@
 from ._prefix_cache_index import CacheGeneration, PrefixCacheIndex
 from ._upstreams import Upstream, UpstreamTable
 
-#: Runners of one version that are weighed as sources of a prompt, those that hold most
-#: first: one for the choice, the others where it is the source itself.
+#: Runners of one weights version that are considered as import sources of a prompt,
+#: those that hold most of it. More than one, because the runner chosen for the prompt
+#: may be the best source itself.
 MAX_HOLDERS_PER_VERSION = 3
 
 
 class CacheTracker:
-    """Caches as this host knows them; it shares the pool's upstreams and peers."""
+    """Tracks the contents of caches; shares the pool's upstreams and peers."""
 
     def __init__(
         self, known_prefixes_count: int, upstreams: UpstreamTable, peers: Membership
@@ -45,48 +46,52 @@
     ) -> list[ImportSource]:
         """Return the caches that engines of a service may import a prompt from.
 
-        The stores come last: they are asked when nobody is known to hold more.
+        The stores come last: they are queried when no runner is known to hold more.
         """
-        terms = self.imports.service(service)
-        if terms is None:
+        importing_service = self.imports.service(service)
+        if importing_service is None:
             return []
         holders: dict[int, list[CacheHolder]] = {}
         for upstream in self._upstreams:
             if upstream.entry.group != service or upstream.cache_generation is None:
                 continue
             version = upstream.cache_generation.weights_version
-            of_version = holders.setdefault(version, [])
+            version_holders = holders.setdefault(version, [])
             held = self.cache_index.cached_tokens(upstream.name, chain)
             if held and upstream.health.state is not HealthState.DOWN:
                 address = upstream.entry.address
                 hall = upstream.entry.hall
-                of_version.append(
+                version_holders.append(
                     CacheHolder(upstream.name, address, held, version, hall)
                 )
         sources = []
-        for version, found in holders.items():
+        for version, candidates in holders.items():
             best = heapq.nlargest(
-                MAX_HOLDERS_PER_VERSION, found, key=attrgetter("held_tokens")
+                MAX_HOLDERS_PER_VERSION, candidates, key=attrgetter("held_tokens")
             )
-            sources += [self.imports.runner_source(terms, holder) for holder in best]
-            sources += self.imports.store_sources(terms, version, chain, now_seconds)
-        return [self._with_queue(source) for source in sources]
+            sources += [
+                self.imports.runner_source(importing_service, holder) for holder in best
+            ]
+            sources += self.imports.store_sources(
+                importing_service, version, chain, now_seconds
+            )
+        return [self._add_queue_time(source) for source in sources]
 
-    def _with_queue(self, source: ImportSource) -> ImportSource:
-        moving_tokens = self.cache_transfers.waiting_tokens(source.name)
-        if not moving_tokens:
+    def _add_queue_time(self, source: ImportSource) -> ImportSource:
+        queued_tokens = self.cache_transfers.waiting_tokens(source.name)
+        if not queued_tokens:
             return source
-        queue_seconds = moving_tokens * source.seconds_per_token
+        queue_seconds = queued_tokens * source.seconds_per_token
         return attrs.evolve(source, queue_seconds=queue_seconds)
 
     def save_address(
         self, service: str, upstream: Upstream, chain: PrefixChain, now_seconds: float
     ) -> str:
-        """Return the store to which an upstream shall save a prompt, if any."""
+        """Return the address of the store to save a prompt to, or an empty string."""
         if self.imports.service(service) is None or upstream.cache_generation is None:
             return ""
         version = upstream.cache_generation.weights_version
-        store = self.imports.take_store(version, chain, now_seconds)
+        store = self.imports.select_store(version, chain, now_seconds)
         if store is None:
             return ""
         # Peers need not save it again.
@@ -94,15 +99,16 @@
         return store.address
 
     def contents(self, names: Collection[str]) -> list[ev.CacheSeen]:
-        """Return what some caches are believed to hold, to tell a host anew."""
-        seen = []
+        """Return the estimated contents of some caches, for an initial state sync."""
+        reports = []
         for name in sorted(names):
             changes = (
-                self.cache_index.contents(name) or self.imports.kept(name).contents()
+                self.cache_index.contents(name)
+                or self.imports.store_contents(name).contents()
             )
             if changes:
-                seen.append(ev.CacheSeen(name, tuple(changes)))
-        return seen
+                reports.append(ev.CacheSeen(name, tuple(changes)))
+        return reports
 
     def note_placed(
         self,
@@ -111,7 +117,7 @@
         chain: PrefixChain,
         now_seconds: float,
     ) -> None:
-        """Note that a prompt goes to a runner, which will then hold it."""
+        """Record that a prompt was sent to a runner, whose cache will then hold it."""
         self.cache_index.note_prompt(name, generation, chain)
         self._updates.note(name, generation, chain, now_seconds)
 
@@ -122,24 +128,24 @@
         chain: PrefixChain,
         event: ev.AttemptDone,
     ) -> None:
-        """Learn from a whole answer what the runner held and holds now."""
+        """Update the estimate of a runner's cache from a complete answer."""
         if not event.prompt_tokens:
             return
         if not event.cached_tokens:
-            # Nothing at all was held: what was believed of shallow levels is wrong
-            # for this runner, but the prompt itself is there now.
+            # The runner held no part of the prompt, so the estimate of its shallow
+            # levels was wrong. The prompt itself is cached there now.
             self.cache_index.correct(name, generation, chain, 0)
         self.cache_index.note_prompt(name, generation, chain)
 
     def take_placed(self) -> list[PlacedPrefix]:
-        """Return the placements that peers have not been told, to tell them once."""
+        """Return the placements not published to peers yet, and clear them."""
         return self._updates.take()
 
     def apply_changes(self, event: ev.CacheSeen, now_seconds: float) -> None:
-        """Take what a cache said of itself, here or to a peer."""
-        kept = self.imports.kept(event.upstream)
+        """Apply the changes that a cache reported to this host or to a peer."""
+        store_contents = self.imports.store_contents(event.upstream)
         if event.is_reset:
-            kept.clear()
+            store_contents.clear()
         for changes in event.changes:
             version = store_weights_version(changes.label)
             if version is None:
@@ -149,10 +155,10 @@
                 continue
             pairs = zip(changes.prefixes, changes.tokens, strict=False)
             for prefix, tokens in pairs:
-                kept.note_change(version, prefix, tokens, now_seconds)
+                store_contents.note_change(version, prefix, tokens, now_seconds)
 
-    def observe(self, upstream: Upstream, cache_tokens: int = 0) -> None:
-        """Drop what was known of an earlier life of a runner's cache."""
+    def update_generation(self, upstream: Upstream, cache_tokens: int = 0) -> None:
+        """Set the generation of a runner's cache; drop entries of an earlier one."""
         if upstream.cache_generation is None:
             return
         service = self.imports.service(upstream.entry.group)
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_transfers.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_transfers.py
@@ -1,10 +1,10 @@
-"""Moves of cache under way, which later moves over the same links wait for.
+"""Cache transfers in progress, which later transfers over the same links wait for.
 
-It answers many prompts that want parts of one cache at once, as after all hosts came
-back or new weights: a cache moves one prompt after another, and a prompt of a few
-hundred tokens has waited 0.7 s there for what its runner reads in 15 ms. Hosts tell
-each other what they have under way beside their other load, as a load of the cache in a
-life of its own name.
+Guards against queues at a link when many prompts import parts of one cache at once, as
+after a restart of all hosts or a load of new weights. A cache transfers one prompt
+after another, and a prompt of a few hundred tokens waited 0.7 s for an import that its
+runner computes in 15 ms. Hosts publish their transfers together with their other load,
+as load of the cache under a generation label of its own.
 """
 
 from collections import Counter
@@ -15,13 +15,13 @@
 
 from ._membership import Membership
 
-#: Life under which hosts tell each other what moves from or to a cache.
+#: Generation label under which hosts publish the transfers from and to a cache.
 TRANSFERS_LABEL = "moves"
 
 
 @attrs.frozen(repr=False)
 class CacheTransfer(Shown):
-    """One import that was asked for."""
+    """One requested import."""
 
     source: str
     target: str
@@ -29,7 +29,7 @@
 
 
 class CacheTransfers:
-    """Imports that this host asked for and whose answers have not begun."""
+    """Imports that this host requested and whose answers have not started."""
 
     def __init__(self, peers: Membership) -> None:
         self._peers = peers
@@ -37,34 +37,34 @@
         self._tokens: Counter[str] = Counter()
         self._counts: Counter[str] = Counter()
 
-    def begin(self, attempt_id: str, move: CacheTransfer) -> None:
-        """Note an import that an attempt asks for."""
-        self._open[attempt_id] = move
-        for name in (move.source, move.target):
-            self._tokens[name] += move.tokens
+    def begin(self, attempt_id: str, transfer: CacheTransfer) -> None:
+        """Record an import that an attempt requests."""
+        self._open[attempt_id] = transfer
+        for name in (transfer.source, transfer.target):
+            self._tokens[name] += transfer.tokens
             self._counts[name] += 1
 
     def end(self, attempt_id: str) -> None:
-        """Note that an attempt has what it asked for, or is over."""
-        move = self._open.pop(attempt_id, None)
-        if move is None:
+        """Record that an attempt's import is complete or the attempt has ended."""
+        transfer = self._open.pop(attempt_id, None)
+        if transfer is None:
             return
-        for name in (move.source, move.target):
-            self._tokens[name] -= move.tokens
+        for name in (transfer.source, transfer.target):
+            self._tokens[name] -= transfer.tokens
             self._counts[name] -= 1
             if not self._counts[name]:
-                # Names of runners that are gone would add up.
+                # Entries of removed runners would otherwise accumulate.
                 del self._counts[name], self._tokens[name]
 
     def waiting_tokens(self, name: str) -> int:
-        """Return the tokens that move from or to a cache, for all hosts."""
+        """Return the tokens in transfer from or to a cache, for all hosts."""
         return (
             self._tokens[name]
             + self._peers.load_of(name, TRANSFERS_LABEL).waiting_tokens
         )
 
     def usages(self) -> list[UpstreamUsage]:
-        """Return what peers are told."""
+        """Return the transfers to publish to peers."""
         return [
             UpstreamUsage(name, TRANSFERS_LABEL, count, self._tokens[name])
             for name, count in sorted(self._counts.items())
--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -134,7 +134,7 @@
         self._rule = rule or MostCrashes()
         self._requests: dict[bytes, SuspectRequest] = {}
         #: Requests that each crashed incarnation was running, and the crash times.
-        self._aboard: dict[IncarnationKey, set[bytes]] = {}
+        self._affected_requests: dict[IncarnationKey, set[bytes]] = {}
         self._crashed_at: dict[IncarnationKey, float] = {}
         #: When incarnations and requests were cleared; older reports are ignored.
         self._live_at: dict[IncarnationKey, float] = {}
@@ -198,7 +198,7 @@
             return False
         suspect.crashes[incarnation_key] = at_seconds
         suspect.seen_at_seconds = now_seconds
-        self._aboard.setdefault(incarnation_key, set()).add(fingerprint)
+        self._affected_requests.setdefault(incarnation_key, set()).add(fingerprint)
         # Each host observes a crash at its own time; the earliest is the closest to it.
         known_at_seconds = self._crashed_at.get(incarnation_key, math.inf)
         self._crashed_at[incarnation_key] = min(known_at_seconds, at_seconds)
@@ -215,7 +215,7 @@
             return False
         self._live_at[incarnation_key] = at_seconds
         del self._crashed_at[incarnation_key]
-        for fingerprint in self._aboard.pop(incarnation_key, ()):
+        for fingerprint in self._affected_requests.pop(incarnation_key, ()):
             suspect = self._requests[fingerprint]
             del suspect.crashes[incarnation_key]
             if not suspect.crashes and suspect.quarantined_at_seconds is None:
@@ -294,7 +294,7 @@
             return []
         return [
             self._requests[fingerprint]
-            for fingerprint in self._aboard.get(last, ())
+            for fingerprint in self._affected_requests.get(last, ())
             if fingerprint != suspect.fingerprint
         ]
 
@@ -357,8 +357,8 @@
         self, suspect: SuspectRequest, incarnation_key: IncarnationKey
     ) -> None:
         del suspect.crashes[incarnation_key]
-        aboard = self._aboard[incarnation_key]
-        aboard.discard(suspect.fingerprint)
-        if not aboard:
-            del self._aboard[incarnation_key]
+        affected = self._affected_requests[incarnation_key]
+        affected.discard(suspect.fingerprint)
+        if not affected:
+            del self._affected_requests[incarnation_key]
             del self._crashed_at[incarnation_key]
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -24,7 +24,7 @@
     speculative_import_tokens,
 )
 from ._pool import Pool
-from ._prefill_speed import MAX_QUEUE_SECONDS, MIN_TOKENS
+from ._prefill_speed import MAX_EMPTY_QUEUE_SECONDS, MIN_SAMPLE_TOKENS
 from ._prefix import PrefixChain
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import KEPT_APART, NO_RETRY_LEFT, NO_UPSTREAM
@@ -296,9 +296,9 @@
 def _is_alone(choice: Choice) -> bool:
     """Return whether how long a prompt takes tells how fast its runner reads."""
     return (
-        choice.missing_tokens >= MIN_TOKENS
+        choice.missing_tokens >= MIN_SAMPLE_TOKENS
         and not choice.imported_tokens
-        and choice.prefill_queue_seconds < MAX_QUEUE_SECONDS
+        and choice.prefill_queue_seconds < MAX_EMPTY_QUEUE_SECONDS
     )
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_placement.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement.py
@@ -1,7 +1,7 @@
-"""Ways to choose a runner for a prompt.
+"""Placement strategies, which choose a runner for a prompt.
 
-All ways get the same views and return a choice with its reasons. The daemon uses
-``PricedKnowledge``; the others are the baselines of its measurement.
+All strategies get the same views and return a choice with the figures behind it. The
+daemon uses ``CacheAwarePlacement``; the others are baselines for its measurements.
 """
 
 import math
@@ -16,15 +16,15 @@
 from ._cache_imports import ImportSource
 from ._prefix import PrefixChain
 
-#: What being one rank further from the computed home costs, as a share of the time
-#: that computing the whole prompt takes. It decides where a prefix goes that nobody
-#: is known to hold, and breaks ties so that hosts don't herd.
+#: Cost of each rendezvous rank below the first, as a share of the time to compute the
+#: prompt. It places prefixes that no runner is known to hold, and breaks ties so that
+#: hosts do not all choose the same runner at the same time.
 AFFINITY_RANK_RATIO = 0.25
 
 
 @attrs.frozen(repr=False)
 class RunnerView(Shown):
-    """What a choice may look at; running work counts peers' too."""
+    """State of a runner for a placement; running work includes that of peers."""
 
     name: str
     slots_count: int
@@ -32,27 +32,27 @@
     waiting_tokens: int
     prefill_tokens_per_second: float
     hall: str = ""
-    #: Time that a network round trip to the runner costs.
+    #: Network round-trip time to the runner.
     distance_seconds: float = 0.0
-    #: What opening a connection costs; nothing while one rests.
+    #: Cost of opening a connection; 0 if one is idle.
     connect_seconds: float = 0.0
-    #: Estimated wait for a slot; nothing while one is free.
+    #: Estimated wait for a slot; 0 if one is free.
     slot_wait_seconds: float = 0.0
-    #: Prefill time that may wait at the runner.
+    #: Maximum prefill time that may be queued at the runner.
     max_prefill_queue_seconds: float = math.inf
-    #: Weights of its cache; entries of others can't be imported.
+    #: Weights version of its cache; it can import entries of this version only.
     weights_version: int = 0
-    #: What being sent to a runner with old weights is taken to cost.
+    #: Cost of using a runner with outdated weights.
     penalty_seconds: float = 0.0
 
     @property
     def prefill_queue_seconds(self) -> float:
-        """Time until the runner has computed the prompts that it was sent."""
+        """Time until the runner has computed the prompts sent to it."""
         return self.waiting_tokens / self.prefill_tokens_per_second
 
     @property
     def has_slot(self) -> bool:
-        """Whether the runner is to be sent another request now."""
+        """Whether the runner can be sent another request now."""
         return (
             self.running_count < self.slots_count
             and self.prefill_queue_seconds < self.max_prefill_queue_seconds
@@ -60,50 +60,50 @@
 
     @property
     def queue_seconds(self) -> float:
-        """Time until the runner begins with a prompt that is sent now."""
+        """Time until the runner starts a prompt that is sent now."""
         engine_seconds = self.slot_wait_seconds + self.prefill_queue_seconds
         return self.distance_seconds + self.connect_seconds + engine_seconds
 
     def prefill_seconds(self, tokens: int) -> float:
-        """Return the time that computing so many prompt tokens takes."""
+        """Return the time to compute a number of prompt tokens."""
         return tokens / self.prefill_tokens_per_second
 
 
 @attrs.frozen(repr=False)
 class Choice(Shown):
-    """A runner and why it was chosen."""
+    """A chosen runner and the figures behind the choice."""
 
     upstream: str
     cached_tokens: int
     missing_tokens: int
     queue_seconds: float
-    #: The part of it that prompts take which wait at the runner.
+    #: The share of ``queue_seconds`` due to prompts that wait at the runner.
     prefill_queue_seconds: float
     score_seconds: float
     has_slot: bool
-    #: Cache from which the runner shall take what it does not hold, if any.
+    #: Cache to import missing tokens from, if any.
     import_source: ImportSource | None = None
     imported_tokens: int = 0
-    #: Time until what is known to be there has been imported.
+    #: Time until the tokens known to be there have been imported.
     import_seconds: float = 0.0
-    #: What else was weighed, for operators who ask why.
+    #: All choices that were compared, to explain the placement to operators.
     considered: tuple["Choice", ...] = ()
 
 
 def chosen_view(choice: Choice, runners: Sequence[RunnerView]) -> RunnerView:
-    """Return the view of the runner that was chosen among these."""
+    """Return the view of the chosen runner."""
     return next(runner for runner in runners if runner.name == choice.upstream)
 
 
 class CacheLookup(Protocol):
-    """What can say how much of a prompt a runner holds."""
+    """Looks up how much of a prompt a runner has cached."""
 
     def cached_tokens(self, upstream: str, chain: PrefixChain) -> int:
-        """Return the tokens of the chain that the runner is believed to hold."""
+        """Return the estimated number of the chain's tokens that a runner holds."""
 
 
 class Placement(Protocol):
-    """A way to choose among at least one runner."""
+    """A strategy to choose among at least one runner."""
 
     def choose(
         self,
@@ -113,17 +113,17 @@
         now_seconds: float,
         sources: Sequence[ImportSource] = (),
     ) -> Choice:
-        """Return the choice; ``miss_price`` weighs recomputing against waiting.
+        """Return the choice; ``miss_price`` weighs recomputation against waiting.
 
-        ``sources`` are caches from which the runner may import.
+        ``sources`` are the caches that the runner may import from.
         """
 
 
 class CacheAwarePlacement:
-    """Least price times missing prefill plus wait, with the computed home as a hint.
+    """Minimizes the priced prefill of missing tokens plus the wait.
 
-    The price is above one because a miss costs others too: it takes the runner's
-    time from them and evicts what they need.
+    The rendezvous rank of a runner adds a small cost. The miss price is above 1 because
+    a miss also delays other requests at the runner and evicts entries that they need.
     """
 
     def __init__(self, cache_index: CacheLookup, import_price: float = 0.0) -> None:
@@ -138,7 +138,7 @@
         now_seconds: float,
         sources: Sequence[ImportSource] = (),
     ) -> Choice:
-        """Return the runner with the least score."""
+        """Return the runner with the lowest score."""
         ranks = _rendezvous.rank(
             chain.affinity_key, (runner.name for runner in runners)
         )
@@ -169,10 +169,12 @@
         missing_seconds = runner.prefill_seconds(chain.total_tokens - cached - imported)
         import_seconds = runner.prefill_seconds(imported) * self._import_price
         import_wait_seconds = source.seconds(cached, runner.hall) if source else 0.0
-        home_seconds = rank * AFFINITY_RANK_RATIO * (missing_seconds + import_seconds)
+        affinity_seconds = (
+            rank * AFFINITY_RANK_RATIO * (missing_seconds + import_seconds)
+        )
         score = (
             miss_price * (missing_seconds + import_seconds)
-            + home_seconds
+            + affinity_seconds
             + import_wait_seconds
             + runner.queue_seconds
             + runner.penalty_seconds
@@ -182,7 +184,7 @@
 
 
 class RoundRobin:
-    """Baseline: each runner in turn."""
+    """Baseline: round robin over the runners."""
 
     def __init__(self) -> None:
         self._next = 0
@@ -202,8 +204,9 @@
 
 
 class LeastLoaded:
-    """The runner with the shortest queue for its size; opening a connection to it
-    counts as one more request.
+    """Chooses the runner with the least load relative to its slots.
+
+    Opening a connection counts as one more request.
     """
 
     def choose(
@@ -214,13 +217,13 @@
         now_seconds: float,
         sources: Sequence[ImportSource] = (),
     ) -> Choice:
-        """Return the runner with the least running work."""
+        """Return the runner with the least load."""
         runner = min(runners, key=_load_after_dispatch)
         return _choice(chain, runner, 0, runner.queue_seconds)
 
 
 class RendezvousPlacement:
-    """Baseline: rendezvous hashing with bounded load, without any knowledge."""
+    """Baseline: rendezvous hashing with bounded load, without cache contents."""
 
     def __init__(self, load_factor: float) -> None:
         self._load_factor = load_factor
@@ -250,8 +253,8 @@
 
 
 def _load_after_dispatch(runner: RunnerView) -> float:
-    opened_count = 1 if runner.connect_seconds else 0
-    return (runner.running_count + opened_count) / runner.slots_count
+    new_connections_count = 1 if runner.connect_seconds else 0
+    return (runner.running_count + new_connections_count) / runner.slots_count
 
 
 def best_source(
@@ -261,26 +264,26 @@
     chain: PrefixChain,
     price: float,
 ) -> ImportSource | None:
-    """Return the cache that saves a runner the most time, or any to be asked.
+    """Return the source whose import saves a runner the most time, or None.
 
-    Among sources that hold nothing more, the last one is asked all the same: what is
-    known of caches is old, and a question costs next to nothing. None is asked where
-    computing the whole shared part, at ``price`` times its time, takes no longer than
-    what moves from there already.
+    If no source is known to hold more, the last one is queried all the same: the known
+    contents lag behind, and a query costs next to nothing. A source is skipped if its
+    transfers in progress take longer than ``price`` times the computation of the whole
+    shared part.
     """
     best: ImportSource | None = None
     best_saved_seconds = -math.inf
-    most_wait_seconds = price * runner.prefill_seconds(_shared_tokens(chain))
+    max_wait_seconds = price * runner.prefill_seconds(_shareable_tokens(chain))
     for source in reversed(sources):
         if source.weights_version != runner.weights_version:
             continue
-        if source.name == runner.name or source.queue_seconds > most_wait_seconds:
+        if source.name == runner.name or source.queue_seconds > max_wait_seconds:
             continue
-        extra = source.held_tokens - cached_tokens
+        additional_tokens = source.held_tokens - cached_tokens
         saved_seconds = 0.0
-        if extra > 0:
-            moving_seconds = source.seconds(cached_tokens, runner.hall)
-            saved_seconds = runner.prefill_seconds(extra) - moving_seconds
+        if additional_tokens > 0:
+            transfer_seconds = source.seconds(cached_tokens, runner.hall)
+            saved_seconds = runner.prefill_seconds(additional_tokens) - transfer_seconds
             saved_seconds += source.queue_seconds
         if saved_seconds > best_saved_seconds:
             best, best_saved_seconds = source, saved_seconds
@@ -288,12 +291,12 @@
 
 
 def speculative_import_tokens(chain: PrefixChain, cached_tokens: int) -> int:
-    """Return what a cache that is asked without knowing moves if it holds all."""
-    return max(0, _shared_tokens(chain) - cached_tokens)
+    """Return the tokens that a query of a cache with unknown contents may transfer."""
+    return max(0, _shareable_tokens(chain) - cached_tokens)
 
 
-def _shared_tokens(chain: PrefixChain) -> int:
-    """Return the tokens of a prompt that others may share."""
+def _shareable_tokens(chain: PrefixChain) -> int:
+    """Return the tokens of a prompt that other prompts may share."""
     return chain.levels[-1].tokens if chain.levels else 0
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
@@ -1,9 +1,9 @@
-"""Which placements a host shares with its peers.
+"""Selection of the placements that a host publishes to its peers.
 
-A host sees only its own part of the traffic, so hosts pool what they placed. Only upper
-levels are worth the bytes, thousands instead of millions: where a prompt has several
-messages, the ends of all but the last; where it has one, the checkpoints that this host
-has seen before.
+A host places only its own share of the traffic, so hosts exchange their placements.
+Only prefixes that prompts share are worth the bytes, thousands instead of millions: for
+a prompt of several messages the ends of all but the last, for a single message the
+checkpoints that this host has seen before.
 """
 
 from collections import OrderedDict
@@ -15,22 +15,24 @@
 from ._prefix import Checkpoint, PrefixChain
 from ._prefix_cache_index import CacheGeneration, generation_label
 
-#: Prefixes remembered to tell a second use from a first.
+#: Number of prefixes tracked to distinguish a second use from the first.
 MAX_TRACKED_PREFIXES = 50_000
 
-#: A prefix in steady use at a runner is told again after this time.
+#: Interval after which a prefix in continuous use at a runner is published again.
 REFRESH_SECONDS = 5.0
 
-#: Prefixes told in one summary, at about eleven bytes each.
+#: Maximum number of prefixes in one summary, at about eleven bytes each.
 MAX_PREFIXES_PER_SUMMARY = 512
 
 
 @attrs.define(repr=False)
 class PlacementUpdates(Shown):
-    """Placements of this host that have not been sent to peers yet."""
+    """Placements of this host that have not been published to peers yet."""
 
     _seen: OrderedDict[bytes, None] = attrs.field(factory=OrderedDict)
-    _told_at: OrderedDict[tuple[str, bytes], float] = attrs.field(factory=OrderedDict)
+    _published_at: OrderedDict[tuple[str, bytes], float] = attrs.field(
+        factory=OrderedDict
+    )
     _pending: dict[tuple[str, str], dict[bytes, int]] = attrs.field(factory=dict)
     _pending_count: int = 0
 
@@ -41,13 +43,13 @@
         chain: PrefixChain,
         now_seconds: float,
     ) -> None:
-        """Note that a prompt was placed; its shared prefixes become pending."""
+        """Record that a prompt was placed; its shared prefixes become pending."""
         key = (upstream, generation_label(generation))
         previous = 0
         for checkpoint in chain.levels or self._seen_before(chain):
             extent = checkpoint.tokens - previous
             previous = checkpoint.tokens
-            self._offer(key, checkpoint.prefix, extent, now_seconds)
+            self._add_pending(key, checkpoint.prefix, extent, now_seconds)
 
     def take(self) -> list[PlacedPrefix]:
         """Return the pending placements, and clear them."""
@@ -65,9 +67,9 @@
         return placed
 
     def _seen_before(self, chain: PrefixChain) -> list[Checkpoint]:
-        return [item for item in chain.checkpoints if self._was_seen(item.prefix)]
+        return [item for item in chain.checkpoints if self._check_seen(item.prefix)]
 
-    def _was_seen(self, prefix: bytes) -> bool:
+    def _check_seen(self, prefix: bytes) -> bool:
         was_seen = prefix in self._seen
         self._seen[prefix] = None
         self._seen.move_to_end(prefix)
@@ -75,17 +77,19 @@
             self._seen.popitem(last=False)
         return was_seen
 
-    def _offer(
+    def _add_pending(
         self, key: tuple[str, str], prefix: bytes, extent: int, now_seconds: float
     ) -> None:
-        told_key = (key[0] + key[1], prefix)
-        told_at = self._told_at.get(told_key)
-        is_fresh = told_at is not None and now_seconds - told_at < REFRESH_SECONDS
-        if is_fresh or self._pending_count >= MAX_PREFIXES_PER_SUMMARY:
+        published_key = (key[0] + key[1], prefix)
+        published_at = self._published_at.get(published_key)
+        is_recent = (
+            published_at is not None and now_seconds - published_at < REFRESH_SECONDS
+        )
+        if is_recent or self._pending_count >= MAX_PREFIXES_PER_SUMMARY:
             return
-        self._told_at[told_key] = now_seconds
-        self._told_at.move_to_end(told_key)
-        if len(self._told_at) > MAX_TRACKED_PREFIXES:
-            self._told_at.popitem(last=False)
+        self._published_at[published_key] = now_seconds
+        self._published_at.move_to_end(published_key)
+        if len(self._published_at) > MAX_TRACKED_PREFIXES:
+            self._published_at.popitem(last=False)
         self._pending.setdefault(key, {})[prefix] = extent
         self._pending_count += 1
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -239,7 +239,7 @@
         is_same_generation = True
         if event.report is not None:
             is_same_generation = not self.upstreams.note_report(upstream, event.report)
-            self.caches.observe(upstream, event.report.cache_tokens)
+            self.caches.update_generation(upstream, event.report.cache_tokens)
         upstream.health.note_probe(is_same_generation, now_seconds)
         self.upstreams.clear(upstream, now_seconds)
         self._record_state(upstream, "it answered a probe", now_seconds)
@@ -259,7 +259,7 @@
         self.upstreams.shutdown_announcements.sweep(names, now_seconds)
         for upstream in self.upstreams:
             if upstream.entry.incarnation and upstream.is_runner:
-                self.caches.observe(upstream)
+                self.caches.update_generation(upstream)
             self._record_state(upstream, reason, now_seconds)
 
     def _on_weights(self, event: ev.WeightsSeen, now_seconds: float) -> None:
@@ -272,7 +272,7 @@
             # Only the host list or a probe may introduce another incarnation.
             return
         if self.upstreams.note_generation(upstream, generation, event.is_own_report):
-            self.caches.observe(upstream)
+            self.caches.update_generation(upstream)
             self._record_state(upstream, "an answer reported its weights", now_seconds)
 
     def _on_load(self, event: ev.LoadOrdered, now_seconds: float) -> None:
@@ -321,8 +321,8 @@
         upstream = self.upstreams.get(event.upstream)
         incarnation = event.incarnation or (upstream.incarnation if upstream else "")
         if event.is_leaving:
-            leaving = Incarnation(event.upstream, incarnation)
-            self.upstreams.note_shutdown(leaving, now_seconds)
+            shutting_down = Incarnation(event.upstream, incarnation)
+            self.upstreams.note_shutdown(shutting_down, now_seconds)
             if upstream is not None:
                 self._record_state(upstream, event.source, now_seconds)
         if event.pause_seconds is not None:
--- a/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
@@ -1,47 +1,48 @@
-"""How fast runners of one model read prompts, learned from the answers that they begin.
+"""Estimate of the prefill speed of a model's runners, from times to the first token.
 
-It answers engines that read more slowly than they were taken to: each host then sent a
-runner nearly twice the queue that it meant to. An engine's own figure for its speed, if
-there is one, goes first. Only long prompts that found nothing waiting count. What
-caches hold is guessed, so that a single prompt may look many times too fast or too
-slow: the estimate follows a quantile, which a few wrong guesses don't move.
+Guards against engines that are slower than configured: each host then sent a runner
+nearly twice the queue that it should. A speed reported by the engine takes precedence.
+Only long prompts that were sent to an empty queue count. Cache contents are estimates,
+so a single prompt may seem many times too fast or too slow; the estimate follows a
+quantile, which a few wrong samples do not move.
 """
 
 import attrs
 
 from rampwick_schema import Shown
 
-#: Shortest part of a prompt, in tokens to be read, that tells anything of the speed.
-MIN_TOKENS = 1500
+#: Minimum number of tokens to compute for a prompt to count as a sample.
+MIN_SAMPLE_TOKENS = 1500
 
-#: Prompts that wait at a runner up to which a prompt counts as finding none, as time.
-MAX_QUEUE_SECONDS = 0.005
+#: Maximum prefill time queued at a runner for its queue to count as empty.
+MAX_EMPTY_QUEUE_SECONDS = 0.005
 
-#: Part of an answer's beginning that is the way there and back and the engine's steps.
+#: Share of the time to the first token due to the round trip and the engine's steps.
 OVERHEAD_SECONDS = 0.012
 
-#: Quantile that is followed: most prompts that miss it were read beside others that
-#: this host did not know of.
+#: Quantile that the estimate follows: most prompts below it were computed beside other
+#: prompts that this host did not know of.
 QUANTILE = 0.6
 
-#: Step of the estimate after each prompt: of the first ones, and the least.
-FIRST_STEP_RATIO = 0.5
+#: Relative step of the estimate after each sample: the initial step, which shrinks with
+#: the number of samples, and the minimum.
+INITIAL_STEP_RATIO = 0.5
 MIN_STEP_RATIO = 0.08
 
 
 @attrs.define(repr=False)
 class PrefillSpeed(Shown):
-    """Estimate for one model, from a start value on."""
+    """Estimate for one model, starting from a configured value."""
 
     tokens_per_second: float
     _count: int = 0
 
     def note(self, tokens: int, taken_seconds: float) -> None:
-        """Note how long a runner with nothing else to read took to begin an answer."""
-        reading_seconds = max(0.001, taken_seconds - OVERHEAD_SECONDS)
+        """Record the time to the first token of a runner with an empty queue."""
+        prefill_seconds = max(0.001, taken_seconds - OVERHEAD_SECONDS)
         self._count += 1
-        step_ratio = max(MIN_STEP_RATIO, FIRST_STEP_RATIO / self._count)
-        if tokens / reading_seconds > self.tokens_per_second:
+        step_ratio = max(MIN_STEP_RATIO, INITIAL_STEP_RATIO / self._count)
+        if tokens / prefill_seconds > self.tokens_per_second:
             self.tokens_per_second *= 1.0 + step_ratio * QUANTILE
         else:
             self.tokens_per_second *= 1.0 - step_ratio * (1.0 - QUANTILE)
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix.py
@@ -1,14 +1,14 @@
-"""Identity of prompt prefixes.
+"""Hashes that identify prompt prefixes.
 
-A prompt is cut into blocks of equal length. Each block's hash covers all blocks
-before it and starts from the scope: workspace, model and adapter. Equal hashes
-therefore mean equal beginnings within one workspace. The runner's life and weights
-version are not hashed but key the knowledge about it, so that a newer life drops
-what was known as a whole.
+A prompt is split into blocks of equal length. The hash of a block covers all blocks up
+to it and is keyed by the scope: workspace, model and adapter. Equal hashes therefore
+mean equal prefixes within one scope. The incarnation and weights version of a runner
+are not hashed; the cache index is kept per generation instead, so that a new generation
+drops all entries at once.
 
-Only some depths are remembered, the checkpoints: a geometric series and the ends of
-messages. A prompt of any length has a few dozen, and two prompts with a common
-beginning share the checkpoints within it.
+Only some depths are tracked, the checkpoints: a geometric series and the ends of
+messages. A prompt of any length has a few dozen, and two prompts with a common prefix
+share the checkpoints within it.
 """
 
 import hashlib
@@ -19,16 +19,16 @@
 
 from rampwick_schema import Shown
 
-#: Bytes of one prefix hash.
+#: Length of a prefix hash in bytes.
 HASH_BYTES = 8
 
-#: Ratio between two neighbouring checkpoints of the geometric series.
+#: Ratio between two consecutive checkpoints of the geometric series.
 CHECKPOINT_RATIO = 1.25
 
 
 @attrs.frozen(repr=False)
 class Scope(Shown):
-    """What a cached entry belongs to besides its text."""
+    """The context in which cached entries can be shared."""
 
     workspace: str
     model: str
@@ -36,40 +36,40 @@
 
     @property
     def seed(self) -> bytes:
-        """Key of the first block's hash."""
+        """Key of all hashes within this scope."""
         text = "\0".join((self.workspace, self.model, self.adapter))
         return hashlib.blake2b(text.encode(), digest_size=32).digest()
 
 
 @attrs.frozen(repr=False)
 class Checkpoint(Shown):
-    """One remembered depth of a prompt."""
+    """A tracked depth of a prompt."""
 
     prefix: bytes
     tokens: int
-    #: Whether a message other than the last ends here: what prompts share.
+    #: Whether a message other than the last ends here, so that prompts may share it.
     is_level: bool = False
 
 
 @attrs.frozen(repr=False)
 class PrefixChain(Shown):
-    """The checkpoints of one prompt, shallowest first, and its whole length."""
+    """The checkpoints of one prompt, shallowest first, and its total length."""
 
     checkpoints: tuple[Checkpoint, ...]
     total_tokens: int
-    #: Key that related prompts share where it is known; empty takes the first blocks.
+    #: Affinity key given by named parts; if empty, a hash of the first blocks is used.
     explicit_affinity_key: bytes = b""
-    #: Whether the checkpoints are named parts, each with a key of its own.
+    #: Whether the checkpoints are named parts with independent keys.
     has_parts: bool = False
 
     @property
     def levels(self) -> tuple[Checkpoint, ...]:
-        """The ends of the messages before the last, if there are several."""
+        """The checkpoints at the ends of all messages but the last."""
         return tuple(item for item in self.checkpoints if item.is_level)
 
     @property
     def affinity_key(self) -> bytes:
-        """Key that related prompts share: the hash of the first blocks."""
+        """Key shared by related prompts, which ranks runners and stores."""
         if self.explicit_affinity_key or not self.checkpoints:
             return self.explicit_affinity_key
         return self.checkpoints[min(3, len(self.checkpoints) - 1)].prefix
@@ -83,11 +83,11 @@
     bytes_per_token: float,
     boundaries_bytes: Sequence[int] = (),
 ) -> PrefixChain:
-    """Return the chain of a prompt; ``boundaries_bytes`` are its messages' ends."""
+    """Return the chain of a prompt; ``boundaries_bytes`` are the ends of messages."""
     count = len(text) // block_bytes
     levels = {min(end // block_bytes, count) for end in boundaries_bytes[:-1]}
-    wanted = {*geometric_depths(count), *levels, count} - {0}
-    hashes = _hash_blocks(scope.seed, text, block_bytes, sorted(wanted))
+    selected_depths = {*geometric_depths(count), *levels, count} - {0}
+    hashes = _hash_blocks(scope.seed, text, block_bytes, sorted(selected_depths))
     checkpoints = tuple(
         Checkpoint(prefix, int(depth * block_bytes / bytes_per_token), depth in levels)
         for depth, prefix in hashes
@@ -98,16 +98,16 @@
 
 @attrs.frozen(repr=False)
 class PromptPart(Shown):
-    """One named part of a prompt; equal names mean equal text."""
+    """A named part of a prompt; equal names mean equal text."""
 
     name: bytes
     tokens: int
 
 
 def chain_from_parts(scope: Scope, parts: Sequence[PromptPart]) -> PrefixChain:
-    """Return the chain of a prompt whose parts are named instead of sent as text.
+    """Return the chain of a prompt that is given as named parts instead of text.
 
-    The last part is the request's own; the ends of the others are levels.
+    The last part belongs to this request only; the ends of the others are levels.
     """
     checkpoints = []
     tokens = 0
@@ -125,16 +125,16 @@
 
 
 def part_key(scope: Scope, name: bytes) -> bytes:
-    """Return the key under which one named part is known within a scope."""
+    """Return the key of a named part within a scope."""
     return hashlib.blake2b(name, key=scope.seed, digest_size=HASH_BYTES).digest()
 
 
 def held_tokens(chain: PrefixChain, held: Mapping[bytes, int]) -> int:
-    """Return the length of the prompt's beginning that a cache holds.
+    """Return the length of the prompt's prefix that a cache holds.
 
-    ``held`` has the tokens that each entry adds to the one before it. Where a prompt
-    has named parts, each entry is one part, of which a cache may have kept only the
-    beginning, and it counts if all parts before it are whole.
+    ``held`` maps each entry to the tokens that it adds to the previous entry. In a
+    prompt of named parts, each entry is one part, which may be cached partially and
+    counts only if all parts before it are cached completely.
     """
     if not chain.has_parts:
         return next(
@@ -148,9 +148,9 @@
     total = 0
     for checkpoint in chain.checkpoints:
         extent = checkpoint.tokens - total
-        kept = held.get(checkpoint.prefix, 0)
-        if kept < extent:
-            return total + kept
+        cached = held.get(checkpoint.prefix, 0)
+        if cached < extent:
+            return total + cached
         total = checkpoint.tokens
     return total
 
@@ -158,8 +158,8 @@
 def _hash_blocks(
     seed: bytes, text: bytes, block_bytes: int, depths: Sequence[int]
 ) -> list[tuple[int, bytes]]:
-    # One running hash over the text gives every depth's hash by copying its state,
-    # which costs less than a separate hash for each block.
+    # Copying the state of one running hash at each depth costs less than a separate
+    # hash for each block.
     running = hashlib.blake2b(key=seed, digest_size=HASH_BYTES)
     hashes = []
     start = 0
@@ -173,7 +173,7 @@
 
 @lru_cache(maxsize=4096)
 def geometric_depths(count: int) -> tuple[int, ...]:
-    """Return the depths in blocks, up to ``count``, that every prompt remembers."""
+    """Return the depths, in blocks up to ``count``, of the geometric series."""
     depths = []
     depth = 1
     while depth <= count:
@@ -183,10 +183,10 @@
 
 
 def cache_salt(scope: Scope, weights_version: int, secret: str) -> str:
-    """Return the salt that keeps a scope's entries in an engine to themselves.
+    """Return the salt that isolates a scope's entries in an engine's cache.
 
-    It holds the weights version, so that an engine which forgot to clear its cache
-    at a reload can't match entries of the older weights.
+    It includes the weights version, so that an engine that fails to clear its cache
+    on a reload cannot match entries of older weights.
     """
     digest = hashlib.blake2b(scope.seed, key=secret.encode()[:64], digest_size=16)
     digest.update(str(weights_version).encode())
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
@@ -1,8 +1,8 @@
-"""What this host believes the runners' prefix caches hold.
+"""Estimated index of the runners' prefix caches.
 
-Knowledge belongs to one life of a runner: its incarnation and weights version. It
-is an estimate: a least-recently-used list as long as the runner's cache, corrected
-by the cached tokens that answers report. It is never needed for correctness.
+The index of a runner belongs to one generation of its cache: an incarnation and a
+weights version. It is an LRU list with the capacity of the runner's cache, corrected by
+the cached tokens that answers report. Correctness never depends on it.
 """
 
 from collections import OrderedDict
@@ -17,31 +17,34 @@
 
 @attrs.frozen(repr=False)
 class CacheGeneration(Shown):
-    """One life of a runner's cache; another life shares no entry with it."""
+    """A runner's cache at one incarnation and weights version.
+
+    Two generations share no entries.
+    """
 
     incarnation: str
     weights_version: int
 
 
 def generation_label(generation: CacheGeneration) -> str:
-    """Return the text by which peers name a life to each other."""
+    """Return the label of a generation in peer messages."""
     return f"{generation.incarnation}/{generation.weights_version}"
 
 
 @attrs.frozen(repr=False)
 class CacheChanges(Shown):
-    """Entries of one life of a cache and how many tokens of each it keeps now."""
+    """Entries of one cache generation with the number of tokens now cached of each."""
 
-    #: Life as peers name it.
+    #: Label of the generation.
     label: str
     prefixes: tuple[bytes, ...]
-    #: Tokens kept; none means that the entry is gone.
+    #: Cached tokens; 0 means that the entry was evicted.
     tokens: tuple[int, ...]
 
 
 @attrs.define(repr=False)
 class RunnerCache(Shown):
-    """Estimate of one runner's cache in its present life."""
+    """Estimated contents of one runner's cache in its current generation."""
 
     generation: CacheGeneration
     capacity_tokens: int
@@ -52,11 +55,11 @@
         return len(self._tokens)
 
     def cached_tokens(self, chain: PrefixChain) -> int:
-        """Return the length of the beginning believed to be held."""
+        """Return the length of the prompt's prefix that is estimated to be cached."""
         return held_tokens(chain, self._tokens)
 
     def insert(self, checkpoints: Iterable[Checkpoint]) -> None:
-        """Note that the runner has just used these, given shallowest first."""
+        """Record that the runner has just used these, ordered shallowest first."""
         ordered = list(checkpoints)
         extents = []
         previous = 0
@@ -71,28 +74,28 @@
         self._evict()
 
     def touch(self, prefixes: Iterable[bytes], extents_tokens: Iterable[int]) -> None:
-        """Note prefixes that a peer reports, deepest first."""
+        """Record prefixes that a peer reported, ordered deepest first."""
         for prefix, extent in zip(prefixes, extents_tokens, strict=False):
-            # What this host inserted itself has finer extents; they stay.
+            # Entries that this host inserted have finer extents, so they are kept.
             self._put(prefix, self._tokens.get(prefix, extent))
         self._evict()
 
     def note_change(self, prefix: bytes, tokens: int) -> None:
-        """Take a change that the engine told: how much it keeps of an entry now."""
+        """Apply an engine's report of the tokens now cached of an entry."""
         if tokens > 0:
             self._put(prefix, tokens)
         else:
             self._held_tokens -= self._tokens.pop(prefix, 0)
 
     def contents(self) -> list[CacheChanges]:
-        """Return all entries, those used last at the end."""
+        """Return all entries, the most recently used last."""
         if not self._tokens:
             return []
         label = generation_label(self.generation)
         return [CacheChanges(label, tuple(self._tokens), tuple(self._tokens.values()))]
 
-    def forget_beyond(self, chain: PrefixChain, tokens: int) -> None:
-        """Drop the chain's checkpoints deeper than the runner really held."""
+    def drop_beyond(self, chain: PrefixChain, tokens: int) -> None:
+        """Drop the chain's checkpoints beyond the tokens that the runner held."""
         for checkpoint in chain.checkpoints:
             if checkpoint.tokens > tokens:
                 self._held_tokens -= self._tokens.pop(checkpoint.prefix, 0)
@@ -114,7 +117,7 @@
 
 
 class PrefixCacheIndex:
-    """Caches of all runners, each in its newest known life."""
+    """Estimated caches of all runners, each in its latest known generation."""
 
     def __init__(self, max_entries_count: int) -> None:
         self._max_entries_count = max_entries_count
@@ -123,9 +126,9 @@
     def observe_generation(
         self, upstream: str, generation: CacheGeneration, capacity_tokens: int
     ) -> bool:
-        """Note the life that a runner itself reports; return whether it is new.
+        """Record the generation that a runner reports; return whether it is new.
 
-        Everything known of an earlier life is dropped at once.
+        The entries of an earlier generation are dropped at once.
         """
         cache = self._caches.get(upstream)
         if cache is not None and cache.generation == generation:
@@ -135,32 +138,32 @@
         return True
 
     def forget(self, upstream: str) -> None:
-        """Drop all that is known of a runner."""
+        """Drop all entries of a runner."""
         self._caches.pop(upstream, None)
 
     def cached_tokens(self, upstream: str, chain: PrefixChain) -> int:
-        """Return the tokens of the chain that the runner is believed to hold."""
+        """Return the estimated number of the chain's tokens that a runner holds."""
         cache = self._caches.get(upstream)
         return cache.cached_tokens(chain) if cache else 0
 
     def contents(self, upstream: str) -> list[CacheChanges]:
-        """Return what a runner is believed to hold, what it used last at the end."""
+        """Return a runner's estimated entries, the most recently used last."""
         cache = self._caches.get(upstream)
         return cache.contents() if cache else []
 
     def generation_of(self, upstream: str) -> CacheGeneration | None:
-        """Return the newest life known of a runner."""
+        """Return the latest known generation of a runner's cache."""
         cache = self._caches.get(upstream)
         return cache.generation if cache else None
 
     def note_prompt(
         self, upstream: str, generation: CacheGeneration, chain: PrefixChain
     ) -> None:
-        """Note that a runner in ``life`` computed or used the whole prompt."""
+        """Record that a runner in ``generation`` computed or used the whole prompt."""
         cache = self._current(upstream, generation)
         if cache is not None:
             cache.insert(chain.checkpoints)
-            self._bound(cache)
+            self._limit_cache(cache)
 
     def correct(
         self,
@@ -169,20 +172,20 @@
         chain: PrefixChain,
         tokens: int,
     ) -> None:
-        """Drop what an answer's cached tokens show not to have been held."""
+        """Drop entries that were not cached, by the cached tokens of an answer."""
         cache = self._current(upstream, generation)
         if cache is not None:
-            cache.forget_beyond(chain, tokens)
+            cache.drop_beyond(chain, tokens)
 
     def note_reported(self, placed: PlacedPrefix) -> None:
-        """Take prefixes that a peer placed; those of another life are dropped."""
+        """Apply a peer's placement; one of another generation is ignored."""
         cache = self._caches.get(placed.upstream)
         if (
             cache is not None
             and generation_label(cache.generation) == placed.incarnation
         ):
             cache.touch(placed.prefixes, placed.extents_tokens)
-            self._bound(cache)
+            self._limit_cache(cache)
 
     def note_changes(
         self,
@@ -191,13 +194,13 @@
         prefixes: Sequence[bytes],
         tokens: Sequence[int],
     ) -> None:
-        """Take changes that an engine told; those of another life are dropped."""
+        """Apply changes that an engine reported; another generation's are ignored."""
         cache = self._caches.get(upstream)
         if cache is None or generation_label(cache.generation) != label:
             return
-        for prefix, kept in zip(prefixes, tokens, strict=False):
-            cache.note_change(prefix, kept)
-        self._bound(cache)
+        for prefix, cached in zip(prefixes, tokens, strict=False):
+            cache.note_change(prefix, cached)
+        self._limit_cache(cache)
 
     def entries_count(self) -> int:
         """Return the number of entries over all runners."""
@@ -209,5 +212,5 @@
         cache = self._caches.get(upstream)
         return cache if cache is not None and cache.generation == generation else None
 
-    def _bound(self, cache: RunnerCache) -> None:
+    def _limit_cache(self, cache: RunnerCache) -> None:
         cache.limit_entries(max(1, self._max_entries_count // len(self._caches)))
--- a/packages/rampwick-policy/src/rampwick_policy/_rendezvous.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a ranking that hosts agree on without talking."""
+"""Rendezvous hashing: a ranking that hosts agree on without communication."""
 
 import functools
 import hashlib
@@ -9,14 +9,14 @@
 
 
 def rank(key: bytes, names: Iterable[str]) -> list[str]:
-    """Return the names in the key's order of preference.
+    """Return the names ordered by their weight for a key, highest first.
 
-    When a name leaves, only the keys that preferred it move.
+    When a name is removed, only the keys that ranked it first move.
     """
     return sorted(names, key=lambda name: _weight(key, name), reverse=True)
 
 
-#: Draws remembered: some hundred hot prefixes at some hundred upstreams each.
+#: Number of cached weights: a few hundred hot prefixes at a few hundred upstreams each.
 _CACHED_WEIGHTS_COUNT = 65_536
 
 
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -296,7 +296,7 @@
         saved = [item for item in told if item.upstream == "kept"]
         self.assertEqual(1, len(saved))
         other.pool.imports.note_reported(saved[0], 1.0)
-        self.assertIsNone(other.pool.imports.take_store(1, chain(), 1.0))
+        self.assertIsNone(other.pool.imports.select_store(1, chain(), 1.0))
 
 
 class QueueAtLinkTest(ImportCase):
