--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -56,7 +56,7 @@
     hall: str
     rates: RequestRates
     gate: Gate
-    turns: RequestTurns | None = None
+    rate_limiter: RequestTurns | None = None
     known_since: dict[str, float] = attrs.field(factory=dict)
     #: Part of the fleet that it hears.
     heard_ratio: float = 1.0
@@ -187,9 +187,9 @@
             )
             halls = frozenset(other.hall for other in heard)
             host.heard_ratio = len(heard) / len(self._hosts)
-            if host.turns is not None:
+            if host.rate_limiter is not None:
                 near = Neighbours(mates, mates, halls)
-                host.turns.standpoint = Standpoint(host.name, host.hall, near)
+                host.rate_limiter.standpoint = Standpoint(host.name, host.hall, near)
 
     def _cut(self, is_cut: bool) -> None:
         self._is_cut = is_cut
@@ -298,13 +298,13 @@
 ) -> Callable[[_Host, RateLab], None]:
     def equip(host: _Host, lab: RateLab) -> None:
         count = lab._pattern.hosts_count
-        host.turns = RequestTurns(
+        host.rate_limiter = RequestTurns(
             host.rates,
             Standpoint(host.name, host.hall),
             lambda now_seconds: host.heard_ratio,
             make_rule(count),
         )
-        host.gate = TurnGate(host.turns)
+        host.gate = TurnGate(host.rate_limiter)
 
     return equip
 
--- a/measure/_rate_ways.py
+++ b/measure/_rate_ways.py
@@ -52,8 +52,8 @@
 class TurnGate:
     """The policy's own turns, with a rule for the senders."""
 
-    def __init__(self, turns: RequestTurns) -> None:
-        self._turns = turns
+    def __init__(self, rate_limiter: RequestTurns) -> None:
+        self._turns = rate_limiter
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether it may, and count it if so."""
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -111,7 +111,7 @@
         """
         pool = self._pool
         room = Room(
-            pool.upstreams, pool.peers, self._admission, pool.turns, now_seconds
+            pool.upstreams, pool.peers, self._admission, pool.rate_limiter, now_seconds
         )
         for is_late, priority_class in itertools.product(
             (False, True), ev.RANKED_CLASSES
@@ -243,7 +243,7 @@
         item.incarnation = upstream.incarnation
         item.sent_at_seconds = now_seconds
         self._request_quarantine.note_sent(item)
-        self._pool.turns.note_sent(upstream, now_seconds)
+        self._pool.rate_limiter.note_sent(upstream, now_seconds)
         upstream.start(
             attempt_id,
             choice.missing_tokens,
--- a/packages/rampwick-policy/src/rampwick_policy/_evidence.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_evidence.py
@@ -53,7 +53,7 @@
 
 def _state(upstream: Upstream, pool: Pool, now_seconds: float) -> str:
     state = pool.upstreams.describe(upstream, now_seconds).partition(" ")[0]
-    rate_state = pool.turns.state(upstream, now_seconds)
+    rate_state = pool.rate_limiter.state(upstream, now_seconds)
     if state != "up" or rate_state is None:
         return state
     return (
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -62,10 +62,10 @@
     """Looks ahead for requests; it shares the scheduler's parts."""
 
     def __init__(
-        self, upstreams: UpstreamTable, turns: RequestTurns, queue: WaitingQueue
+        self, upstreams: UpstreamTable, rate_limiter: RequestTurns, queue: WaitingQueue
     ) -> None:
         self._upstreams = upstreams
-        self._turns = turns
+        self._turns = rate_limiter
         self._queue = queue
 
     @property
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -76,7 +76,7 @@
         #: Request rates that overloaded upstreams accept from all hosts together, and
         #: this host's share of them.
         self.rates = RequestRates(self.notices)
-        self.turns = RequestTurns(
+        self.rate_limiter = RequestTurns(
             self.rates,
             Standpoint(settings.host.name, settings.host.hall),
             self.limits.part_ratio,
@@ -365,8 +365,8 @@
                 self._record_state(upstream, "its pause has ended", now_seconds)
 
     def _on_peers_changed(self, event: ev.NeighboursSeen, now_seconds: float) -> None:
-        self.turns.standpoint = attrs.evolve(
-            self.turns.standpoint,
+        self.rate_limiter.standpoint = attrs.evolve(
+            self.rate_limiter.standpoint,
             neighbours=event.neighbours,
             is_leaving=event.is_leaving,
         )
--- a/packages/rampwick-policy/src/rampwick_policy/_room.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_room.py
@@ -27,11 +27,11 @@
         upstreams: UpstreamTable,
         peers: Membership,
         admission: Admission,
-        turns: RequestTurns,
+        rate_limiter: RequestTurns,
         now_seconds: float,
     ) -> None:
         self._upstreams = upstreams
-        self._turns = turns
+        self._turns = rate_limiter
         self._peers = peers
         self._admission = admission
         self._now_seconds = now_seconds
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -64,7 +64,9 @@
         self.budgets = RetryBudgets(settings.retry)
         self._answers = AnswerEstimates()
         self.quarantine = RequestQuarantine(self.pool.notices)
-        self._forecasts = Forecasts(self.pool.upstreams, self.pool.turns, self.queue)
+        self._forecasts = Forecasts(
+            self.pool.upstreams, self.pool.rate_limiter, self.queue
+        )
         self._dispatcher = Dispatcher(
             settings.placement,
             self.pool,
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -226,8 +226,10 @@
 
 def _read_turns(scheduler: Scheduler, now_seconds: float) -> list[TurnState]:
     """Return the rates that upstreams name, with what of them is this host's."""
-    turns = scheduler.pool.turns
-    states = [turns.state(upstream, now_seconds) for upstream in scheduler.upstreams]
+    rate_limiter = scheduler.pool.rate_limiter
+    states = [
+        rate_limiter.state(upstream, now_seconds) for upstream in scheduler.upstreams
+    ]
     return [state for state in states if state is not None]
 
 
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -243,58 +243,58 @@
                 self.assertGreater(len(times), 0.6 * rate * 12.0 - 1.0)
 
     def test_one_that_nobody_asked_for_a_while_has_two_requests_to_send(self):
-        turns = make_turns(Standpoint("e0", "h0"), 1.0)
+        rate_limiter = make_turns(Standpoint("e0", "h0"), 1.0)
         upstream = make_upstream()
-        self.assertFalse(turns.may_send(upstream, 0.0))
+        self.assertFalse(rate_limiter.may_send(upstream, 0.0))
         times = []
         for step in range(1000, 2000):
-            if turns.may_send(upstream, step / 100.0):
-                turns.note_sent(upstream, step / 100.0)
+            if rate_limiter.may_send(upstream, step / 100.0):
+                rate_limiter.note_sent(upstream, step / 100.0)
                 times.append(step / 100.0)
         self.assertEqual([10.0, 10.01, 11.0], times[:3])
         self.assertLessEqual(most_in_window(times), 4 + MOST_SAVED_COUNT)
 
     def test_a_new_sender_waits_for_a_turn_of_its_own(self):
         near = Neighbours(frozenset(), frozenset(), frozenset({"h1"}))
-        turns = make_turns(Standpoint("e0", "h0", near), 2.0)
+        rate_limiter = make_turns(Standpoint("e0", "h0", near), 2.0)
         upstream = make_upstream()
-        is_sender = turns.own_rate(upstream, 0.0) > 0.0
-        turns.standpoint = Standpoint("e0", "h0", near, is_leaving=is_sender)
+        is_sender = rate_limiter.own_rate(upstream, 0.0) > 0.0
+        rate_limiter.standpoint = Standpoint("e0", "h0", near, is_leaving=is_sender)
         self.assertTrue(is_sender)
-        self.assertFalse(turns.may_send(upstream, 5.0))
-        turns.standpoint = Standpoint("e0", "h0")
-        self.assertFalse(turns.may_send(upstream, 5.0))
-        self.assertFalse(turns.may_send(upstream, 5.4))
-        self.assertTrue(turns.may_send(upstream, 5.5))
+        self.assertFalse(rate_limiter.may_send(upstream, 5.0))
+        rate_limiter.standpoint = Standpoint("e0", "h0")
+        self.assertFalse(rate_limiter.may_send(upstream, 5.0))
+        self.assertFalse(rate_limiter.may_send(upstream, 5.4))
+        self.assertTrue(rate_limiter.may_send(upstream, 5.5))
 
     def test_hosts_that_are_cut_off_keep_to_their_part(self):
-        turns = make_turns(Standpoint("e0", "h0"), 2.0, heard_ratio=0.25)
-        self.assertEqual(0.5, turns.own_rate(make_upstream(), 0.0))
+        rate_limiter = make_turns(Standpoint("e0", "h0"), 2.0, heard_ratio=0.25)
+        self.assertEqual(0.5, rate_limiter.own_rate(make_upstream(), 0.0))
 
     def test_one_that_takes_nothing_is_tried_now_and_then(self):
-        turns = make_turns(Standpoint("e0", "h0"), 0.0)
+        rate_limiter = make_turns(Standpoint("e0", "h0"), 0.0)
         upstream = make_upstream()
         pause_seconds = 1.0 / TRIAL_PER_SECOND
-        self.assertFalse(turns.may_send(upstream, 0.0))
-        self.assertFalse(turns.may_send(upstream, pause_seconds - 0.1))
-        self.assertTrue(turns.may_send(upstream, pause_seconds))
+        self.assertFalse(rate_limiter.may_send(upstream, 0.0))
+        self.assertFalse(rate_limiter.may_send(upstream, pause_seconds - 0.1))
+        self.assertTrue(rate_limiter.may_send(upstream, pause_seconds))
 
     def test_a_lower_rate_holds_at_once_and_a_higher_one_too(self):
-        turns = make_turns(Standpoint("e0", "h0"), 10.0)
+        rate_limiter = make_turns(Standpoint("e0", "h0"), 10.0)
         upstream = make_upstream()
-        self.assertFalse(turns.may_send(upstream, 0.0))
-        self.assertTrue(turns.may_send(upstream, 1.0))
-        turns.rates.take("u", RateObservation("", 0.5, 0.95, 1.0), "test")
+        self.assertFalse(rate_limiter.may_send(upstream, 0.0))
+        self.assertTrue(rate_limiter.may_send(upstream, 1.0))
+        rate_limiter.rates.take("u", RateObservation("", 0.5, 0.95, 1.0), "test")
         for _ in range(int(MOST_SAVED_COUNT)):
-            self.assertTrue(turns.may_send(upstream, 1.0))
-            turns.note_sent(upstream, 1.0)
-        self.assertFalse(turns.may_send(upstream, 2.9))
-        turns.rates.take("u", RateObservation("", 10.0, 2.0, 2.9), "test")
-        self.assertFalse(turns.may_send(upstream, 2.9))
-        self.assertTrue(turns.may_send(upstream, 3.0))
-        turns.rates.take("u", RateObservation("", None, 2.95, 3.0), "test")
-        turns.note_sent(upstream, 3.0)
-        self.assertTrue(turns.may_send(upstream, 3.0))
+            self.assertTrue(rate_limiter.may_send(upstream, 1.0))
+            rate_limiter.note_sent(upstream, 1.0)
+        self.assertFalse(rate_limiter.may_send(upstream, 2.9))
+        rate_limiter.rates.take("u", RateObservation("", 10.0, 2.0, 2.9), "test")
+        self.assertFalse(rate_limiter.may_send(upstream, 2.9))
+        self.assertTrue(rate_limiter.may_send(upstream, 3.0))
+        rate_limiter.rates.take("u", RateObservation("", None, 2.95, 3.0), "test")
+        rate_limiter.note_sent(upstream, 3.0)
+        self.assertTrue(rate_limiter.may_send(upstream, 3.0))
 
 
 class NewsTest(TestCase):
