--- a/packages/rampwick-policy/src/rampwick_policy/_evidence.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_evidence.py
@@ -57,6 +57,6 @@
     if state != "up" or rate_state is None:
         return state
     return (
-        f"up (limited to {rate_state.requests_per_second:g}/s, "
-        f"{rate_state.own_requests_per_second:.2g}/s for this host)"
+        f"up at {rate_state.requests_per_second:g}/s "
+        f"({rate_state.own_requests_per_second:.2g}/s for this host)"
     )
