--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -273,7 +273,9 @@
             return
         if self.upstreams.note_generation(upstream, generation, event.is_own_report):
             self.caches.update_generation(upstream)
-            self._record_state(upstream, "an answer reported its weights", now_seconds)
+            self._record_state(
+                upstream, "its weights version was reported", now_seconds
+            )
 
     def _on_load(self, event: ev.LoadOrdered, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
@@ -375,7 +377,9 @@
         self.peers.drop(event.name)
         self.ledger.hear(event.name, (), now_seconds)
         self.limits.forget(event.name)
-        self.notices.forget("peer", event.name, "covered by summaries of other hosts")
+        self.notices.forget(
+            "peer", event.name, "covered by another sender, or shut down"
+        )
 
     def _on_peer_summary(
         self, event: ev.PeerSummaryReceived, now_seconds: float
--- a/tests/test_cache_isolation.py
+++ b/tests/test_cache_isolation.py
@@ -1,4 +1,4 @@
-"""No request relies on entries of a dead engine, another workspace, old weights."""
+"""Isolation of cached entries by engine incarnation, workspace and weights version."""
 
 from unittest import mock
 
@@ -59,11 +59,14 @@
             )
 
     def roll_out(self):
-        """Return what a careless engine saw over a rollout in mid-burst."""
+        """Return the answers and attempts of a burst during a rollout.
+
+        The engine wrongly keeps its cache when it loads new weights.
+        """
 
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", load_seconds=0.05)
-            # This engine keeps its cache over a load, as none should.
+            # Unlike a correct engine, this one keeps its cache when it loads weights.
             runner.engine.faults = EngineFaults(keeps_cache=True)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
@@ -84,8 +87,8 @@
                 await until(lambda: runner.engine.weights_version == 2)
                 await until(lambda: weights_at(host) == 2)
                 seen.append(await host.stream(GUIDE))
-            # What callers were given came from each request's last attempt; one that
-            # was found stale reached nobody.
+            # Callers received the answer of each request's last attempt; the answer of
+            # a stale attempt is discarded.
             last = {attempt.text: attempt for attempt in bench.attempts()}
             whole = {saw.prompt.encode() for saw in seen if saw.is_whole}
             return seen, [last[text] for text in last if text in whole]
@@ -106,7 +109,7 @@
             _, attempts = self.roll_out()
         self.assertNotEqual([], check_cache(attempts))
 
-    def test_engine_that_comes_back_empty_is_not_taken_for_the_old_one(self):
+    def test_restarted_engine_with_an_empty_cache_is_a_new_generation(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             async with bench.run_host() as host:
@@ -131,27 +134,27 @@
 
 
 def weights_at(host):
-    """Return the weights version that a host knows of the runner."""
+    """Return the weights version of the runner as known to a host."""
     generation = host.upstream("lektor-1").cache_generation
     return generation.weights_version if generation else None
 
 
-class KnowledgeTest(TestCase):
-    def make_known(self):
+class PrefixCacheIndexTest(TestCase):
+    def make_index(self):
         cache_index = PrefixCacheIndex(1000)
         cache_index.observe_generation("r", OLD, 100_000)
         chain = chain_of(GUIDE)
         cache_index.note_prompt("r", OLD, chain)
         return cache_index, chain
 
-    def test_new_life_drops_all_that_was_known(self):
-        cache_index, chain = self.make_known()
+    def test_new_generation_drops_all_entries(self):
+        cache_index, chain = self.make_index()
         self.assertGreater(cache_index.cached_tokens("r", chain), 0)
         cache_index.observe_generation("r", NEW, 100_000)
         self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
-    def test_news_of_the_old_life_that_comes_late_is_dropped(self):
-        cache_index, chain = self.make_known()
+    def test_late_report_of_an_old_generation_is_ignored(self):
+        cache_index, chain = self.make_index()
         cache_index.observe_generation("r", NEW, 100_000)
         prefixes = [checkpoint.prefix for checkpoint in chain.checkpoints]
         late = PlacedPrefix("r", "life-1/1", prefixes, [16] * len(prefixes))
@@ -159,8 +162,8 @@
         cache_index.note_prompt("r", OLD, chain)
         self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
-    def test_other_weights_are_another_life(self):
-        cache_index, chain = self.make_known()
+    def test_other_weights_are_another_generation(self):
+        cache_index, chain = self.make_index()
         cache_index.observe_generation("r", CacheGeneration("life-1", 2), 100_000)
         self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
@@ -171,7 +174,7 @@
             cache_index.note_prompt("r", OLD, chain_of(f"{number} " * 400))
         self.assertLessEqual(cache_index.entries_count(), 50)
 
-    def test_least_recently_used_prompt_is_thought_evicted(self):
+    def test_least_recently_used_prompt_is_assumed_evicted(self):
         cache_index = PrefixCacheIndex(1000)
         prompts = [chain_of(f"{number} " * 400) for number in range(4)]
         cache_index.observe_generation("r", OLD, prompts[0].total_tokens * 2)
@@ -187,7 +190,7 @@
 class PrefixTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(TEXTS, TEXTS, TEXTS)
-    def test_common_checkpoints_mean_a_common_beginning(self, shared, one, two):
+    def test_common_checkpoints_mean_a_common_prefix(self, shared, one, two):
         first, second = chain_of(shared + one), chain_of(shared + two)
         depths = {item.prefix: item.tokens for item in first.checkpoints}
         for checkpoint in second.checkpoints:
@@ -208,7 +211,7 @@
         prefixes = [item.prefix for chain in chains for item in chain.checkpoints]
         self.assertEqual(len(prefixes), len(set(prefixes)))
 
-    def test_salt_tells_workspaces_and_weights_apart(self):
+    def test_salts_differ_by_workspace_and_weights(self):
         scopes = [Scope("/a", "m"), Scope("/b", "m")]
         salts = {
             cache_salt(scope, weights, "s") for scope in scopes for weights in (1, 2)
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,4 +1,4 @@
-"""What is known of caches: parts, engines' own word, imports, saves, salts."""
+"""Estimated cache contents: named parts, engine reports, imports, saves and salts."""
 
 from hypothesis import given, settings, strategies as st
 from testtools import TestCase
@@ -67,7 +67,7 @@
     def held(self):
         return self.cache_index.cached_tokens("r", chain())
 
-    def test_a_part_counts_if_all_before_it_are_whole(self):
+    def test_part_counts_only_after_complete_parts(self):
         self.change(THING, 3700)
         self.assertEqual(0, self.held())
         self.change(GUIDE, 2500)
@@ -75,17 +75,17 @@
         self.change(GUIDE, 128)
         self.assertEqual(128, self.held())
 
-    def test_what_was_placed_is_corrected_by_the_engines_word(self):
+    def test_engine_report_corrects_the_entries_of_a_placement(self):
         self.cache_index.note_prompt("r", self.generation, chain())
         self.assertEqual(7100, self.held())
         self.change(THING, 0)
         self.assertEqual(2500, self.held())
 
-    def test_word_of_another_life_is_dropped(self):
+    def test_report_of_another_generation_is_ignored(self):
         self.change(GUIDE, 2500, label="one/2")
         self.assertEqual(0, self.held())
 
-    def test_the_last_part_is_nobody_elses(self):
+    def test_last_part_is_not_shared(self):
         levels = chain().levels
         self.assertEqual([2500, 6200], [level.tokens for level in levels])
         self.assertEqual(THING, chain().affinity_key)
@@ -94,7 +94,7 @@
     @given(
         st.lists(st.tuples(st.sampled_from([GUIDE, THING, OWN]), st.integers(0, 4000)))
     )
-    def test_no_more_is_held_than_the_prompt_has(self, changes):
+    def test_cached_tokens_do_not_exceed_the_prompt(self, changes):
         cache_index = PrefixCacheIndex(1000)
         cache_index.observe_generation("r", self.generation, 100_000)
         for prefix, tokens in changes:
@@ -102,39 +102,39 @@
         self.assertTrue(0 <= cache_index.cached_tokens("r", chain()) <= 7100)
 
 
-class KeptKnowledgeTest(TestCase):
-    def test_a_save_is_believed_for_a_while_and_the_stores_word_until_it_changes(self):
-        kept = KvStoreContents()
-        kept.note_saved(1, GUIDE, 2500, 10.0)
-        self.assertEqual(2500, kept.tokens(1, GUIDE, 20.0))
-        self.assertEqual(0, kept.tokens(1, GUIDE, 30.0))
-        kept.note_change(1, GUIDE, 2500, 30.0)
-        self.assertEqual(2500, kept.tokens(1, GUIDE, 3000.0))
-        kept.note_change(1, GUIDE, 0, 3001.0)
-        self.assertEqual(0, kept.tokens(1, GUIDE, 3001.0))
-
-    def test_versions_are_kept_apart(self):
-        kept = KvStoreContents()
-        kept.note_change(1, GUIDE, 2500, 10.0)
-        self.assertEqual(0, kept.tokens(2, GUIDE, 10.0))
-
-    def test_a_beginning_counts_as_far_as_it_is_whole(self):
-        kept = KvStoreContents()
-        kept.note_change(1, GUIDE, 2500, 10.0)
-        kept.note_change(1, THING, 1000, 10.0)
-        self.assertEqual(3500, kept.held_tokens(1, chain(), 10.0))
-
-
-class SaltBookTest(TestCase):
-    def test_salts_of_walls_models_and_versions_differ_and_are_found_again(self):
-        book = SaltTable("secret")
-        scopes = [Scope(wall, model) for wall in "ab" for model in "mn"]
-        book.prepare(scopes, [1, 2])
-        salts = {book.salt(scope, version) for scope in scopes for version in (1, 2)}
+class KvStoreContentsTest(TestCase):
+    def test_saved_entry_expires_and_reported_entry_stays_until_changed(self):
+        contents = KvStoreContents()
+        contents.note_saved(1, GUIDE, 2500, 10.0)
+        self.assertEqual(2500, contents.tokens(1, GUIDE, 20.0))
+        self.assertEqual(0, contents.tokens(1, GUIDE, 30.0))
+        contents.note_change(1, GUIDE, 2500, 30.0)
+        self.assertEqual(2500, contents.tokens(1, GUIDE, 3000.0))
+        contents.note_change(1, GUIDE, 0, 3001.0)
+        self.assertEqual(0, contents.tokens(1, GUIDE, 3001.0))
+
+    def test_weights_versions_are_separate(self):
+        contents = KvStoreContents()
+        contents.note_change(1, GUIDE, 2500, 10.0)
+        self.assertEqual(0, contents.tokens(2, GUIDE, 10.0))
+
+    def test_prefix_counts_up_to_a_partial_part(self):
+        contents = KvStoreContents()
+        contents.note_change(1, GUIDE, 2500, 10.0)
+        contents.note_change(1, THING, 1000, 10.0)
+        self.assertEqual(3500, contents.held_tokens(1, chain(), 10.0))
+
+
+class SaltTableTest(TestCase):
+    def test_salts_of_scopes_and_versions_differ_and_map_back_to_them(self):
+        table = SaltTable("secret")
+        scopes = [Scope(workspace, model) for workspace in "ab" for model in "mn"]
+        table.prepare(scopes, [1, 2])
+        salts = {table.salt(scope, version) for scope in scopes for version in (1, 2)}
         self.assertEqual(8, len(salts))
-        found = book.find(book.salt(scopes[0], 2))
+        found = table.find(table.salt(scopes[0], 2))
         self.assertEqual((scopes[0], 2), (found.scope, found.weights_version))
-        self.assertIsNone(book.find("a stranger's"))
+        self.assertIsNone(table.find("unknown"))
 
     def test_hosts_with_one_secret_choose_the_same_salts(self):
         one, two = SaltTable("secret"), SaltTable("secret")
@@ -147,9 +147,13 @@
         found = []
         for name, hall in hosts:
             own = Member(name, hall, "")
-            mates = frozenset(other for other, its in hosts if its == hall) - {name}
-            near = Neighbours(mates, mates, frozenset(its for _, its in hosts))
-            if is_cache_reader(own, "runner", upstream_hall, near):
+            hall_peers = frozenset(
+                other for other, other_hall in hosts if other_hall == hall
+            ) - {name}
+            peers = Neighbours(
+                hall_peers, hall_peers, frozenset(other_hall for _, other_hall in hosts)
+            )
+            if is_cache_reader(own, "runner", upstream_hall, peers):
                 found.append((name, hall))
         return found
 
@@ -158,7 +162,7 @@
         (reader,) = self.readers(hosts, "hall-1")
         self.assertEqual("hall-1", reader[1])
 
-    def test_one_of_all_reads_where_the_hall_has_no_host(self):
+    def test_one_of_all_hosts_reads_for_a_hall_without_hosts(self):
         hosts = [(f"h{number}", f"hall-{number % 3}") for number in range(9)]
         self.assertEqual(1, len(self.readers(hosts, "hall-9")))
 
@@ -208,10 +212,10 @@
         read = HostListRead(HostList(len(entries), entries))
         self.scheduler.handle(read, 0.0)
 
-    def tell(self, name, label, *changes):
+    def report(self, name, label, *changes):
         prefixes, tokens = zip(*changes, strict=True)
-        seen = CacheSeen(name, (CacheChanges(label, prefixes, tokens),))
-        self.scheduler.handle(seen, 1.0)
+        event = CacheSeen(name, (CacheChanges(label, prefixes, tokens),))
+        self.scheduler.handle(event, 1.0)
 
     def arrive(self, request_id="r1", parts=None):
         event = RequestArrived(
@@ -229,16 +233,16 @@
 
 
 class ImportTest(ImportCase):
-    """Where a prompt goes, and from where its runner takes what it lacks."""
+    """Placement of a prompt, and the source from which its runner imports."""
 
-    def test_a_prompt_goes_where_it_is_held(self):
-        self.tell(
+    def test_prompt_is_placed_where_it_is_cached(self):
+        self.report(
             "b", generation_label(CacheGeneration("b", 1)), (GUIDE, 2500), (THING, 3700)
         )
         self.assertEqual("b", self.arrive().upstream)
 
-    def test_a_busy_holder_is_imported_from(self):
-        self.tell(
+    def test_prompt_is_imported_from_a_busy_holder(self):
+        self.report(
             "b", generation_label(CacheGeneration("b", 1)), (GUIDE, 2500), (THING, 3700)
         )
         holder = self.scheduler.upstreams.get("b")
@@ -253,7 +257,7 @@
 
     def test_nothing_is_imported_from_other_weights(self):
         self.list_runners(("a", 1), ("b", 1), ("old", 0))
-        self.tell(
+        self.report(
             "old",
             generation_label(CacheGeneration("old", 0)),
             (GUIDE, 2500),
@@ -264,77 +268,80 @@
             holder.start(f"x{number}", 5000, 1.0)
         self.assertEqual("10.9.0.1:1", self.arrive().import_address)
 
-    def test_the_store_is_asked_when_nobody_is_known_to_hold_anything(self):
+    def test_store_is_queried_when_no_cache_is_known_to_hold_the_prompt(self):
         self.assertEqual("10.9.0.1:1", self.arrive().import_address)
 
-    def test_a_shared_part_is_saved_once(self):
+    def test_shared_part_is_saved_once(self):
         self.assertEqual("10.9.0.1:1", self.arrive("r1").save_address)
         self.assertEqual("", self.arrive("r2").save_address)
 
-    def test_what_the_store_tells_it_holds_is_not_saved_again(self):
-        self.tell(
+    def test_entry_reported_by_the_store_is_not_saved_again(self):
+        self.report(
             "kept", generation_label(store_generation(1)), (GUIDE, 2500), (THING, 3700)
         )
         dispatch = self.arrive()
         self.assertEqual("", dispatch.save_address)
         self.assertEqual(6200, dispatch.choice.imported_tokens)
 
-    def test_a_store_that_came_back_empty_is_saved_to_again(self):
-        self.tell(
+    def test_prompt_is_saved_again_after_a_store_reset(self):
+        self.report(
             "kept", generation_label(store_generation(1)), (GUIDE, 2500), (THING, 3700)
         )
         self.scheduler.handle(CacheSeen("kept", (), is_reset=True), 2.0)
         self.assertEqual("10.9.0.1:1", self.arrive().save_address)
 
-    def test_peers_saves_count(self):
+    def test_save_of_a_peer_is_not_repeated(self):
         other = Scheduler(
             parse_settings('[host]\nname = "f"\nhall = "h"\n', source="t")
         )
         other.pool.imports.apply(self.view.routes)
         self.arrive("r1")
-        told = self.scheduler.summary(1, 1, False, 1.0).placed
-        saved = [item for item in told if item.upstream == "kept"]
+        published = self.scheduler.summary(1, 1, False, 1.0).placed
+        saved = [item for item in published if item.upstream == "kept"]
         self.assertEqual(1, len(saved))
         other.pool.imports.note_reported(saved[0], 1.0)
         self.assertIsNone(other.pool.imports.select_store(1, chain(), 1.0))
 
 
-class QueueAtLinkTest(ImportCase):
-    """What moves from a cache already is waited for, so short prompts do without."""
+class LinkQueueTest(ImportCase):
+    """Imports wait for transfers in progress, so short prompts are computed instead."""
 
     SHORT = (PromptPart(b"style", 100), PromptPart(b"own", 400))
 
     def setUp(self):
         super().setUp()
-        # At 5.9 us a token the store's link is busy for 0.3 s.
+        # At 5.9 us per token the store's link is busy for 0.3 s.
         self.scheduler.pool.cache_transfers.begin(
             "x", CacheTransfer("kept", "a", 50_000)
         )
 
-    def test_a_short_prompt_is_computed_instead(self):
+    def test_short_prompt_is_computed_instead(self):
         self.assertEqual("", self.arrive(parts=self.SHORT).import_address)
 
-    def test_a_long_one_waits_for_its_cache(self):
+    def test_long_prompt_waits_for_its_import(self):
         self.assertEqual("10.9.0.1:1", self.arrive().import_address)
 
-    def test_a_short_one_takes_from_an_idle_link(self):
+    def test_short_prompt_is_imported_over_an_idle_link(self):
         self.scheduler.pool.cache_transfers.end("x")
         dispatch = self.arrive(parts=self.SHORT)
         self.assertEqual("10.9.0.1:1", dispatch.import_address)
 
-    def test_peers_are_told_and_count(self):
-        told = self.scheduler.summary(1, 1, False, 1.0).upstreams
+    def test_transfers_of_peers_are_published_and_counted(self):
+        published = self.scheduler.summary(1, 1, False, 1.0).upstreams
         self.assertEqual(
             [("a", TRANSFERS_LABEL, 50_000), ("kept", TRANSFERS_LABEL, 50_000)],
-            [(item.upstream, item.incarnation, item.waiting_tokens) for item in told],
+            [
+                (item.upstream, item.incarnation, item.waiting_tokens)
+                for item in published
+            ],
         )
-        summary = Summary(1, 1, 1, False, [], told, [])
+        summary = Summary(1, 1, 1, False, [], published, [])
         self.scheduler.handle(PeerSummaryReceived("p", "h", 1, summary), 1.0)
         self.assertEqual(
             100_000, self.scheduler.pool.cache_transfers.waiting_tokens("kept")
         )
 
-    def test_a_move_counts_until_the_answer_begins(self):
+    def test_transfer_counts_until_the_answer_starts(self):
         dispatch = self.arrive("r1")
         cache_transfers = self.scheduler.pool.cache_transfers
         self.assertGreater(cache_transfers.waiting_tokens("kept"), 50_000)
@@ -342,16 +349,16 @@
         self.assertEqual(50_000, cache_transfers.waiting_tokens("kept"))
 
 
-class FarMoveTest(TestCase):
-    def test_a_move_between_halls_takes_twice_as_long(self):
+class CrossHallTransferTest(TestCase):
+    def test_transfer_between_halls_takes_twice_as_long(self):
         source = ImportSource("s", "s:1", 5000, 1e-5, 1, hall="h")
-        near, far = source.seconds(0, "h"), source.seconds(0, "k")
-        self.assertAlmostEqual(2 * (near - SETUP_SECONDS), far - SETUP_SECONDS)
+        peers, far = source.seconds(0, "h"), source.seconds(0, "k")
+        self.assertAlmostEqual(2 * (peers - SETUP_SECONDS), far - SETUP_SECONDS)
         self.assertEqual(0.0, source.seconds(5000, "k"))
 
 
 class SeveralStoresTest(ImportCase):
-    """Each store holds its own, and any may be asked."""
+    """Each prompt is saved to one of several stores, and any may be queried."""
 
     stores = tuple(
         KeptStore(f"kept-{hall}", f"{hall}:1", hall, 600_000, 25e9) for hall in "hij"
@@ -363,20 +370,20 @@
         self.store = "kept-" + first.save_address.partition(":")[0]
         self.address = first.save_address
         for name in "ab":
-            self.tell(
+            self.report(
                 name, generation_label(CacheGeneration(name, 1)), (GUIDE, 0), (THING, 0)
             )
         self.others = [store for store in self.stores if store.address != self.address]
 
-    def test_a_prompt_is_saved_to_one_store_and_imported_from_there(self):
+    def test_prompt_is_saved_to_one_store_and_imported_from_it(self):
         dispatch = self.arrive()
         self.assertEqual("", dispatch.save_address)
         self.assertEqual(self.address, dispatch.import_address)
 
-    def test_a_prompt_is_imported_from_the_store_that_told_of_it(self):
+    def test_prompt_is_imported_from_the_store_that_reported_it(self):
         self.scheduler.handle(CacheSeen(self.store, (), is_reset=True), 2.0)
         other = self.others[0]
-        self.tell(
+        self.report(
             other.name,
             generation_label(store_generation(1)),
             (GUIDE, 2500),
@@ -386,13 +393,13 @@
         self.assertEqual(other.address, dispatch.import_address)
         self.assertEqual(6200, dispatch.choice.imported_tokens)
 
-    def test_one_store_that_came_back_empty_says_nothing_of_another(self):
+    def test_reset_of_one_store_does_not_affect_another(self):
         self.scheduler.handle(CacheSeen(self.others[0].name, (), is_reset=True), 2.0)
         self.assertEqual("", self.arrive().save_address)
 
-    def test_a_store_that_dropped_a_part_is_not_the_one_that_has_it(self):
+    def test_part_dropped_by_one_store_is_imported_from_another(self):
         label = generation_label(store_generation(1))
-        self.tell(self.store, label, (GUIDE, 2500), (THING, 3700))
-        self.tell(self.others[0].name, label, (GUIDE, 0), (THING, 0))
+        self.report(self.store, label, (GUIDE, 2500), (THING, 3700))
+        self.report(self.others[0].name, label, (GUIDE, 0), (THING, 0))
         self.assertEqual(self.address, self.arrive().import_address)
         self.assertEqual("", self.arrive("r2").save_address)
--- a/tests/test_former_entries.py
+++ b/tests/test_former_entries.py
@@ -1,4 +1,4 @@
-"""A restored store lists upstreams as live that were leaving, or had gone."""
+"""Restored store entries that list draining or removed upstreams as live."""
 
 from testtools import TestCase
 
@@ -30,29 +30,30 @@
     def ineligible_reason(self, name, now_seconds):
         return self.table.ineligible_reason(self.table.get(name), now_seconds)
 
-    def test_one_that_was_leaving_stays_so(self):
+    def test_draining_upstream_stays_draining_after_a_restore(self):
         self.take(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
         self.take(1, 5, [entry("a"), entry("b")], 9.0)
         self.take(1, 6, [entry("a"), entry("b")], 20.0)
         self.assertEqual(IneligibleReason.LEAVING, self.ineligible_reason("a", 28.9))
         self.assertIsNone(self.ineligible_reason("b", 9.0))
 
-    def test_one_that_goes_on_being_listed_as_live_is_live(self):
-        """A runner that had been taken back got no weights and no requests for good.
+    def test_upstream_still_listed_as_live_after_a_while_is_live(self):
+        """Guards against a runner that stays draining after its drain was cancelled.
 
-        Soak seed 8212: its list of hosts said so right as the store was restored.
+        The last host list before the store was restored had it as draining, and it got
+        no weights and no requests from then on (soak seed 8212).
         """
         self.take(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
         self.take(1, 5, [entry("a"), entry("b")], 9.0)
         self.assertIsNone(self.ineligible_reason("a", 29.0))
 
-    def test_one_that_went_after_it_was_leaving_stays_so(self):
+    def test_upstream_removed_while_draining_stays_draining(self):
         self.take(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
         self.take(0, 21, [entry("b")], 4.0)
         self.take(1, 5, [entry("a"), entry("b")], 9.0)
         self.assertEqual(IneligibleReason.LEAVING, self.ineligible_reason("a", 28.9))
 
-    def test_one_that_had_gone_gets_nothing_until_its_entry_would_lapse(self):
+    def test_removed_upstream_is_unconfirmed_until_its_entry_would_expire(self):
         self.take(0, 20, [entry("b")], 2.0)
         self.take(1, 5, [entry("a"), entry("b")], 9.0)
         self.assertEqual(
@@ -60,7 +61,7 @@
         )
         self.assertIsNone(self.ineligible_reason("a", 14.0))
 
-    def test_one_that_registers_again_is_live_at_once(self):
+    def test_upstream_that_registers_again_is_live_at_once(self):
         self.take(0, 20, [entry("b")], 2.0)
         self.take(1, 5, [entry("b")], 9.0)
         self.take(1, 6, [entry("a"), entry("b")], 9.5)
@@ -72,18 +73,18 @@
         self.take(1, 5, [again, entry("b")], 9.0)
         self.assertIsNone(self.ineligible_reason("a", 9.0))
 
-    def test_without_a_restore_an_entry_says_what_it_says(self):
+    def test_entries_apply_unchanged_without_a_restore(self):
         self.take(0, 20, [entry("a", "leaving")], 2.0)
         self.take(0, 21, [entry("a"), entry("b")], 3.0)
         self.assertIsNone(self.ineligible_reason("a", 3.0))
         self.assertIsNone(self.ineligible_reason("b", 3.0))
 
-    def test_what_went_long_ago_is_in_no_copy(self):
+    def test_upstream_removed_long_ago_is_live(self):
         self.take(0, 20, [entry("b")], 2.0)
         self.take(1, 5, [entry("a"), entry("b")], 500.0)
         self.assertIsNone(self.ineligible_reason("a", 500.0))
 
-    def test_the_first_list_of_a_host_is_no_restore(self):
+    def test_first_list_of_a_host_is_not_a_restore(self):
         table = UpstreamTable("h", RetrySettings(), PlacementSettings(), 1.0)
         table.apply_list(HostList(join_version(3, 5), [entry("a")]), 1.0)
         self.assertIsNone(table.ineligible_reason(table.get("a"), 1.0))
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -44,17 +44,17 @@
 
 
 async def answer_leaving(exchange):
-    """Answer as an upstream does that is shutting down."""
+    """Answer like an upstream that is shutting down."""
     await exchange.answer(extra=b"Rampwick-Leaving: 1")
 
 
 class AnnouncedShutdownTest(TestCase):
-    def test_no_request_follows_the_answer_that_announces_it(self):
+    def test_no_request_follows_an_answer_that_announces_a_shutdown(self):
         async def main():
             with anyio.fail_after(STUCK_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
                     found["a"].scripts = [answer_leaving]
-                    # The store has no news of it, and can't be asked.
+                    # The store is unavailable, so only the answer announces it.
                     host.store.failure = PlatformUnavailableError("down", step="test")
                     statuses = [
                         (await host.call("/open/1", request_id=f"r{number}")).status
@@ -66,7 +66,7 @@
         self.assertEqual({200}, set(statuses))
         self.assertEqual(1, count)
 
-    def test_nor_one_that_was_placed_before_and_waits_for_its_connection(self):
+    def test_no_request_is_sent_that_waited_for_its_connection_meanwhile(self):
         async def main():
             with anyio.fail_after(STUCK_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
@@ -101,7 +101,7 @@
 
 
 class LeavingUpstreamTest(TestCase):
-    def test_a_later_listing_as_live_does_not_take_it_back(self):
+    def test_later_live_entry_does_not_retract_the_announcement(self):
         session = Session(runners=2, slots=8)
         leave(session, 1.0, "lektor-1")
         entries = [item.entry for item in session.scheduler.upstreams]
@@ -110,7 +110,7 @@
             sent = sent_to(session.arrive(2.1, f"r{number}", text=f"{number} " * 99))
             self.assertEqual(["lektor-2"], sent)
 
-    def test_an_entry_that_lapsed_and_came_back_still_leaves(self):
+    def test_upstream_is_still_draining_after_its_entry_expired_and_returned(self):
         session = Session(runners=1, slots=8)
         entry = HostEntry(
             "a", "service", "trnava", "a:1", group="labels", incarnation="a"
@@ -126,7 +126,7 @@
         upstream = session.scheduler.upstreams.get("a")
         self.assertTrue(session.scheduler.upstreams.is_leaving(upstream, 4.0))
 
-    def test_its_next_incarnation_takes_requests(self):
+    def test_next_incarnation_gets_requests(self):
         session = Session(runners=1, slots=8)
         leave(session, 1.0, "lektor-1")
         session.report(2.0, "lektor-1", life="two", slots=8)
@@ -134,7 +134,7 @@
         leave(session, 3.0, "lektor-1", life="one")
         self.assertEqual(["lektor-1"], sent_to(session.arrive(3.1, "r2")))
 
-    def test_what_came_while_it_was_down_holds_as_it_is_back(self):
+    def test_announcement_received_while_down_applies_after_recovery(self):
         session = Session(runners=1, slots=8)
         session.do(1.0, ProbeFailed("lektor-1", "silent"))
         update = LeavingUpdate([LeavingUpstream("lektor-1", "one")])
@@ -143,24 +143,24 @@
         upstreams = session.scheduler.upstreams
         self.assertTrue(upstreams.is_leaving(upstreams.get("lektor-1"), 2.0))
 
-    def test_its_closed_connections_are_no_crash(self):
+    def test_closed_connections_of_a_draining_upstream_are_no_crash(self):
         session = Session(runners=1, slots=8)
         leave(session, 1.0, "lektor-1")
         self.assertFalse(session.scheduler.upstreams.has_crashed("lektor-1", 1.0))
 
-    def test_a_withdrawn_attempt_costs_no_retry(self):
+    def test_withdrawn_attempt_does_not_use_the_retry_budget(self):
         session = Session(runners=2, slots=8)
         (first,) = session.arrive(1.0, "r1", is_repeatable=False)
         leave(session, 1.0, first.upstream)
         found = session.scheduler.pool.withdrawal(first.upstream, "one", 1.0)
         self.assertEqual(IneligibleReason.LEAVING, found)
         before = session.scheduler.budgets.least_saved
-        failed = AttemptFailed("r1", "r1.1", Outcome.WITHDRAWN, "it leaves")
+        failed = AttemptFailed("r1", "r1.1", Outcome.WITHDRAWN, "it is draining")
         (second,) = sent_to(session.do(1.0, failed))
         self.assertNotEqual(first.upstream, second)
         self.assertEqual(before, session.scheduler.budgets.least_saved)
 
-    def test_where_all_leave_requests_are_refused_at_once_as_not_run(self):
+    def test_requests_are_refused_at_once_as_not_run_if_all_upstreams_drain(self):
         session = Session(runners=2, slots=8)
         leave(session, 1.0, "lektor-1", "lektor-2")
         (refusal,) = session.arrive(1.1, "r1", latency_target_seconds=2.0)
@@ -170,7 +170,7 @@
         )
         self.assertGreater(refusal.retry_after_seconds, 0.0)
 
-    def test_what_waits_is_refused_as_the_last_one_leaves(self):
+    def test_queued_requests_are_refused_when_the_last_upstream_drains(self):
         session = Session(runners=1, slots=1)
         session.arrive(1.0, "r1", latency_target_seconds=2.0)
         session.arrive(1.0, "r2", latency_target_seconds=2.0)
@@ -184,7 +184,7 @@
 
 
 class PeersTest(ScenarioCase):
-    def test_a_host_sends_nothing_to_one_that_a_peer_s_answer_announced(self):
+    def test_host_sends_nothing_to_an_upstream_that_announced_it_to_a_peer(self):
         async def scenario(bench):
             bench.add_runner("lektor-0")
             bench.add_runner("lektor-1")
@@ -204,7 +204,7 @@
         self.assertEqual((1, 1), self.run_scenario(scenario))
 
 
-class DeparturesTest(TestCase):
+class ShutdownAnnouncementsTest(TestCase):
     def setUp(self):
         super().setUp()
         self.one, self.two = ShutdownAnnouncements(), ShutdownAnnouncements()
@@ -212,7 +212,7 @@
         self.one.on_update = lambda: self.woken.append(True)
         self.two.on_update = lambda: self.woken.append(False)
 
-    def test_an_answer_is_broadcast_once_and_retransmitted_for_a_while(self):
+    def test_announcement_is_broadcast_once_and_retransmitted_for_a_limited_time(self):
         gone = Incarnation("a", "1")
         self.one.note(gone, 1.0)
         self.one.note(gone, 1.5)
@@ -224,7 +224,7 @@
         self.assertEqual(update, self.one.take_retransmission(2.0))
         self.assertIs(None, self.one.take_retransmission(1.1 + RETRANSMIT_SECONDS))
 
-    def test_what_a_peer_sent_goes_to_new_peers_only(self):
+    def test_received_announcements_are_sent_to_new_peers_only(self):
         update = LeavingUpdate([LeavingUpstream("a", "1")])
         self.two.receive(update, 1.0)
         self.assertEqual([], self.woken)
@@ -232,7 +232,7 @@
         self.assertEqual(update, self.two.initial_state(1.0))
         self.assertIs(None, self.one.initial_state(1.0))
 
-    def test_what_is_not_listed_for_long_is_dropped(self):
+    def test_announcements_of_unlisted_upstreams_expire(self):
         shutdown_announcements = ShutdownAnnouncements()
         gone, listed = Incarnation("a", "1"), Incarnation("b", "1")
         self.assertTrue(shutdown_announcements.note(gone, 0.0))
@@ -251,12 +251,12 @@
         head = AnswerHead(status, headers, is_framed=True)
         return control.read_signals(head, body).is_leaving
 
-    def test_answers_to_control_calls_count_unless_another_gave_them(self):
+    def test_control_answers_count_unless_another_incarnation_sent_them(self):
         headers = [(b"Server-Leaving", b"1")]
         for status, is_leaving in {200: True, 503: True, 421: False}.items():
             self.assertEqual(is_leaving, self.is_leaving(status, headers))
 
-    def test_a_report_counts_by_its_state(self):
+    def test_load_report_counts_by_its_state(self):
         for body, is_leaving in {
             b'{"state": "draining", "running": 3}': True,
             b'{"state": "ready"}': False,
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their id, and entries that no upstream wrote."""
+"""Upstreams that restart under the same id, and malformed upstream entries."""
 
 import httpx
 import orjson
@@ -44,7 +44,7 @@
     "born": 1777752651000,
 }
 
-#: Anything that JSON can say, and what some writers say beside it.
+#: Any JSON value, and values that some writers produce beyond JSON.
 ANYTHING = st.recursive(
     st.none()
     | st.booleans()
@@ -64,7 +64,7 @@
 
 
 class NamesTest(TestCase):
-    def test_each_start_has_a_name_of_its_own_and_the_same_id(self):
+    def test_each_start_has_its_own_name_and_the_same_id(self):
         first, second = read(ENTRY), read({**ENTRY, "born": 1777752651001})
         self.assertNotEqual(first.name, second.name)
         self.assertEqual(first.name, first.incarnation)
@@ -72,13 +72,13 @@
             ["i-1", "i-1"], [upstream_id(item.name) for item in (first, second)]
         )
 
-    def test_who_does_not_tell_its_start_keeps_its_id(self):
+    def test_upstream_without_a_start_time_is_named_by_its_id(self):
         entry = read({key: ENTRY[key] for key in ENTRY if key != "born"})
         self.assertEqual("i-1", entry.name)
         self.assertEqual("odd@name", upstream_id("odd@name"))
         self.assertEqual("odd@name", upstream_id(life_name("odd@name", 5)))
 
-    def test_the_platform_hears_the_id(self):
+    def test_the_id_is_sent_to_the_platform(self):
         call = RoutedCall("r1", "one.example", "POST", "/a/1", "k", [])
         terms = AttemptTerms("i-1@1777752651000", 4, 1.0, "t1", 2)
         sent = dict(UpstreamTranslation().request_headers(call, terms))
@@ -104,18 +104,18 @@
         control = ControlTranslation("h", StewardSettings())
         return control.read_probe(read(ENTRY), AnswerHead(200, [], True), body)
 
-    def test_a_report_of_the_same_start_is_taken(self):
+    def test_report_of_the_same_start_is_accepted(self):
         self.assertEqual(4, self.probe(born=1777752651000).weights_version)
 
-    def test_a_report_of_another_start_is_no_report(self):
-        # Its count of orders and its weights are another life's.
+    def test_report_of_another_start_is_rejected(self):
+        # Its order count and its weights belong to another incarnation.
         self.assertRaises(DataError, self.probe, born=1777752659000)
         self.assertRaises(DataError, self.probe, born="1777752651000")
         self.assertRaises(DataError, self.probe)
 
 
-class RebornTest(TestCase):
-    """The next life inherits nothing of the one before."""
+class RestartTest(TestCase):
+    """A new incarnation inherits no state from the previous one."""
 
     def setUp(self):
         super().setUp()
@@ -127,7 +127,7 @@
     def take(self, version, *entries):
         self.scheduler.handle(HostListRead(HostList(version, list(entries))), 1.0)
 
-    def test_what_was_known_of_the_old_life_is_gone(self):
+    def test_state_of_the_old_incarnation_is_dropped(self):
         self.take(1, self.old)
         old = self.scheduler.upstreams.get(self.old.name)
         generation = CacheGeneration(self.old.name, 4)
@@ -143,12 +143,12 @@
         held = self.scheduler.cache_index.cached_tokens(new.name, self.chain)
         self.assertEqual(0, held)
 
-    def test_older_news_bring_the_old_life_back_no_more(self):
+    def test_older_list_does_not_restore_the_old_incarnation(self):
         self.take(2, self.new)
         self.take(1, self.old)
         self.assertIsNone(self.scheduler.upstreams.get(self.old.name))
 
-    def test_a_start_during_an_outage_leaves_no_lapsed_entry(self):
+    def test_restart_during_an_outage_leaves_no_expired_entry(self):
         guard = ExpiredEntryGuard()
         guard.take([self.old], 1, False, 1.0)
         guard.take([self.new], 5, True, 9.0)
@@ -156,16 +156,16 @@
 
 
 class EntryTest(TestCase):
-    """An entry from another writer names no upstream; the others hold."""
+    """A malformed entry is rejected and does not affect other entries."""
 
-    def test_each_field_is_needed_and_of_its_type(self):
+    def test_each_field_is_required_and_has_its_type(self):
         needed = set(ENTRY) - {"stage", "models", "born"}
         for field in needed:
             data = {key: item for key, item in ENTRY.items() if key != field}
             error = self.assertRaises(DataError, read, data)
             self.assertIn(f"{field} is missing", str(error))
         for field in needed:
-            # A figure that is none is written as null.
+            # NaN is encoded as null.
             for value in ([], {}, True, None, -1, "", float("nan")):
                 self.assertRaises(DataError, read, {**ENTRY, field: value})
 
@@ -175,15 +175,15 @@
         for models in (None, []):
             self.assertEqual("service", read({**ENTRY, "models": models}).kind)
 
-    def test_a_start_is_a_whole_number(self):
+    def test_start_time_is_an_integer(self):
         for born in (1.5, "1777752651000", True, -1, [1], 2**63, None):
             self.assertRaises(DataError, read, {**ENTRY, "born": born})
 
-    def test_a_state_that_is_not_named_is_no_state(self):
+    def test_unknown_states_are_rejected(self):
         for state in ("READY", "live", "gone", "ready "):
             self.assertRaises(DataError, read, {**ENTRY, "state": state})
 
-    def test_an_address_is_one(self):
+    def test_address_is_an_ip_address_with_a_port(self):
         for address in ("10.0.0.9", "10.0.0.9:", "host:80", "10.0.0.9:0", "1.2.3:4"):
             self.assertRaises(DataError, read, {**ENTRY, "address": address})
         for address in ("10.0.0.9:99999", "10.0.0.9:8080 ", "10.0.0.9:٣"):
@@ -193,7 +193,7 @@
     @given(data=ANYTHING, field=st.sampled_from(sorted(ENTRY)), value=ANYTHING)
     @example(data=[], field="models", value=[[]])
     @example(data={}, field="models", value=[{"name": "m", "version": 1e308}])
-    def test_whatever_it_holds_it_is_read_or_refused(self, data, field, value):
+    def test_any_value_is_read_or_rejected(self, data, field, value):
         for item in (data, {**ENTRY, field: value}):
             try:
                 entry = read(item)
@@ -201,7 +201,7 @@
                 continue
             self.assertIsInstance(entry, HostEntry)
 
-    def test_one_that_is_no_text_hides_no_other(self):
+    def test_entry_that_is_not_valid_text_does_not_hide_others(self):
         body = (
             b'{"items":[{"metadata":{"name":"i-1","revision":3},"spec":{"a":"\xff"}},'
             b'{"metadata":{"name":"i-2","revision":4},"spec":{"slots":1e999}},'
