--- a/tests/test_cache_isolation.py
+++ b/tests/test_cache_isolation.py
@@ -23,8 +23,8 @@
 
 GUIDE = "a long guide that all share. " * 100
 
-OLD = CacheGeneration("life-1", 1)
-NEW = CacheGeneration("life-2", 1)
+OLD = CacheGeneration("run-1", 1)
+NEW = CacheGeneration("run-2", 1)
 
 
 def chain_of(text, workspace="/w", model="m", adapter=""):
@@ -48,9 +48,9 @@
         self.assertEqual(0, other.cached_tokens)
         self.assertNotEqual(second.salt, other.salt)
 
-    def test_salt_without_the_workspace_is_caught(self):
+    def test_salt_without_the_workspace_is_detected(self):
         def salt(scope, weights_version, secret):
-            return "one for all"
+            return "constant"
 
         with mock.patch("rampwick_router.entry._model_exchange.cache_salt", salt):
             self.assertRaises(
@@ -101,7 +101,7 @@
         self.assert_holds(check_cache(attempts))
         self.assertEqual({1, 2}, {attempt.weights_version for attempt in attempts})
 
-    def test_salt_without_the_weights_is_caught(self):
+    def test_salt_without_the_weights_is_detected(self):
         def salt(scope, weights_version, secret):
             return cache_salt(scope, 0, secret)
 
@@ -157,14 +157,14 @@
         cache_index, chain = self.make_index()
         cache_index.observe_generation("r", NEW, 100_000)
         prefixes = [checkpoint.prefix for checkpoint in chain.checkpoints]
-        late = PlacedPrefix("r", "life-1/1", prefixes, [16] * len(prefixes))
+        late = PlacedPrefix("r", "run-1/1", prefixes, [16] * len(prefixes))
         cache_index.note_reported(late)
         cache_index.note_prompt("r", OLD, chain)
         self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
     def test_other_weights_are_another_generation(self):
         cache_index, chain = self.make_index()
-        cache_index.observe_generation("r", CacheGeneration("life-1", 2), 100_000)
+        cache_index.observe_generation("r", CacheGeneration("run-1", 2), 100_000)
         self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
     def test_entries_are_bounded(self):
--- a/tests/test_crash_attribution.py
+++ b/tests/test_crash_attribution.py
@@ -85,11 +85,11 @@
                 self.sent[action.request_id] = action
         return actions
 
-    def later(self, seconds=ATTRIBUTION_SECONDS):
+    def advance(self, seconds=ATTRIBUTION_SECONDS):
         self.at_seconds += seconds
         return self.do(Tick())
 
-    def ask(self, body, deadline_seconds=30.0, latency_target_seconds=60.0):
+    def arrive(self, body, deadline_seconds=30.0, latency_target_seconds=60.0):
         """Send a request; return its id and the scheduler's actions."""
         self.count += 1
         name = f"r{self.count}"
@@ -122,21 +122,21 @@
         self.do(AttemptAccepted(name, attempt))
         self.do(AttemptDone(name, attempt))
 
-    def crash_under(self, body, count):
+    def crash_upstreams(self, body, count):
         """Have upstreams crash on a request, one after the other."""
         for _ in range(count):
-            name, _ = self.ask(body)
-            self.later()
+            name, _ = self.arrive(body)
+            self.advance()
             self.crash(name)
-            self.later()
+            self.advance()
 
-    def suspect(self, *bodies):
+    def add_suspects(self, *bodies):
         """Record two crashes of removed upstreams for each request."""
         for body in bodies:
             fingerprint = RequestIdentity("/w", "h/x", body).fingerprint
             for incarnation_key in (
-                IncarnationKey("gone", "1"),
-                IncarnationKey("gone", "2"),
+                IncarnationKey("removed", "1"),
+                IncarnationKey("removed", "2"),
             ):
                 self.scheduler.quarantine.tracker.note_crash(
                     incarnation_key, fingerprint, "/w", 0.0, 0.0
@@ -147,29 +147,29 @@
         return self.scheduler.quarantine.tracker.quarantine_state(fingerprint)
 
 
-class StopTest(TestCase):
+class QuarantineTest(TestCase):
     """A request is quarantined after three crashes, and its callers get the reason."""
 
     def test_fourth_attempt_is_refused_at_once_without_a_retry_time(self):
         host = Host()
-        host.crash_under(DEADLY, 3)
-        _, (refusal,) = host.ask(DEADLY)
+        host.crash_upstreams(DEADLY, 3)
+        _, (refusal,) = host.arrive(DEADLY)
         self.assertIsInstance(refusal, Refuse)
         self.assertEqual("ends_upstreams", refusal.reason)
         self.assertIsNone(refusal.retry_after_seconds)
         self.assertIn("3 upstreams crashed while running it", refusal.evidence)
-        _, actions = host.ask(OTHER)
+        _, actions = host.arrive(OTHER)
         self.assertIsInstance(actions[0], Dispatch)
 
     def test_running_and_queued_attempts_are_refused_as_well(self):
         host = Host()
-        host.crash_under(DEADLY, 2)
-        first, _ = host.ask(DEADLY)
-        host.later()
-        second, _ = host.ask(DEADLY)
+        host.crash_upstreams(DEADLY, 2)
+        first, _ = host.arrive(DEADLY)
+        host.advance()
+        second, _ = host.arrive(DEADLY)
         self.assertIn(second, host.sent)
         host.crash(first)
-        actions = host.later()
+        actions = host.advance()
         refused = [item for item in actions if isinstance(item, Refuse)]
         self.assertEqual([second], [item.request_id for item in refused])
         self.assertEqual(RunState.MAYBE_RUN, refused[0].run_state)
@@ -177,92 +177,92 @@
 
     def test_complete_answer_clears_a_request(self):
         host = Host()
-        host.crash_under(DEADLY, 2)
-        name, _ = host.ask(DEADLY)
-        host.later()
+        host.crash_upstreams(DEADLY, 2)
+        name, _ = host.arrive(DEADLY)
+        host.advance()
         host.answer(name)
         self.assertEqual(QuarantineState.NONE, host.quarantine_state(DEADLY))
 
 
-class InnocentTest(TestCase):
+class CoincidentalCrashTest(TestCase):
     """Requests that ran beside the crashing one are served, however often they did."""
 
     def test_request_with_three_crashes_beside_another_is_still_sent(self):
         host = Host()
         for _ in range(3):
-            names = [host.ask(body)[0] for body in (DEADLY, OTHER)]
-            host.later()
+            names = [host.arrive(body)[0] for body in (DEADLY, OTHER)]
+            host.advance()
             # Both requests were running on the upstream that crashed.
             upstream = host.sent[names[0]].upstream
             for name in names:
                 item = host.scheduler._requests.get(name)
                 item.upstream = item.incarnation = upstream
             host.crash(*names)
-            host.later()
+            host.advance()
         self.assertEqual(QuarantineState.APART, host.quarantine_state(OTHER))
-        name, _ = host.ask(OTHER)
-        host.later()
+        name, _ = host.arrive(OTHER)
+        host.advance()
         host.answer(name)
         # The remaining request is held responsible at its next crash.
-        host.crash_under(DEADLY, 1)
+        host.crash_upstreams(DEADLY, 1)
         self.assertEqual(QuarantineState.STOPPED, host.quarantine_state(DEADLY))
         self.assertEqual(QuarantineState.NONE, host.quarantine_state(OTHER))
 
     def test_suspects_are_isolated_on_different_upstreams(self):
         host = Host()
         bodies = [b"%d" % number for number in range(len(NAMES))]
-        host.suspect(*bodies)
-        host.later()
-        names = [host.ask(body)[0] for body in bodies]
-        host.later()
+        host.add_suspects(*bodies)
+        host.advance()
+        names = [host.arrive(body)[0] for body in bodies]
+        host.advance()
         upstreams = [host.sent[name].upstream for name in names]
         self.assertEqual(NAMES, sorted(upstreams))
 
     def test_suspect_without_a_free_upstream_waits_for_one(self):
         host = Host(names=["u-0"])
-        host.suspect(b"1", b"2")
-        host.later()
-        first, _ = host.ask(b"1")
-        second, _ = host.ask(b"2", latency_target_seconds=0.5)
+        host.add_suspects(b"1", b"2")
+        host.advance()
+        first, _ = host.arrive(b"1")
+        second, _ = host.arrive(b"2", latency_target_seconds=0.5)
         self.assertIn(first, host.sent)
         for _ in range(15):
-            self.assertEqual([], host.later(0.1))
+            self.assertEqual([], host.advance(0.1))
         host.answer(first)
         self.assertIn(second, host.sent)
 
     def test_suspect_without_a_free_upstream_is_refused_after_a_bounded_wait(self):
         host = Host(names=["u-0"])
-        host.suspect(b"1", b"2")
-        host.later()
-        host.ask(b"1")
-        host.ask(b"2", latency_target_seconds=0.5)
+        host.add_suspects(b"1", b"2")
+        host.advance()
+        host.arrive(b"1")
+        host.arrive(b"2", latency_target_seconds=0.5)
         refused = []
         while not refused and host.at_seconds < 10.0:
-            refused = [item for item in host.later(0.1) if isinstance(item, Refuse)]
+            refused = [item for item in host.advance(0.1) if isinstance(item, Refuse)]
         self.assertEqual("kept_apart", refused[0].reason)
         self.assertEqual(RunState.NOT_SENT, refused[0].run_state)
         self.assertLess(host.at_seconds, 3.0)
 
     def test_later_answer_of_an_upstream_retracts_its_crash(self):
         host = Host(names=["u-0"])
-        host.crash_under(DEADLY, 1)
-        host.later(2.0)
+        host.crash_upstreams(DEADLY, 1)
+        host.advance(2.0)
         host.do(LoadReported("u-0", None))
         host.scheduler.upstreams.due_probes(host.at_seconds)
-        host.later(2.0)
+        host.advance(2.0)
         host.do(LoadReported("u-0", None))
         self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
     def test_connection_closed_while_draining_is_no_crash(self):
         host = Host(names=["u-0"])
-        name, _ = host.ask(DEADLY)
+        name, _ = host.arrive(DEADLY)
         host.list_upstreams(u0="leaving")
         host.crash(name)
         self.assertEqual(0, len(host.scheduler.quarantine.tracker))
 
     def test_unresponsive_upstream_is_no_crash(self):
         host = Host()
-        name, _ = host.ask(DEADLY)
+        name, _ = host.arrive(DEADLY)
         sent = host.sent[name]
         host.do(AttemptFailed(name, sent.attempt_id, Outcome.BROKEN, "silent"))
         self.assertEqual(0, len(host.scheduler.quarantine.tracker))
@@ -281,7 +281,7 @@
         hosts = [Host(), Host(), Host()]
         for index, host in enumerate(hosts):
             host.at_seconds = 100.0 * index
-            name, _ = host.ask(DEADLY)
+            name, _ = host.arrive(DEADLY)
             # Each on a different upstream.
             item = host.scheduler._requests.get(name)
             item.upstream = item.incarnation = NAMES[index]
@@ -290,19 +290,19 @@
                 if other is not host:
                     self.send(host, other, host.scheduler.quarantine.initial_state)
         for host in hosts:
-            host.later()
+            host.advance()
             self.assertEqual(QuarantineState.STOPPED, host.quarantine_state(DEADLY))
 
     def test_newly_connected_host_receives_the_state(self):
         old, new = Host(), Host()
-        old.crash_under(DEADLY, 3)
+        old.crash_upstreams(DEADLY, 3)
         self.send(old, new, old.scheduler.quarantine.initial_state)
-        _, (refusal,) = new.ask(DEADLY)
+        _, (refusal,) = new.arrive(DEADLY)
         self.assertEqual("ends_upstreams", refusal.reason)
 
     def test_updates_are_retransmitted_for_a_limited_time(self):
         host = Host()
-        host.crash_under(DEADLY, 3)
+        host.crash_upstreams(DEADLY, 3)
         quarantine = host.scheduler.quarantine
         self.assertIsNotNone(quarantine.take_update(host.at_seconds))
         self.assertIsNone(quarantine.take_update(host.at_seconds))
@@ -311,7 +311,7 @@
 
     def test_older_updates_do_not_restore_a_cleared_request(self):
         one, two = Host(), Host()
-        one.crash_under(DEADLY, 3)
+        one.crash_upstreams(DEADLY, 3)
         old = one.scheduler.quarantine.initial_state(one.at_seconds)
         two.do(CrashUpdateReceived(old))
         one.at_seconds += 1.0
@@ -334,7 +334,7 @@
 
     def test_update_of_a_peer_stops_running_attempts(self):
         host = Host()
-        name, _ = host.ask(DEADLY)
+        name, _ = host.arrive(DEADLY)
         fingerprint = RequestIdentity("/w", "h/x", DEADLY).fingerprint
         update = CrashUpdate(stopped=[StoppedRequest(fingerprint, "/w", 0.1, 3)])
         actions = host.do(CrashUpdateReceived(update))
@@ -351,7 +351,7 @@
 
     def test_stream_is_broken_off_after_some_seconds_without_an_upstream(self):
         host = Host(names=["u-0"])
-        name, _ = host.ask(OTHER)
+        name, _ = host.arrive(OTHER)
         attempt = host.sent[name].attempt_id
         item = host.scheduler._requests.get(name)
         item.lifecycle.is_resumable = True
@@ -362,7 +362,7 @@
         crashed_at_seconds = host.at_seconds
         refused = []
         while not refused and host.at_seconds < 29.0:
-            refused = [a for a in host.later(0.1) if type(a) is Refuse]
+            refused = [a for a in host.advance(0.1) if type(a) is Refuse]
         self.assertLess(host.at_seconds - crashed_at_seconds, 4.5)
         self.assertEqual(RunState.RUNNING, refused[0].run_state)
 
--- a/tests/test_former_entries.py
+++ b/tests/test_former_entries.py
@@ -21,9 +21,9 @@
     def setUp(self):
         super().setUp()
         self.table = UpstreamTable("h", RetrySettings(), PlacementSettings(), 1.0)
-        self.take(0, 10, [entry("a"), entry("b"), entry("c")], 1.0)
+        self.apply_list(0, 10, [entry("a"), entry("b"), entry("c")], 1.0)
 
-    def take(self, era, revision, entries, now_seconds):
+    def apply_list(self, era, revision, entries, now_seconds):
         version = join_version(era, revision)
         self.table.apply_list(HostList(version, entries), now_seconds)
 
@@ -31,9 +31,9 @@
         return self.table.ineligible_reason(self.table.get(name), now_seconds)
 
     def test_draining_upstream_stays_draining_after_a_restore(self):
-        self.take(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
-        self.take(1, 5, [entry("a"), entry("b")], 9.0)
-        self.take(1, 6, [entry("a"), entry("b")], 20.0)
+        self.apply_list(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
+        self.apply_list(1, 5, [entry("a"), entry("b")], 9.0)
+        self.apply_list(1, 6, [entry("a"), entry("b")], 20.0)
         self.assertEqual(IneligibleReason.LEAVING, self.ineligible_reason("a", 28.9))
         self.assertIsNone(self.ineligible_reason("b", 9.0))
 
@@ -43,45 +43,45 @@
         The last host list before the store was restored had it as draining, and it got
         no weights and no requests from then on (soak seed 8212).
         """
-        self.take(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
-        self.take(1, 5, [entry("a"), entry("b")], 9.0)
+        self.apply_list(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
+        self.apply_list(1, 5, [entry("a"), entry("b")], 9.0)
         self.assertIsNone(self.ineligible_reason("a", 29.0))
 
     def test_upstream_removed_while_draining_stays_draining(self):
-        self.take(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
-        self.take(0, 21, [entry("b")], 4.0)
-        self.take(1, 5, [entry("a"), entry("b")], 9.0)
+        self.apply_list(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
+        self.apply_list(0, 21, [entry("b")], 4.0)
+        self.apply_list(1, 5, [entry("a"), entry("b")], 9.0)
         self.assertEqual(IneligibleReason.LEAVING, self.ineligible_reason("a", 28.9))
 
     def test_removed_upstream_is_unconfirmed_until_its_entry_would_expire(self):
-        self.take(0, 20, [entry("b")], 2.0)
-        self.take(1, 5, [entry("a"), entry("b")], 9.0)
+        self.apply_list(0, 20, [entry("b")], 2.0)
+        self.apply_list(1, 5, [entry("a"), entry("b")], 9.0)
         self.assertEqual(
             IneligibleReason.UNCONFIRMED, self.ineligible_reason("a", 13.9)
         )
         self.assertIsNone(self.ineligible_reason("a", 14.0))
 
     def test_upstream_that_registers_again_is_live_at_once(self):
-        self.take(0, 20, [entry("b")], 2.0)
-        self.take(1, 5, [entry("b")], 9.0)
-        self.take(1, 6, [entry("a"), entry("b")], 9.5)
+        self.apply_list(0, 20, [entry("b")], 2.0)
+        self.apply_list(1, 5, [entry("b")], 9.0)
+        self.apply_list(1, 6, [entry("a"), entry("b")], 9.5)
         self.assertIsNone(self.ineligible_reason("a", 9.5))
 
     def test_another_incarnation_is_live_at_once(self):
-        self.take(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
-        again = HostEntry("a", "service", "h", "a:1", "live", incarnation="a2")
-        self.take(1, 5, [again, entry("b")], 9.0)
+        self.apply_list(0, 20, [entry("a", "leaving"), entry("b")], 2.0)
+        restarted = HostEntry("a", "service", "h", "a:1", "live", incarnation="a2")
+        self.apply_list(1, 5, [restarted, entry("b")], 9.0)
         self.assertIsNone(self.ineligible_reason("a", 9.0))
 
     def test_entries_apply_unchanged_without_a_restore(self):
-        self.take(0, 20, [entry("a", "leaving")], 2.0)
-        self.take(0, 21, [entry("a"), entry("b")], 3.0)
+        self.apply_list(0, 20, [entry("a", "leaving")], 2.0)
+        self.apply_list(0, 21, [entry("a"), entry("b")], 3.0)
         self.assertIsNone(self.ineligible_reason("a", 3.0))
         self.assertIsNone(self.ineligible_reason("b", 3.0))
 
     def test_upstream_removed_long_ago_is_live(self):
-        self.take(0, 20, [entry("b")], 2.0)
-        self.take(1, 5, [entry("a"), entry("b")], 500.0)
+        self.apply_list(0, 20, [entry("b")], 2.0)
+        self.apply_list(1, 5, [entry("a"), entry("b")], 500.0)
         self.assertIsNone(self.ineligible_reason("a", 500.0))
 
     def test_first_list_of_a_host_is_not_a_restore(self):
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -90,20 +90,20 @@
         self.assertEqual((200, {"a": 0, "b": 1}), anyio.run(main))
 
 
-def leave(session, at, *names, life="one"):
+def announce_shutdown(session, at, *names, incarnation="one"):
     """Have upstreams announce their shutdown in an answer."""
     for name in names:
-        session.do(at, UpstreamSignalled(name, life, is_leaving=True))
+        session.do(at, UpstreamSignalled(name, incarnation, is_leaving=True))
 
 
 def sent_to(actions):
     return [action.upstream for action in actions if isinstance(action, Dispatch)]
 
 
-class LeavingUpstreamTest(TestCase):
+class DrainingUpstreamTest(TestCase):
     def test_later_live_entry_does_not_retract_the_announcement(self):
         session = Session(runners=2, slots=8)
-        leave(session, 1.0, "lektor-1")
+        announce_shutdown(session, 1.0, "lektor-1")
         entries = [item.entry for item in session.scheduler.upstreams]
         session.do(2.0, HostListRead(HostList(2, entries)))
         for number in range(5):
@@ -122,16 +122,16 @@
         ):
             session.do(at, HostListRead(HostList(version, entries)))
             if version == 2:
-                leave(session, 1.5, "a", life="")
+                announce_shutdown(session, 1.5, "a", incarnation="")
         upstream = session.scheduler.upstreams.get("a")
         self.assertTrue(session.scheduler.upstreams.is_leaving(upstream, 4.0))
 
     def test_next_incarnation_gets_requests(self):
         session = Session(runners=1, slots=8)
-        leave(session, 1.0, "lektor-1")
+        announce_shutdown(session, 1.0, "lektor-1")
         session.report(2.0, "lektor-1", life="two", slots=8)
         self.assertEqual(["lektor-1"], sent_to(session.arrive(2.1, "r1")))
-        leave(session, 3.0, "lektor-1", life="one")
+        announce_shutdown(session, 3.0, "lektor-1", incarnation="one")
         self.assertEqual(["lektor-1"], sent_to(session.arrive(3.1, "r2")))
 
     def test_announcement_received_while_down_applies_after_recovery(self):
@@ -145,13 +145,13 @@
 
     def test_closed_connections_of_a_draining_upstream_are_no_crash(self):
         session = Session(runners=1, slots=8)
-        leave(session, 1.0, "lektor-1")
+        announce_shutdown(session, 1.0, "lektor-1")
         self.assertFalse(session.scheduler.upstreams.has_crashed("lektor-1", 1.0))
 
     def test_withdrawn_attempt_does_not_use_the_retry_budget(self):
         session = Session(runners=2, slots=8)
         (first,) = session.arrive(1.0, "r1", is_repeatable=False)
-        leave(session, 1.0, first.upstream)
+        announce_shutdown(session, 1.0, first.upstream)
         found = session.scheduler.pool.withdrawal(first.upstream, "one", 1.0)
         self.assertEqual(IneligibleReason.LEAVING, found)
         before = session.scheduler.budgets.least_saved
@@ -162,7 +162,7 @@
 
     def test_requests_are_refused_at_once_as_not_run_if_all_upstreams_drain(self):
         session = Session(runners=2, slots=8)
-        leave(session, 1.0, "lektor-1", "lektor-2")
+        announce_shutdown(session, 1.0, "lektor-1", "lektor-2")
         (refusal,) = session.arrive(1.1, "r1", latency_target_seconds=2.0)
         self.assertIsInstance(refusal, Refuse)
         self.assertEqual(
@@ -174,7 +174,7 @@
         session = Session(runners=1, slots=1)
         session.arrive(1.0, "r1", latency_target_seconds=2.0)
         session.arrive(1.0, "r2", latency_target_seconds=2.0)
-        leave(session, 1.1, "lektor-1")
+        announce_shutdown(session, 1.1, "lektor-1")
         refused = [
             action.request_id
             for action in session.do(1.2, Tick())
@@ -183,7 +183,7 @@
         self.assertEqual(["r2"], refused)
 
 
-class PeersTest(ScenarioCase):
+class PeerAnnouncementTest(ScenarioCase):
     def test_host_sends_nothing_to_an_upstream_that_announced_it_to_a_peer(self):
         async def scenario(bench):
             bench.add_runner("lektor-0")
@@ -208,17 +208,17 @@
     def setUp(self):
         super().setUp()
         self.one, self.two = ShutdownAnnouncements(), ShutdownAnnouncements()
-        self.woken = []
-        self.one.on_update = lambda: self.woken.append(True)
-        self.two.on_update = lambda: self.woken.append(False)
+        self.updates = []
+        self.one.on_update = lambda: self.updates.append(True)
+        self.two.on_update = lambda: self.updates.append(False)
 
     def test_announcement_is_broadcast_once_and_retransmitted_for_a_limited_time(self):
-        gone = Incarnation("a", "1")
-        self.one.note(gone, 1.0)
-        self.one.note(gone, 1.5)
-        self.assertEqual([True], self.woken)
+        removed = Incarnation("a", "1")
+        self.one.note(removed, 1.0)
+        self.one.note(removed, 1.5)
+        self.assertEqual([True], self.updates)
         update = self.one.take_update(1.02)
-        self.assertEqual([gone], self.two.receive(update, 1.03))
+        self.assertEqual([removed], self.two.receive(update, 1.03))
         self.assertEqual([], self.two.receive(update, 1.04))
         self.assertIs(None, self.one.take_update(1.1))
         self.assertEqual(update, self.one.take_retransmission(2.0))
@@ -227,21 +227,21 @@
     def test_received_announcements_are_sent_to_new_peers_only(self):
         update = LeavingUpdate([LeavingUpstream("a", "1")])
         self.two.receive(update, 1.0)
-        self.assertEqual([], self.woken)
+        self.assertEqual([], self.updates)
         self.assertIs(None, self.two.take_update(1.0))
         self.assertEqual(update, self.two.initial_state(1.0))
         self.assertIs(None, self.one.initial_state(1.0))
 
     def test_announcements_of_unlisted_upstreams_expire(self):
         shutdown_announcements = ShutdownAnnouncements()
-        gone, listed = Incarnation("a", "1"), Incarnation("b", "1")
-        self.assertTrue(shutdown_announcements.note(gone, 0.0))
+        removed, listed = Incarnation("a", "1"), Incarnation("b", "1")
+        self.assertTrue(shutdown_announcements.note(removed, 0.0))
         self.assertTrue(shutdown_announcements.note(listed, 0.0))
         self.assertFalse(shutdown_announcements.note(listed, 1.0))
         shutdown_announcements.sweep({"b"}, UNLISTED_SECONDS)
-        self.assertIn(gone, shutdown_announcements)
+        self.assertIn(removed, shutdown_announcements)
         shutdown_announcements.sweep({"b"}, UNLISTED_SECONDS + 1.0)
-        self.assertNotIn(gone, shutdown_announcements)
+        self.assertNotIn(removed, shutdown_announcements)
         self.assertIn(listed, shutdown_announcements)
 
 
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -45,7 +45,7 @@
 }
 
 #: Any JSON value, and values that some writers produce beyond JSON.
-ANYTHING = st.recursive(
+ANY_VALUE = st.recursive(
     st.none()
     | st.booleans()
     | st.integers(-(2**63), 2**64 - 1)
@@ -124,11 +124,11 @@
         self.old, self.new = read(ENTRY), read({**ENTRY, "born": 1777752659000})
         self.chain = chain_from_parts(Scope("w", "m-1"), (PromptPart(b"p", 500),))
 
-    def take(self, version, *entries):
+    def apply_list(self, version, *entries):
         self.scheduler.handle(HostListRead(HostList(version, list(entries))), 1.0)
 
     def test_state_of_the_old_incarnation_is_dropped(self):
-        self.take(1, self.old)
+        self.apply_list(1, self.old)
         old = self.scheduler.upstreams.get(self.old.name)
         generation = CacheGeneration(self.old.name, 4)
         self.scheduler.cache_index.note_prompt(self.old.name, generation, self.chain)
@@ -136,7 +136,7 @@
         old.load_version, old.load_until_seconds = 9, 100.0
         paused = Incarnation(old.name, old.incarnation)
         self.scheduler.upstreams.note_pause(paused, 99.0, 1.0)
-        self.take(2, self.new)
+        self.apply_list(2, self.new)
         new = self.scheduler.upstreams.get(self.new.name)
         self.assertIsNone(self.scheduler.upstreams.get(self.old.name))
         self.assertTrue(self.scheduler.upstreams.is_eligible(new, 1.0))
@@ -144,8 +144,8 @@
         self.assertEqual(0, held)
 
     def test_older_list_does_not_restore_the_old_incarnation(self):
-        self.take(2, self.new)
-        self.take(1, self.old)
+        self.apply_list(2, self.new)
+        self.apply_list(1, self.old)
         self.assertIsNone(self.scheduler.upstreams.get(self.old.name))
 
     def test_restart_during_an_outage_leaves_no_expired_entry(self):
@@ -159,12 +159,12 @@
     """A malformed entry is rejected and does not affect other entries."""
 
     def test_each_field_is_required_and_has_its_type(self):
-        needed = set(ENTRY) - {"stage", "models", "born"}
-        for field in needed:
+        required = set(ENTRY) - {"stage", "models", "born"}
+        for field in required:
             data = {key: item for key, item in ENTRY.items() if key != field}
             error = self.assertRaises(DataError, read, data)
             self.assertIn(f"{field} is missing", str(error))
-        for field in needed:
+        for field in required:
             # NaN is encoded as null.
             for value in ([], {}, True, None, -1, "", float("nan")):
                 self.assertRaises(DataError, read, {**ENTRY, field: value})
@@ -190,7 +190,7 @@
             self.assertRaises(DataError, read, {**ENTRY, "address": address})
 
     @settings(derandomize=True, deadline=None, max_examples=300)
-    @given(data=ANYTHING, field=st.sampled_from(sorted(ENTRY)), value=ANYTHING)
+    @given(data=ANY_VALUE, field=st.sampled_from(sorted(ENTRY)), value=ANY_VALUE)
     @example(data=[], field="models", value=[[]])
     @example(data={}, field="models", value=[{"name": "m", "version": 1e308}])
     def test_any_value_is_read_or_rejected(self, data, field, value):
