--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -242,7 +242,7 @@
                 due.append(upstream.entry)
         return due
 
-    def probe_pause(self, now_seconds: float) -> float:
+    def probe_delay(self, now_seconds: float) -> float:
         """Return the time until the next probe is due; infinite if there is none."""
         waits = (self._probe_wait(upstream, now_seconds) for upstream in self)
         return max(0.0, min(waits, default=math.inf))
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
@@ -37,7 +37,7 @@
                     task_group.start_soon(self._probe, entry)
                 has_doubt = self._scheduler.has_doubt
                 pause_seconds = self._scheduler.look(
-                    lambda scheduler, now_seconds: scheduler.upstreams.probe_pause(
+                    lambda scheduler, now_seconds: scheduler.upstreams.probe_delay(
                         now_seconds
                     )
                 )
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -381,7 +381,7 @@
 
     def test_nobody_is_asked_while_all_are_well(self):
         self.assertEqual([], self.probed(1.0))
-        self.assertEqual(math.inf, self.table.probe_pause(1.0))
+        self.assertEqual(math.inf, self.table.probe_delay(1.0))
 
     def test_one_that_is_down_is_asked_less_and_less_often(self):
         now = 10.0
@@ -391,7 +391,7 @@
             self.assertEqual(["lektor-1"], self.probed(now))
             self.session.do(now, ProbeFailed("lektor-1", "silent"))
             self.assertEqual([], self.probed(now))
-            pauses.append(self.table.probe_pause(now))
+            pauses.append(self.table.probe_delay(now))
             now += pauses[-1] + 1e-6
         self.assertEqual(sorted(pauses), pauses)
         self.assertLess(pauses[0], 1.0)
