--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -28,8 +28,7 @@
 
 #: Number of upstreams of a hall that must become unresponsive to this host within the
 #: time below before it probes the others of that hall instead of sending them requests.
-#: A single one may have failed by itself. Within the time, a host detects two
-#: unresponsive upstreams.
+#: A single one may have failed by itself; the time is enough to detect two.
 HALL_OUTAGE_COUNT = 2
 HALL_OUTAGE_SECONDS = 1.5
 
@@ -128,7 +127,7 @@
             if not event.was_closed:
                 self._check_hall_outage(upstream, now_seconds)
         elif event.outcome in (Outcome.STALE, Outcome.MISDIRECTED):
-            # The next probe reports the present generation.
+            # The next probe reports the current generation.
             upstream.cache_generation = None
             self._record_state(upstream, event.message, now_seconds)
         elif event.outcome is Outcome.BUSY:
@@ -220,7 +219,7 @@
     def _record_state(
         self, upstream: Upstream, reason: str, now_seconds: float
     ) -> None:
-        """Record the present state of an upstream and the reason for it."""
+        """Record the current state of an upstream and the reason for it."""
         state = self.upstreams.describe(upstream, now_seconds)
         self.notices.note("upstream", upstream.name, state, reason)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -261,7 +261,7 @@
             return math.inf
         due_at_seconds = upstream.probed_at_seconds + interval_seconds
         if not upstream.is_runner:
-            # A health probe takes a slot like a request, so it waits for the pause.
+            # A health probe takes a slot like a request, so a pause delays it.
             due_at_seconds = max(due_at_seconds, upstream.paused_until_seconds)
         return due_at_seconds - now_seconds
 
