--- a/measure/_limit_ways.py
+++ b/measure/_limit_ways.py
@@ -7,7 +7,7 @@
 
 from rampwick_policy import RequestArrived, TreeView, Workspace
 from rampwick_policy._fleet_limit import OverLimit
-from rampwick_policy._limit_book import LimitBook
+from rampwick_policy._limit_tracker import LimitBook
 from rampwick_schema import Node, QuotaSettings, Summary, Tree
 
 from ._limit_patterns import LimitPattern
--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -66,7 +66,7 @@
         #: When each hall's relay passed on an early word, and how many there were.
         self._early_at: dict[int, float] = {}
         self.early_count = 0
-        self._surges = [SurgeGate() for _ in range(pattern.halls_count)]
+        self._burst_detector = [SurgeGate() for _ in range(pattern.halls_count)]
         self.passed_on_count = 0
 
     def _new(self, name: str, now_seconds: float) -> Way:
@@ -149,7 +149,7 @@
         if now_seconds - self._early_at.get(hall, -math.inf) < EARLY_GAP_SECONDS:
             return
         self._early_at[hall] = now_seconds
-        if not self._surges[hall].has_grown(sum_limits(self._hall(hall))):
+        if not self._burst_detector[hall].has_grown(sum_limits(self._hall(hall))):
             return
         self.passed_on_count += 1
         self._say_hall(hall)
@@ -213,7 +213,7 @@
         if not any(host.hall == hall and not host.is_off for host in self.hosts):
             return
         summary = SummaryDigest().merge(self._hall(hall), 1)
-        self._surges[hall].note_told(summary.limits)
+        self._burst_detector[hall].note_told(summary.limits)
         for other in range(self._pattern.halls_count):
             if other != hall and not self._is_cut(hall, other):
                 self._sums[other, hall] = (summary, self.clock.now_seconds)
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -15,15 +15,15 @@
 
 from rampwick_policy import Health, Neighbours
 from rampwick_policy._fleet_limit import FleetLimit
-from rampwick_policy._notices import NoticeBook
 from rampwick_policy._request_rates import RateObservation, RequestRates
-from rampwick_policy._request_turns import (
+from rampwick_policy._state_changes import NoticeBook
+from rampwick_policy._upstream import Upstream
+from rampwick_policy._upstream_rate_limiter import (
     FewSenders,
     RequestTurns,
     SenderRule,
     Standpoint,
 )
-from rampwick_policy._upstream import Upstream
 from rampwick_schema import HostEntry, Shown
 
 from ._rate_patterns import RatePattern
--- a/measure/_rate_ways.py
+++ b/measure/_rate_ways.py
@@ -5,9 +5,9 @@
 
 from rampwick_policy._fleet_limit import FleetLimit, FleetTerms
 from rampwick_policy._request_rates import RequestRates
-from rampwick_policy._request_turns import RequestTurns
 from rampwick_policy._tree import LimitedNode
 from rampwick_policy._upstream import Upstream
+from rampwick_policy._upstream_rate_limiter import RequestTurns
 
 #: What is allowed: so many times the rate within a window, and so many beside it.
 WINDOW_SECONDS = 4.0
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -14,6 +14,7 @@
     Suspect as Suspect,
     Suspicion as Suspicion,
 )
+from ._burst_detector import SurgeGate as SurgeGate
 from ._cache_events import (
     CacheBox as CacheBox,
     SaltBook as SaltBook,
@@ -70,12 +71,6 @@
     UpstreamSignalled as UpstreamSignalled,
     WeightsSeen as WeightsSeen,
 )
-from ._hall_digest import (
-    SummaryDigest as SummaryDigest,
-    sum_limits as sum_limits,
-    without as without,
-    without_limits as without_limits,
-)
 from ._health import Health as Health, HealthState as HealthState
 from ._host_lists import diff_hosts as diff_hosts, patch_hosts as patch_hosts
 from ._identity import RequestIdentity as RequestIdentity
@@ -89,9 +84,8 @@
 from ._lapses import LapseGuard as LapseGuard
 from ._lease import LeaseWatcher as LeaseWatcher
 from ._leaving import AnswerPace as AnswerPace, fits_before as fits_before
-from ._limit_book import LimitState as LimitState
+from ._limit_tracker import LimitState as LimitState
 from ._membership import Membership as Membership, PeerView as PeerView
-from ._notices import Notice as Notice
 from ._orders import (
     PlannedOrder as PlannedOrder,
     RunnerState as RunnerState,
@@ -117,14 +111,13 @@
     chain_from_parts as chain_from_parts,
     part_key as part_key,
 )
-from ._relaying import RelayListener as RelayListener
+from ._relay_listener import RelayListener as RelayListener
 from ._request import (
     Outcome as Outcome,
     RequestLifecycle as RequestLifecycle,
     RunState as RunState,
 )
 from ._request_rates import RequestRates as RequestRates
-from ._request_turns import TurnState as TurnState
 from ._restored_trees import ReadTree as ReadTree, RestoredTrees as RestoredTrees
 from ._retry import RetryBudget as RetryBudget, RetryBudgets as RetryBudgets
 from ._roles import (
@@ -140,7 +133,13 @@
 from ._routes import RouteIndex as RouteIndex, choose_service as choose_service
 from ._scheduler import Scheduler as Scheduler
 from ._shares import DecayedUse as DecayedUse, ShareLedger as ShareLedger
-from ._surges import SurgeGate as SurgeGate
+from ._state_changes import Notice as Notice
+from ._summary_aggregator import (
+    SummaryDigest as SummaryDigest,
+    sum_limits as sum_limits,
+    without as without,
+    without_limits as without_limits,
+)
 from ._suspects import Suspects as Suspects
 from ._targets import TargetWeights as TargetWeights
 from ._tree import (
@@ -155,5 +154,6 @@
     touched_paths as touched_paths,
     validate_tree as validate_tree,
 )
+from ._upstream_rate_limiter import TurnState as TurnState
 from ._upstreams import Obstacle as Obstacle
 from ._watchers import is_watcher as is_watcher
--- a/packages/rampwick-policy/src/rampwick_policy/_evidence.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_evidence.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from ._limit_book import LimitState
+from ._limit_tracker import LimitState
 from ._pool import Pool
 from ._queue import QueuedRequest
 from ._room import serves
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -16,7 +16,7 @@
 from rampwick_schema import LimitUsage, Shown
 
 from ._limit_reports import LEAVING_SECONDS, PeerReports
-from ._sent_window import SentWindow
+from ._sliding_window import SentWindow
 from ._tree import LimitedNode
 
 #: Time over which the rate of what is asked for is taken: some tens of requests of a
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -13,9 +13,9 @@
 from ._events import RequestArrived
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import AT_RATE, NO_UPSTREAM, PAUSED
-from ._request_turns import RequestTurns
 from ._room import serves
 from ._timeliness import begins_by_seconds
+from ._upstream_rate_limiter import RequestTurns
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
 #: Bounds of what callers are told to wait: long enough for another turn, short enough
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -17,13 +17,13 @@
 from ._cache_book import CacheBook
 from ._departures import Incarnation
 from ._knowledge import Life
-from ._limit_book import LimitBook
+from ._limit_tracker import LimitBook
 from ._membership import Membership
-from ._notices import NoticeBook
 from ._request import Outcome
 from ._request_rates import RateObservation, RequestRates
-from ._request_turns import RequestTurns, Standpoint
 from ._shares import ShareLedger
+from ._state_changes import NoticeBook
+from ._upstream_rate_limiter import RequestTurns, Standpoint
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
 #: Upstreams of a hall that must fall silent for this host, and within which time, for
--- a/packages/rampwick-policy/src/rampwick_policy/_queue.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_queue.py
@@ -7,7 +7,7 @@
 from rampwick_schema import Shown
 
 from ._events import RANKED_CLASSES, RequestArrived
-from ._limit_book import Counted
+from ._limit_tracker import Counted
 from ._request import RequestLifecycle
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_relaying.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -8,8 +8,8 @@
 
 from rampwick_schema import Beat, FleetSummary, Shown, Summary
 
-from ._hall_digest import without
 from ._roles import Member, Neighbours
+from ._summary_aggregator import without
 
 #: Silence after which a relay is passed over: four of its tellings.
 RELAY_SILENCE_SECONDS = 1.0
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -12,7 +12,7 @@
 
 from rampwick_schema import RateLimitUpdate, Shown, UpstreamRate
 
-from ._notices import NoticeBook
+from ._state_changes import NoticeBook
 
 #: Age up to which a word holds that nothing confirms. Hosts that send to the upstream
 #: confirm it with each answer; without a bound, a host that missed the end of a rate
@@ -53,7 +53,7 @@
     """The newest word of each upstream that named a rate of late."""
 
     def __init__(self, notices: NoticeBook) -> None:
-        self._notices = notices
+        self._state_changes = notices
         self._words: dict[str, RateObservation] = {}
         #: When this host told the others of each, and when anybody did.
         self._told_at: dict[str, float] = {}
@@ -171,14 +171,14 @@
         self._confirmed_at.pop(upstream, None)
         self._untold.discard(upstream)
         if self._words.pop(upstream, None) is not None:
-            self._notices.forget("rate", upstream, reason)
+            self._state_changes.forget("rate", upstream, reason)
 
     def _note(self, upstream: str, word: RateObservation, source: str) -> None:
         if word.requests_per_second is None:
-            self._notices.note("rate", upstream, "open", source)
+            self._state_changes.note("rate", upstream, "open", source)
             return
         state = f"limited to {word.requests_per_second:g} requests a second"
-        self._notices.note("rate", upstream, state, source)
+        self._state_changes.note("rate", upstream, state, source)
 
 
 def _do_nothing() -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_room.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_room.py
@@ -8,8 +8,8 @@
 from ._events import RANKED_CLASSES, RequestArrived
 from ._membership import Membership
 from ._placement import Choice, RunnerView, chosen_view
-from ._request_turns import RequestTurns
 from ._shares import Standing
+from ._upstream_rate_limiter import RequestTurns
 from ._upstreams import Upstream, UpstreamTable
 
 #: Slots beyond the usual ones that urgent requests may use.
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -25,7 +25,7 @@
 from ._forecasts import Forecasts
 from ._intake import Intake
 from ._knowledge import CacheKnowledge
-from ._limit_book import LimitBook
+from ._limit_tracker import LimitBook
 from ._membership import Membership
 from ._open_requests import OpenRequests
 from ._own_summary import own_summary
--- a/packages/rampwick-policy/src/rampwick_policy/_suspects.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_suspects.py
@@ -20,10 +20,10 @@
 )
 
 from ._blame import BlameBook, LifeName, Suspect, Suspicion
-from ._notices import NoticeBook
 from ._placement import RunnerView
 from ._queue import QueuedRequest
 from ._rendezvous import rank
+from ._state_changes import NoticeBook
 
 #: Covers messages dropped by a full send queue and a relay fail-over.
 RETRANSMIT_SECONDS = 3.0
@@ -76,7 +76,7 @@
 
     def __init__(self, notices: NoticeBook, book: BlameBook | None = None) -> None:
         self.book = book or BlameBook()
-        self._notices = notices
+        self._state_changes = notices
         #: Suspects of this host at upstreams, by upstream.
         self._apart: dict[str, bytes] = {}
         #: What peers have not been told, and what they are told again for a while.
@@ -121,7 +121,7 @@
         """Hold nothing against a request any more; return whether anything was."""
         if not self.book.clear(fingerprint, now_seconds):
             return False
-        self._notices.forget("request", fingerprint.hex(), reason)
+        self._state_changes.forget("request", fingerprint.hex(), reason)
         self._tell(_Cleared(fingerprint, now_seconds))
         return True
 
@@ -206,7 +206,7 @@
             at_seconds = now_seconds - cleared.age_seconds
             if self.book.clear(cleared.fingerprint, at_seconds):
                 name = cleared.fingerprint.hex()
-                self._notices.forget("request", name, "a peer says so")
+                self._state_changes.forget("request", name, "a peer says so")
         for ended in update.ended:
             self._hear_end(ended, now_seconds)
         has_stopped = False
@@ -276,7 +276,7 @@
         )
         if self.book.dropped_count > dropped_count:
             reason = f"{len(self.book)} are remembered, which is the most"
-            self._notices.note("suspects", end.workspace_path, "dropped", reason)
+            self._state_changes.note("suspects", end.workspace_path, "dropped", reason)
         suspect = self.book.get(end.fingerprint)
         if is_new and suspect is not None:
             self._notice(suspect)
@@ -288,7 +288,7 @@
             return
         name = suspect.fingerprint.hex()
         state = suspicion.name.lower()
-        self._notices.note("request", name, state, _describe_ends(suspect))
+        self._state_changes.note("request", name, state, _describe_ends(suspect))
 
     def _tell(self, fact: _Fact) -> None:
         self._untold.append(fact)
--- a/packages/rampwick-policy/src/rampwick_policy/_request_turns.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
@@ -19,7 +19,7 @@
 from . import _rendezvous
 from ._request_rates import RequestRates
 from ._roles import Neighbours
-from ._sent_window import SentWindow
+from ._sliding_window import SentWindow
 from ._upstream import Upstream
 
 #: Least rate: an upstream that takes nothing is tried now and then, since only an
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -48,9 +48,9 @@
         self._sync = sync
         self._read_clock = read_clock
         #: What this hall's hosts say for other halls, and all hosts for this hall.
-        self._hall_digest = SummaryDigest()
+        self._summary_aggregator = SummaryDigest()
         self._fleet_digest = SummaryDigest()
-        self._surges = SurgeGate()
+        self._burst_detector = SurgeGate()
         self._own: Summary | None = None
         self._sequence = 0
         #: Whether peers are told that this host takes no new requests.
@@ -58,7 +58,7 @@
 
     def take_host(self, summary: Summary) -> None:
         """Add the summary of a host of this hall."""
-        self._hall_digest.take(summary)
+        self._summary_aggregator.take(summary)
         self._fleet_digest.take(summary)
 
     def take_hall(self, summary: Summary) -> None:
@@ -124,13 +124,13 @@
 
     def is_hall_surge(self) -> bool:
         """Return whether demand in this hall is far above what was published."""
-        return self._surges.has_grown(sum_limits(self._hall_said()))
+        return self._burst_detector.has_grown(sum_limits(self._hall_said()))
 
     def publish_hall(self, *, has_surged: bool = False) -> None:
         """Send other halls the aggregate of this one."""
         own = self._roles.table.own
-        summary = self._hall_digest.merge(self._hall_said(), self._sequence)
-        self._surges.note_told(summary.limits)
+        summary = self._summary_aggregator.merge(self._hall_said(), self._sequence)
+        self._burst_detector.note_told(summary.limits)
         summary = attrs.evolve(summary, has_surged=has_surged)
         told = HallSummary(own.hall, own.name, own.incarnation, summary)
         self._links.broadcast(told, self._roles.is_of_another)
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -27,14 +27,15 @@
     RunState,
     Tick,
 )
-from rampwick_policy._notices import NoticeBook
 from rampwick_policy._request_rates import (
     CONFIRM_SECONDS,
     RETRANSMIT_SECONDS,
     RateObservation,
     RequestRates,
 )
-from rampwick_policy._request_turns import (
+from rampwick_policy._state_changes import NoticeBook
+from rampwick_policy._upstream import Upstream
+from rampwick_policy._upstream_rate_limiter import (
     MOST_SAVED_COUNT,
     TRIAL_PER_SECOND,
     FewSenders,
@@ -42,7 +43,6 @@
     Standpoint,
     part_ratio,
 )
-from rampwick_policy._upstream import Upstream
 from rampwick_schema import HostEntry
 
 from .bench import run_two_hosts, until
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,8 +17,8 @@
     TreeView,
     without,
 )
-from rampwick_policy._limit_book import LimitBook
-from rampwick_policy._sent_window import SentWindow
+from rampwick_policy._limit_tracker import LimitBook
+from rampwick_policy._sliding_window import SentWindow
 from rampwick_schema import LimitUsage, Node, QuotaSettings, Summary, Tree
 
 from .test_scheduler import Session
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -3,8 +3,8 @@
 import anyio
 from testtools import TestCase
 
-from rampwick_policy._notices import NoticeBook
 from rampwick_policy._request_rates import STALE_SECONDS, RateObservation, RequestRates
+from rampwick_policy._state_changes import NoticeBook
 
 from .scripted import run_routed
 
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -15,7 +15,7 @@
     TreeInForce,
     TreeView,
 )
-from rampwick_policy._notices import NoticeBook
+from rampwick_policy._state_changes import NoticeBook
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._urgent_updates import UrgentUpdates
 from rampwick_schema import CrashUpdate, LimitUsage, Node, Tree, parse_settings
