--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -20,7 +20,7 @@
     Event,
     HostListRead,
     Life,
-    Neighbours,
+    LivePeers,
     NeighboursSeen,
     PeerSummaryReceived,
     RateLimitUpdateReceived,
@@ -115,7 +115,7 @@
         self.handle(TreeInForce(self._lab.view))
         self.handle(HostListRead(self._lab.host_list))
 
-    def _neighbours(self) -> Neighbours:
+    def _neighbours(self) -> LivePeers:
         halls = {
             f"host-{index}": HALLS[index % len(HALLS)]
             for index in range(self._lab.pattern.hosts_count)
@@ -125,7 +125,7 @@
             for name, hall in halls.items()
             if hall == self.hall and name != self.name
         )
-        return Neighbours(mates, mates, frozenset(halls.values()))
+        return LivePeers(mates, mates, frozenset(halls.values()))
 
     def _tell_rates(self) -> None:
         self._lab.clock.after(RATE_NEWS_SECONDS, self._broadcast_rates)
--- a/measure/_limit_ways.py
+++ b/measure/_limit_ways.py
@@ -7,7 +7,7 @@
 
 from rampwick_policy import RequestArrived, TreeView, Workspace
 from rampwick_policy._fleet_limit import OverLimit
-from rampwick_policy._limit_tracker import LimitBook
+from rampwick_policy._limit_tracker import LimitTracker
 from rampwick_schema import Node, QuotaSettings, Summary, Tree
 
 from ._limit_patterns import LimitPattern
@@ -72,7 +72,7 @@
         settings = QuotaSettings(
             over_ratio=pattern.over_ratio, slack_tokens=pattern.slack_tokens
         )
-        self.book = LimitBook(settings, name)
+        self.book = LimitTracker(settings, name)
         self._workspace = workspace(pattern)
         self.book.apply({PATH: self._workspace}, now_seconds)
 
--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rampwick_policy import SummaryDigest, SurgeGate, sum_limits, without
+from rampwick_policy import BurstDetector, SummaryAggregator, sum_limits, without
 from rampwick_schema import Shown, Summary
 
 from ._limit_patterns import LimitPattern
@@ -66,7 +66,7 @@
         #: When each hall's relay passed on an early word, and how many there were.
         self._early_at: dict[int, float] = {}
         self.early_count = 0
-        self._burst_detector = [SurgeGate() for _ in range(pattern.halls_count)]
+        self._burst_detector = [BurstDetector() for _ in range(pattern.halls_count)]
         self.passed_on_count = 0
 
     def _new(self, name: str, now_seconds: float) -> Way:
@@ -198,7 +198,7 @@
     def _say_hall(self, hall: int) -> None:
         now_seconds = self.clock.now_seconds
         heard = [*self._hall(hall), *self._others(hall)]
-        total = SummaryDigest().merge(heard, 1)
+        total = SummaryAggregator().merge(heard, 1)
         for host in self.hosts:
             if host.hall == hall and not host.is_off and host.told is not None:
                 age_seconds = now_seconds - host.told_at_seconds
@@ -212,7 +212,7 @@
     def _say_others(self, hall: int) -> None:
         if not any(host.hall == hall and not host.is_off for host in self.hosts):
             return
-        summary = SummaryDigest().merge(self._hall(hall), 1)
+        summary = SummaryAggregator().merge(self._hall(hall), 1)
         self._burst_detector[hall].note_told(summary.limits)
         for other in range(self._pattern.halls_count):
             if other != hall and not self._is_cut(hall, other):
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -13,16 +13,16 @@
 
 import attrs
 
-from rampwick_policy import Health, Neighbours
+from rampwick_policy import Health, LivePeers
 from rampwick_policy._fleet_limit import FleetLimit
 from rampwick_policy._request_rates import RateObservation, RequestRates
-from rampwick_policy._state_changes import NoticeBook
+from rampwick_policy._state_changes import StateChangeTracker
 from rampwick_policy._upstream import Upstream
 from rampwick_policy._upstream_rate_limiter import (
-    FewSenders,
-    RequestTurns,
-    SenderRule,
-    Standpoint,
+    LocalView,
+    SenderCountPolicy,
+    SendersByRate,
+    UpstreamRateLimiter,
 )
 from rampwick_schema import HostEntry, Shown
 
@@ -56,7 +56,7 @@
     hall: str
     rates: RequestRates
     gate: Gate
-    turns: RequestTurns | None = None
+    turns: UpstreamRateLimiter | None = None
     known_since: dict[str, float] = attrs.field(factory=dict)
     #: Part of the fleet that it hears.
     heard_ratio: float = 1.0
@@ -133,7 +133,7 @@
         return _Named(Upstream(entry, Health(0.1, 1.0)), rates)
 
     def _make_host(self, index: int) -> _Host:
-        rates = RequestRates(NoticeBook())
+        rates = RequestRates(StateChangeTracker())
         host = _Host(
             f"e{index}", f"h{index % self._pattern.halls_count}", rates, OpenGate()
         )
@@ -188,8 +188,8 @@
             halls = frozenset(other.hall for other in heard)
             host.heard_ratio = len(heard) / len(self._hosts)
             if host.turns is not None:
-                near = Neighbours(mates, mates, halls)
-                host.turns.standpoint = Standpoint(host.name, host.hall, near)
+                near = LivePeers(mates, mates, halls)
+                host.turns.local_view = LocalView(host.name, host.hall, near)
 
     def _cut(self, is_cut: bool) -> None:
         self._is_cut = is_cut
@@ -294,13 +294,13 @@
 
 
 def _with_turns(
-    make_rule: Callable[[int], SenderRule],
+    make_rule: Callable[[int], SenderCountPolicy],
 ) -> Callable[[_Host, RateLab], None]:
     def equip(host: _Host, lab: RateLab) -> None:
         count = lab._pattern.hosts_count
-        host.turns = RequestTurns(
+        host.turns = UpstreamRateLimiter(
             host.rates,
-            Standpoint(host.name, host.hall),
+            LocalView(host.name, host.hall),
             lambda now_seconds: host.heard_ratio,
             make_rule(count),
         )
@@ -328,5 +328,5 @@
     "equal parts": _with_turns(EachHost),
     "sums": _with_sums,
     "one sender": _with_turns(lambda count: OneSender()),
-    "few senders": _with_turns(lambda count: FewSenders()),
+    "few senders": _with_turns(lambda count: SendersByRate()),
 }
--- a/measure/_rate_ways.py
+++ b/measure/_rate_ways.py
@@ -3,11 +3,11 @@
 import random
 from typing import Protocol
 
-from rampwick_policy._fleet_limit import FleetLimit, FleetTerms
+from rampwick_policy._fleet_limit import FleetLimit, LimitParameters
 from rampwick_policy._request_rates import RequestRates
 from rampwick_policy._tree import LimitedNode
 from rampwick_policy._upstream import Upstream
-from rampwick_policy._upstream_rate_limiter import RequestTurns
+from rampwick_policy._upstream_rate_limiter import UpstreamRateLimiter
 
 #: What is allowed: so many times the rate within a window, and so many beside it.
 WINDOW_SECONDS = 4.0
@@ -52,7 +52,7 @@
 class TurnGate:
     """The policy's own turns, with a rule for the senders."""
 
-    def __init__(self, turns: RequestTurns) -> None:
+    def __init__(self, turns: UpstreamRateLimiter) -> None:
         self._turns = turns
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
@@ -103,6 +103,6 @@
             self.limits[upstream.name] = limit
         elif limit.limit != node:
             limit.change(node, WINDOW_SECONDS, now_seconds)
-        limit.note_asked(1.0, now_seconds)
-        terms = FleetTerms(WINDOW_SECONDS, OVER_RATIO - 1.0, SLACK_COUNT)
+        limit.record_demand(1.0, now_seconds)
+        terms = LimitParameters(WINDOW_SECONDS, OVER_RATIO - 1.0, SLACK_COUNT)
         return limit.ask(1.0, terms, now_seconds) is None
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -14,7 +14,7 @@
     Suspect as Suspect,
     Suspicion as Suspicion,
 )
-from ._burst_detector import SurgeGate as SurgeGate
+from ._burst_detector import BurstDetector as BurstDetector
 from ._cache_events import (
     CacheBox as CacheBox,
     SaltBook as SaltBook,
@@ -121,21 +121,21 @@
 from ._restored_trees import ReadTree as ReadTree, RestoredTrees as RestoredTrees
 from ._retry import RetryBudget as RetryBudget, RetryBudgets as RetryBudgets
 from ._roles import (
+    LivePeers as LivePeers,
     Member as Member,
     MemberTable as MemberTable,
-    Neighbours as Neighbours,
 )
 from ._rollout import (
-    AskReport as AskReport,
+    FetchReport as FetchReport,
     OrderResult as OrderResult,
     Rollout as Rollout,
 )
 from ._routes import RouteIndex as RouteIndex, choose_service as choose_service
 from ._scheduler import Scheduler as Scheduler
 from ._shares import DecayedUse as DecayedUse, ShareLedger as ShareLedger
-from ._state_changes import Notice as Notice
+from ._state_changes import StateChange as StateChange
 from ._summary_aggregator import (
-    SummaryDigest as SummaryDigest,
+    SummaryAggregator as SummaryAggregator,
     sum_limits as sum_limits,
     without as without,
     without_limits as without_limits,
@@ -154,6 +154,6 @@
     touched_paths as touched_paths,
     validate_tree as validate_tree,
 )
-from ._upstream_rate_limiter import TurnState as TurnState
+from ._upstream_rate_limiter import UpstreamRateState as UpstreamRateState
 from ._upstreams import Obstacle as Obstacle
 from ._watchers import is_watcher as is_watcher
--- a/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
@@ -13,7 +13,7 @@
 GROWTH_RATIO = 1.5
 
 
-class SurgeGate:
+class BurstDetector:
     """What others were told last that a hall is asked."""
 
     def __init__(self) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -14,7 +14,7 @@
 from . import _rendezvous
 from ._events import CacheChanges, CacheSeen
 from ._prefix import Scope, cache_salt
-from ._roles import Member, Neighbours
+from ._roles import LivePeers, Member
 
 _KEY = b"cache events of "
 
@@ -98,7 +98,7 @@
         ]
 
 
-def is_cache_reader(own: Member, upstream: str, hall: str, near: Neighbours) -> bool:
+def is_cache_reader(own: Member, upstream: str, hall: str, near: LivePeers) -> bool:
     """Return whether this host shall read the cache events of an upstream.
 
     One host of the upstream's own hall does for all, where any is heard: then the
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -19,7 +19,7 @@
 from ._placement import Choice
 from ._prefix import PrefixChain, Scope
 from ._request import Outcome, RunState
-from ._roles import Neighbours
+from ._roles import LivePeers
 from ._tree import TreeView, Workspace
 
 #: Classes of requests, the most urgent first.
@@ -254,7 +254,7 @@
 class NeighboursSeen(Shown):
     """The host hears other hosts than before, or begins to leave."""
 
-    neighbours: Neighbours
+    live_peers: LivePeers
     is_leaving: bool
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -16,7 +16,7 @@
 from rampwick_schema import LimitUsage, Shown
 
 from ._limit_reports import LEAVING_SECONDS, PeerReports
-from ._sliding_window import SentWindow
+from ._sliding_window import SlidingWindow
 from ._tree import LimitedNode
 
 #: Time over which the rate of what is asked for is taken: some tens of requests of a
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen(repr=False)
-class FleetTerms(Shown):
+class LimitParameters(Shown):
     """What holds for all limits at a moment."""
 
     window_seconds: float
@@ -138,8 +138,8 @@
     ) -> None:
         self.limit = limit
         self._draw = draw
-        self._sent = SentWindow(window_seconds)
-        self._asked = SentWindow(ASKED_SECONDS)
+        self._sent = SlidingWindow(window_seconds)
+        self._asked = SlidingWindow(ASKED_SECONDS)
         self._words = PeerReports(window_seconds)
         #: Parts of requests that may go; one is sent for each whole.
         self._credit = draw.random()
@@ -183,7 +183,7 @@
         """Drop what a peer said, since another one speaks for it."""
         self._words.forget(peer)
 
-    def has_surged(self, terms: FleetTerms, now_seconds: float) -> bool:
+    def has_surged(self, terms: LimitParameters, now_seconds: float) -> bool:
         """Return whether peers are to hear at once of what this host is asked now.
 
         While a limit has room to spare there is time for the usual words.
@@ -214,17 +214,17 @@
             since_seconds = now_seconds
         hold_seconds = max(0.0, since_seconds + HOLD_SECONDS - now_seconds)
         if hold_seconds:
-            self.note_asked(tokens, now_seconds)
+            self.record_demand(tokens, now_seconds)
         return hold_seconds
 
-    def note_asked(self, tokens: float, now_seconds: float) -> None:
+    def record_demand(self, tokens: float, now_seconds: float) -> None:
         """Count a request among those that this host is asked for."""
         if self._asked_since_seconds is None:
             self._asked_since_seconds = now_seconds
         self._asked.add(tokens, now_seconds)
 
     def ask(
-        self, tokens: float, terms: FleetTerms, now_seconds: float
+        self, tokens: float, terms: LimitParameters, now_seconds: float
     ) -> OverLimit | None:
         """Count a request that may go now; return why it may not."""
         outlook = self._look_ahead(terms, now_seconds)
@@ -246,7 +246,7 @@
     def _trifle_tokens(self, window_seconds: float) -> float:
         return allowed_tokens(self.limit, window_seconds) * TRIFLE_RATIO
 
-    def _look_ahead(self, terms: FleetTerms, now_seconds: float) -> _Outlook:
+    def _look_ahead(self, terms: LimitParameters, now_seconds: float) -> _Outlook:
         asked_elsewhere = self._words.asked_tokens
         asked = self._asked_per_second(now_seconds) + asked_elsewhere
         leaving = self._leaving_per_second(now_seconds) + self._words.leaving_tokens
@@ -270,7 +270,9 @@
             is_guess=bool(self._words) or terms.unknown_seconds > 0.0,
         )
 
-    def _room_of_unknown(self, room: float, used: float, terms: FleetTerms) -> float:
+    def _room_of_unknown(
+        self, room: float, used: float, terms: LimitParameters
+    ) -> float:
         """Return the room where hosts that are no more may have sent, too.
 
         They are taken to have sent all that they might, the burst not long ago.
@@ -280,7 +282,7 @@
         fresh = self._refill * (known_seconds + FRESH_SECONDS)
         return max(room - sent * terms.part_ratio, fresh * terms.part_ratio - used)
 
-    def _bounds(self, asked: float, terms: FleetTerms) -> tuple[float, float]:
+    def _bounds(self, asked: float, terms: LimitParameters) -> tuple[float, float]:
         """Return what is aimed at within a window, and what must not be passed."""
         limit = allowed_tokens(self.limit, terms.window_seconds)
         most = limit * (1.0 + terms.over_ratio) + terms.slack_tokens
@@ -295,7 +297,7 @@
         """Return whether a request was refused because of it of late."""
         return now_seconds - self._refused_at_seconds < BINDING_SECONDS
 
-    def used_tokens(self, terms: FleetTerms, now_seconds: float) -> float:
+    def used_tokens(self, terms: LimitParameters, now_seconds: float) -> float:
         """Return what all hosts have sent within the window, as far as known."""
         # Those that are not heard have the rest of the limit to themselves.
         only_fresh = terms.part_ratio < 1.0
@@ -312,7 +314,7 @@
         """Count a second run of a request."""
         self._sent.add(tokens, now_seconds)
 
-    def give_back(self, tokens: float, at_seconds: float) -> None:
+    def refund(self, tokens: float, at_seconds: float) -> None:
         """Count a request no more that surely did not run."""
         self._sent.take_back(tokens, at_seconds)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -15,7 +15,7 @@
 from ._reasons import AT_RATE, NO_UPSTREAM, PAUSED
 from ._room import serves
 from ._timeliness import begins_by_seconds
-from ._upstream_rate_limiter import RequestTurns
+from ._upstream_rate_limiter import UpstreamRateLimiter
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
 #: Bounds of what callers are told to wait: long enough for another turn, short enough
@@ -62,7 +62,7 @@
     """Looks ahead for requests; it shares the scheduler's parts."""
 
     def __init__(
-        self, upstreams: UpstreamTable, turns: RequestTurns, queue: WaitingQueue
+        self, upstreams: UpstreamTable, turns: UpstreamRateLimiter, queue: WaitingQueue
     ) -> None:
         self._upstreams = upstreams
         self._turns = turns
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -10,7 +10,7 @@
 from ._dispatcher import ANSWER_TOKEN_PRICE, AnswerEstimates
 from ._fleet_limit import OverLimit
 from ._forecasts import Forecasts
-from ._limit_tracker import LimitBook
+from ._limit_tracker import LimitTracker
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import (
     DEADLINE_UNREACHABLE,
@@ -41,7 +41,7 @@
         settings: Settings,
         queue: WaitingQueue,
         admission: Admission,
-        limits: LimitBook,
+        limits: LimitTracker,
         answers: AnswerEstimates,
         suspects: Suspects,
         forecasts: Forecasts,
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -9,7 +9,7 @@
 from rampwick_schema import LimitUsage, QuotaSettings, Shown, Summary
 
 from . import _events as ev
-from ._fleet_limit import FleetLimit, FleetTerms, OverLimit, allowed_tokens
+from ._fleet_limit import FleetLimit, LimitParameters, OverLimit, allowed_tokens
 from ._tree import LimitedNode, Workspace
 
 #: Age of what a fleet knows up to which its first requests wait for what all are asked.
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen(repr=False)
-class Counted(Shown):
+class LimitCharge(Shown):
     """What a request counts towards one limit, and from when."""
 
     path: str
@@ -53,7 +53,7 @@
     is_binding: bool
 
 
-class LimitBook:
+class LimitTracker:
     """Limits by path, and what counts towards them."""
 
     def __init__(self, settings: QuotaSettings, host: str) -> None:
@@ -114,26 +114,26 @@
 
     def ask(
         self, event: ev.RequestArrived, now_seconds: float
-    ) -> OverLimit | list[Counted]:
+    ) -> OverLimit | list[LimitCharge]:
         """Count a request that arrives; return why it may not go."""
-        counted: list[Counted] = []
+        counted: list[LimitCharge] = []
         for limit in event.workspace.limits:
             known = self._limits.get(limit.path)
             if known is None:
                 continue
             tokens = _counted_tokens(limit, event)
             if not event.was_held:
-                known.note_asked(tokens, now_seconds)
+                known.record_demand(tokens, now_seconds)
             over = known.ask(tokens, self._terms(now_seconds), now_seconds)
             if over is not None:
-                self.give_back(counted)
+                self.refund(counted)
                 return over
-            counted.append(Counted(limit.path, tokens, now_seconds))
+            counted.append(LimitCharge(limit.path, tokens, now_seconds))
         return counted
 
     def note_sent(
-        self, counted: Iterable[Counted], is_again: bool, now_seconds: float
-    ) -> list[Counted]:
+        self, counted: Iterable[LimitCharge], is_again: bool, now_seconds: float
+    ) -> list[LimitCharge]:
         """Note that a request is sent now; return what it counts from then on."""
         moved = []
         for item in counted:
@@ -147,12 +147,12 @@
             moved.append(attrs.evolve(item, at_seconds=now_seconds))
         return moved
 
-    def give_back(self, counted: Iterable[Counted]) -> None:
+    def refund(self, counted: Iterable[LimitCharge]) -> None:
         """Count a request no more that surely did not run."""
         for item in counted:
             limit = self._limits.get(item.path)
             if limit is not None:
-                limit.give_back(item.tokens, item.at_seconds)
+                limit.refund(item.tokens, item.at_seconds)
 
     # What peers say and are told.
 
@@ -239,7 +239,7 @@
             limit.is_binding(now_seconds),
         )
 
-    def bindings(self, now_seconds: float) -> list[tuple[str, bool]]:
+    def binding_states(self, now_seconds: float) -> list[tuple[str, bool]]:
         """Return the paths of all limits, each with whether it binds."""
         return [
             (path, limit.is_binding(now_seconds))
@@ -254,10 +254,10 @@
             return 1.0
         return ratio
 
-    def _terms(self, now_seconds: float) -> FleetTerms:
+    def _terms(self, now_seconds: float) -> LimitParameters:
         settings = self._settings
         known_seconds = self.known_seconds(now_seconds)
-        return FleetTerms(
+        return LimitParameters(
             settings.window_seconds,
             settings.over_ratio,
             settings.slack_tokens,
--- a/packages/rampwick-policy/src/rampwick_policy/_membership.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_membership.py
@@ -96,17 +96,17 @@
         if known is not None:
             self._count(known.summary, sign=-1)
 
-    def hears_anyone(self, now_seconds: float) -> bool:
+    def has_live_peers(self, now_seconds: float) -> bool:
         """Return whether any peer is alive as far as this host knows."""
         return next(self.live(now_seconds), None) is not None
 
-    def own_part_ratio(self, now_seconds: float) -> float:
+    def own_share_ratio(self, now_seconds: float) -> float:
         """Return the part of the pool that this host may use on its own.
 
         While it hears a peer, the whole: use is then counted together. A host that
         hears nobody takes an equal part of the fleet it last knew.
         """
-        if self.hears_anyone(now_seconds):
+        if self.has_live_peers(now_seconds):
             return 1.0
         return 1.0 / self.known_hosts_count
 
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -145,5 +145,5 @@
     def _uncount(self, item: QueuedRequest) -> None:
         """Have a request that surely did not run count no more towards limits."""
         if item.lifecycle.run_state <= RunState.REFUSED:
-            self._pool.limits.give_back(item.counted)
+            self._pool.limits.refund(item.counted)
             item.counted = []
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -17,13 +17,13 @@
 from ._cache_book import CacheBook
 from ._departures import Incarnation
 from ._knowledge import Life
-from ._limit_tracker import LimitBook
+from ._limit_tracker import LimitTracker
 from ._membership import Membership
 from ._request import Outcome
 from ._request_rates import RateObservation, RequestRates
 from ._shares import ShareLedger
-from ._state_changes import NoticeBook
-from ._upstream_rate_limiter import RequestTurns, Standpoint
+from ._state_changes import StateChangeTracker
+from ._upstream_rate_limiter import LocalView, UpstreamRateLimiter
 from ._upstreams import Obstacle, Upstream, UpstreamTable
 
 #: Upstreams of a hall that must fall silent for this host, and within which time, for
@@ -61,7 +61,7 @@
     def __init__(self, settings: Settings) -> None:
         self.peers = Membership(settings.peers.dead_after_seconds)
         self.ledger = ShareLedger(settings.queue.usage_decay_seconds)
-        self.limits = LimitBook(settings.quota, settings.host.name)
+        self.limits = LimitTracker(settings.quota, settings.host.name)
         self.upstreams = UpstreamTable(
             settings.host.hall,
             settings.retry,
@@ -70,13 +70,13 @@
         )
         #: Names of the services that requests may be led to.
         self.services: frozenset[str] = frozenset()
-        self.notices = NoticeBook()
+        self.state_changes = StateChangeTracker()
         #: Requests a second that upstreams in need take from all hosts, and whose turn
         #: it is to send them one.
-        self.rates = RequestRates(self.notices)
-        self.turns = RequestTurns(
+        self.rates = RequestRates(self.state_changes)
+        self.turns = UpstreamRateLimiter(
             self.rates,
-            Standpoint(settings.host.name, settings.host.hall),
+            LocalView(settings.host.name, settings.host.hall),
             self.limits.part_ratio,
         )
         self.caches = CacheBook(
@@ -186,14 +186,16 @@
         """Drop peers that have been silent for too long."""
         for view in self.peers.expire(now_seconds):
             silent_seconds = now_seconds - view.heard_at_seconds
-            self.notices.forget("peer", view.name, f"silent for {silent_seconds:.1f} s")
+            self.state_changes.forget(
+                "peer", view.name, f"silent for {silent_seconds:.1f} s"
+            )
 
     def look_at_limits(self, now_seconds: float) -> None:
         """Note who is there to keep limits, and which begin or end to bind."""
         self.limits.note_time(self.peers.hosts_count(now_seconds), now_seconds)
         self.rates.sweep(now_seconds)
-        for path, is_binding in self.limits.bindings(now_seconds):
-            if not is_binding and not self.notices.knows("limit", path):
+        for path, is_binding in self.limits.binding_states(now_seconds):
+            if not is_binding and not self.state_changes.knows("limit", path):
                 continue
             belief = "binding" if is_binding else "open"
             state = self.limits.state(path, now_seconds)
@@ -201,12 +203,12 @@
                 f"{state.used_tokens:.0f} of {state.allowed_tokens:.0f} tokens sent by "
                 f"all, part {state.part_ratio:.2f}"
             )
-            self.notices.note("limit", path, belief, reason)
+            self.state_changes.note("limit", path, belief, reason)
 
     def _notice(self, upstream: Upstream, reason: str, now_seconds: float) -> None:
         """Note what is believed of an upstream now, and why."""
         state = self.upstreams.describe(upstream, now_seconds)
-        self.notices.note("upstream", upstream.name, state, reason)
+        self.state_changes.note("upstream", upstream.name, state, reason)
 
     def _take_down(self, upstream: Upstream, error: str, now_seconds: float) -> None:
         upstream.is_suspected = False
@@ -238,7 +240,7 @@
         for name in self.upstreams.apply_list(_sorted(event.host_list), now_seconds):
             self.knowledge.forget(name)
             self.rates.forget(name, reason)
-            self.notices.forget("upstream", name, reason)
+            self.state_changes.forget("upstream", name, reason)
         names = {upstream.name for upstream in self.upstreams}
         self.upstreams.departures.sweep(names, now_seconds)
         for upstream in self.upstreams:
@@ -281,7 +283,7 @@
             )
         for target in targets.all_newest():
             state = f"version {target.weights_version}"
-            self.notices.note("target", target.model, state, event.source)
+            self.state_changes.note("target", target.model, state, event.source)
 
     def _on_rate(self, event: ev.RateNamed, now_seconds: float) -> None:
         if self.upstreams.get(event.upstream) is None:
@@ -292,7 +294,7 @@
             event.asked_at_seconds,
             now_seconds,
         )
-        self.rates.take_answer(event.upstream, word, now_seconds)
+        self.rates.record_answer(event.upstream, word, now_seconds)
 
     def _on_rate_limits_received(
         self, event: ev.RateLimitUpdateReceived, now_seconds: float
@@ -341,9 +343,9 @@
                 self._notice(upstream, "its pause is over", now_seconds)
 
     def _on_neighbours(self, event: ev.NeighboursSeen, now_seconds: float) -> None:
-        self.turns.standpoint = attrs.evolve(
-            self.turns.standpoint,
-            neighbours=event.neighbours,
+        self.turns.local_view = attrs.evolve(
+            self.turns.local_view,
+            live_peers=event.live_peers,
             is_leaving=event.is_leaving,
         )
 
@@ -351,14 +353,14 @@
         self.peers.drop(event.name)
         self.ledger.hear(event.name, (), now_seconds)
         self.limits.forget(event.name)
-        self.notices.forget("peer", event.name, "others speak for it now")
+        self.state_changes.forget("peer", event.name, "others speak for it now")
 
     def _on_peer(self, event: ev.PeerSummaryReceived, now_seconds: float) -> None:
         is_new = self.peers.hear(
             event.name, event.hall, event.incarnation, event.summary, now_seconds
         )
         if is_new:
-            self.notices.note("peer", event.name, "heard", "its summary came")
+            self.state_changes.note("peer", event.name, "heard", "its summary came")
             self.ledger.hear(event.name, event.summary.workspaces, now_seconds)
             self.limits.hear(event.name, event.summary, event.age_seconds, now_seconds)
             self._hear_down(event.summary.down, now_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_queue.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_queue.py
@@ -7,7 +7,7 @@
 from rampwick_schema import Shown
 
 from ._events import RANKED_CLASSES, RequestArrived
-from ._limit_tracker import Counted
+from ._limit_tracker import LimitCharge
 from ._request import RequestLifecycle
 
 
@@ -30,7 +30,7 @@
     sent_at_seconds: float = 0.0
     charged_tokens: float = 0.0
     #: What it counts towards limits in tokens.
-    counted: list[Counted] = attrs.field(factory=list)
+    counted: list[LimitCharge] = attrs.field(factory=list)
     #: Since when nothing could be done for it, and why; nothing while something can.
     stranded_at_seconds: float | None = None
     stranded_reason: str = ""
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -8,7 +8,7 @@
 
 from rampwick_schema import Beat, FleetSummary, Shown, Summary
 
-from ._roles import Member, Neighbours
+from ._roles import LivePeers, Member
 from ._summary_aggregator import without
 
 #: Silence after which a relay is passed over: four of its tellings.
@@ -56,7 +56,7 @@
         """Note a summary that this host sends to its relays."""
         self._told.append(_OwnReport(now_seconds, summary))
 
-    def note_word(self, name: str, now_seconds: float) -> None:
+    def note_message(self, name: str, now_seconds: float) -> None:
         """Note that a host of the hall said anything at all."""
         self._word_at[name] = now_seconds
 
@@ -78,7 +78,7 @@
         now_seconds: float,
     ) -> FleetReport | None:
         """Take what a relay tells; None if another one is listened to."""
-        self.note_word(relay, now_seconds)
+        self.note_message(relay, now_seconds)
         is_first = bool(relays) and relays[0].name == relay
         is_other = relay != self._speaker and not is_first
         since_seconds = now_seconds - self._spoke_at_seconds
@@ -97,7 +97,7 @@
             own.told_at_seconds if own else None,
         )
 
-    def neighbours(self, now_seconds: float) -> Neighbours:
+    def live_peers(self, now_seconds: float) -> LivePeers:
         """Return whom the relay named of late."""
         oldest_seconds = now_seconds - HEARD_SECONDS
         beats = [
@@ -105,7 +105,7 @@
             for beat, heard_at_seconds in self._beats.values()
             if heard_at_seconds > oldest_seconds and beat.host != self._own.name
         ]
-        return Neighbours(
+        return LivePeers(
             frozenset(beat.host for beat in beats),
             frozenset(beat.host for beat in beats if not beat.is_leaving),
             self._halls,
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -12,7 +12,7 @@
 
 from rampwick_schema import RateLimitUpdate, Shown, UpstreamRate
 
-from ._state_changes import NoticeBook
+from ._state_changes import StateChangeTracker
 
 #: Age up to which a word holds that nothing confirms. Hosts that send to the upstream
 #: confirm it with each answer; without a bound, a host that missed the end of a rate
@@ -52,8 +52,8 @@
 class RequestRates:
     """The newest word of each upstream that named a rate of late."""
 
-    def __init__(self, notices: NoticeBook) -> None:
-        self._state_changes = notices
+    def __init__(self, state_changes: StateChangeTracker) -> None:
+        self._state_changes = state_changes
         self._words: dict[str, RateObservation] = {}
         #: When this host told the others of each, and when anybody did.
         self._told_at: dict[str, float] = {}
@@ -82,7 +82,7 @@
             return None
         return word.requests_per_second
 
-    def take_answer(
+    def record_answer(
         self, upstream: str, word: RateObservation, now_seconds: float
     ) -> None:
         """Take the word of an answer that this host had; peers hear what is new."""
--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen(repr=False)
-class Neighbours(Shown):
+class LivePeers(Shown):
     """Whom a host hears: its own hall's hosts by name, and the halls."""
 
     #: Hosts of its own hall.
@@ -131,7 +131,7 @@
         """Return this host's place among the members of its group that it hears."""
         return self._ranked_group(live).index(self.own)
 
-    def first_of_group(self, live: Collection[str]) -> list[Member]:
+    def ranked_group_peers(self, live: Collection[str]) -> list[Member]:
         """Return the members of the group that are heard, the first in rank first."""
         return [member for member in self._ranked_group(live) if member != self.own]
 
@@ -179,11 +179,11 @@
         reachable = (
             member
             for member in self._halls[hall]
-            if not self.is_passed_over(member.name, now_seconds)
+            if not self.is_marked_unreachable(member.name, now_seconds)
         )
         return list(itertools.islice(reachable, RELAYS_COUNT))
 
-    def is_passed_over(self, name: str, now_seconds: float) -> bool:
+    def is_marked_unreachable(self, name: str, now_seconds: float) -> bool:
         """Return whether a member was out of reach or silent a moment ago."""
         return now_seconds < self._unreachable_until.get(name, -1.0)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_rollout.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_rollout.py
@@ -58,14 +58,14 @@
 
 
 @attrs.frozen(repr=False)
-class AskReport(Shown):
+class FetchReport(Shown):
     """A runner is to be asked for its report."""
 
     runner: str
     address: str
 
 
-RolloutStep = AskReport | PlannedOrder
+RolloutStep = FetchReport | PlannedOrder
 
 
 @attrs.define(repr=False)
@@ -157,7 +157,7 @@
                 record.until_seconds, asked_at_seconds + STILL_LOADING_SECONDS
             )
 
-    def note_silence(self, runner: str, now_seconds: float) -> None:
+    def note_unresponsive(self, runner: str, now_seconds: float) -> None:
         """Note that a runner did not report; others go before it for a while."""
         record = self._record(runner)
         record.silent_until_seconds = now_seconds + SILENT_SECONDS
@@ -217,4 +217,4 @@
         if not is_look and waited_seconds < ASK_AGAIN_SECONDS:
             return []
         record.asked_at_seconds = now_seconds
-        return [AskReport(runner, address)]
+        return [FetchReport(runner, address)]
--- a/packages/rampwick-policy/src/rampwick_policy/_room.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_room.py
@@ -9,7 +9,7 @@
 from ._membership import Membership
 from ._placement import Choice, RunnerView, chosen_view
 from ._shares import Standing
-from ._upstream_rate_limiter import RequestTurns
+from ._upstream_rate_limiter import UpstreamRateLimiter
 from ._upstreams import Upstream, UpstreamTable
 
 #: Slots beyond the usual ones that urgent requests may use.
@@ -27,7 +27,7 @@
         upstreams: UpstreamTable,
         peers: Membership,
         admission: Admission,
-        turns: RequestTurns,
+        turns: UpstreamRateLimiter,
         now_seconds: float,
     ) -> None:
         self._upstreams = upstreams
@@ -35,7 +35,7 @@
         self._peers = peers
         self._admission = admission
         self._now_seconds = now_seconds
-        self._part_ratio = peers.own_part_ratio(now_seconds)
+        self._part_ratio = peers.own_share_ratio(now_seconds)
         self._views: dict[tuple[str, str, bool], list[RunnerView]] = {}
         self._rivals: dict[str, list[Rival]] = {}
 
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -25,7 +25,7 @@
 from ._forecasts import Forecasts
 from ._intake import Intake
 from ._knowledge import CacheKnowledge
-from ._limit_tracker import LimitBook
+from ._limit_tracker import LimitTracker
 from ._membership import Membership
 from ._open_requests import OpenRequests
 from ._own_summary import own_summary
@@ -63,7 +63,7 @@
         self.admission = Admission(self.queue, self.ledger, self.peers)
         self.budgets = RetryBudgets(settings.retry)
         self._answers = AnswerEstimates()
-        self.suspects = Suspects(self.pool.notices)
+        self.suspects = Suspects(self.pool.state_changes)
         self._forecasts = Forecasts(self.pool.upstreams, self.pool.turns, self.queue)
         self._dispatcher = Dispatcher(
             settings.placement,
@@ -149,7 +149,7 @@
         return self.pool.ledger
 
     @property
-    def limits(self) -> LimitBook:
+    def limits(self) -> LimitTracker:
         """Limits in tokens, kept with the other hosts."""
         return self.pool.limits
 
--- a/packages/rampwick-policy/src/rampwick_policy/_sliding_window.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_sliding_window.py
@@ -18,7 +18,7 @@
     tokens: float
 
 
-class SentWindow:
+class SlidingWindow:
     """Sum of tokens by the time at which they were sent."""
 
     def __init__(self, length_seconds: float) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen(repr=False)
-class Notice(Shown):
+class StateChange(Shown):
     """One belief that is another now."""
 
     #: What it is about: an upstream, a peer, a target or a limit.
@@ -19,11 +19,11 @@
 
 
 @attrs.define(repr=False)
-class NoticeBook(Shown):
+class StateChangeTracker(Shown):
     """Beliefs as they were last noted; changes wait here until they are taken."""
 
     _known: dict[tuple[str, str], str] = attrs.field(factory=dict)
-    _waiting: list[Notice] = attrs.field(factory=list)
+    _waiting: list[StateChange] = attrs.field(factory=list)
 
     def note(self, kind: str, name: str, state: str, reason: str) -> None:
         """Note a belief; only one that differs from the last becomes a notice."""
@@ -31,7 +31,7 @@
         if state == before:
             return
         self._known[kind, name] = state
-        self._waiting.append(Notice(kind, name, before, state, reason))
+        self._waiting.append(StateChange(kind, name, before, state, reason))
 
     def knows(self, kind: str, name: str) -> bool:
         """Return whether anything is believed of something."""
@@ -41,9 +41,9 @@
         """Note that nothing is believed of something any more."""
         before = self._known.pop((kind, name), "")
         if before:
-            self._waiting.append(Notice(kind, name, before, "gone", reason))
+            self._waiting.append(StateChange(kind, name, before, "gone", reason))
 
-    def take(self) -> list[Notice]:
+    def take(self) -> list[StateChange]:
         """Return the changes since the last call."""
         if not self._waiting:
             return []
--- a/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define(repr=False)
-class SummaryDigest(Shown):
+class SummaryAggregator(Shown):
     """Collects what is told only once, and adds up what stands."""
 
     _placed: list[PlacedPrefix] = attrs.field(factory=list)
--- a/packages/rampwick-policy/src/rampwick_policy/_suspects.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_suspects.py
@@ -23,7 +23,7 @@
 from ._placement import RunnerView
 from ._queue import QueuedRequest
 from ._rendezvous import rank
-from ._state_changes import NoticeBook
+from ._state_changes import StateChangeTracker
 
 #: Covers messages dropped by a full send queue and a relay fail-over.
 RETRANSMIT_SECONDS = 3.0
@@ -74,9 +74,11 @@
 class Suspects:
     """Requests that upstreams end under, as one host deals with them."""
 
-    def __init__(self, notices: NoticeBook, book: BlameBook | None = None) -> None:
+    def __init__(
+        self, state_changes: StateChangeTracker, book: BlameBook | None = None
+    ) -> None:
         self.book = book or BlameBook()
-        self._state_changes = notices
+        self._state_changes = state_changes
         #: Suspects of this host at upstreams, by upstream.
         self._apart: dict[str, bytes] = {}
         #: What peers have not been told, and what they are told again for a while.
--- a/packages/rampwick-policy/src/rampwick_policy/_targets.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_targets.py
@@ -28,7 +28,7 @@
     """
 
     #: Age of a version that was named while nobody told this host of it.
-    guessed_age_seconds: float = 0.0
+    assumed_age_seconds: float = 0.0
     #: Steady time up to which no newer version was known to readers or to this host.
     quiet_until_seconds: float = -math.inf
     #: Steady time at which this host's own reading was surely the newest.
@@ -79,7 +79,7 @@
 
     def _guess(self, target: WeightsTarget, now_seconds: float) -> None:
         at_seconds = max(
-            now_seconds - self.guessed_age_seconds, self.quiet_until_seconds
+            now_seconds - self.assumed_age_seconds, self.quiet_until_seconds
         )
         self._note(target.model, target.weights_version, at_seconds, is_guess=True)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_tree.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_tree.py
@@ -66,7 +66,7 @@
     #: Rank of its requests on routes; none leaves it to the route.
     priority_rank: int | None = None
     #: Whose cached prompts its requests may use, on routes.
-    cache_wall: str = ""
+    cache_domain: str = ""
 
     @property
     def lineage(self) -> tuple[str, ...]:
@@ -89,13 +89,13 @@
         self._workspaces = {
             path: attrs.evolve(
                 resolve_workspace(tree, path),
-                cache_wall=path if node.is_isolated else shared_wall,
+                cache_domain=path if node.is_isolated else shared_wall,
             )
             for path, node in tree.nodes.items()
             if node.is_workspace
         }
         #: Stands for whoever uses a public route.
-        self.public_workspace = Workspace(ROOT, (), (), cache_wall=shared_wall)
+        self.public_workspace = Workspace(ROOT, (), (), cache_domain=shared_wall)
         self._by_key_hash = {
             key_hash: path
             for path, node in tree.nodes.items()
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
@@ -18,8 +18,8 @@
 
 from . import _rendezvous
 from ._request_rates import RequestRates
-from ._roles import Neighbours
-from ._sliding_window import SentWindow
+from ._roles import LivePeers
+from ._sliding_window import SlidingWindow
 from ._upstream import Upstream
 
 #: Least rate: an upstream that takes nothing is tried now and then, since only an
@@ -40,14 +40,14 @@
 SHOWN_WINDOW_SECONDS = 4.0
 
 
-class SenderRule(Protocol):
+class SenderCountPolicy(Protocol):
     """Says how many hosts share the rate of one upstream."""
 
     def senders_count(self, requests_per_second: float) -> int:
         """Return the hosts that send, as far as there are so many."""
 
 
-class FewSenders:
+class SendersByRate:
     """So many that each has its turn about every second.
 
     Each may have a request or two ready to go: twice their number is what may be sent
@@ -60,12 +60,12 @@
 
 
 @attrs.frozen(repr=False)
-class Standpoint(Shown):
+class LocalView(Shown):
     """Where a host stands and whom it hears, as far as senders are chosen by it."""
 
     host: str
     hall: str
-    neighbours: Neighbours = Neighbours()
+    live_peers: LivePeers = LivePeers()
     #: Whether it takes no new requests; the others don't count it then either.
     is_leaving: bool = False
 
@@ -76,15 +76,15 @@
 
 
 @functools.lru_cache(maxsize=PARTS_COUNT)
-def part_ratio(standpoint: Standpoint, key: bytes, senders_count: int) -> float:
+def part_ratio(local_view: LocalView, key: bytes, senders_count: int) -> float:
     """Return a host's part of a rate; none unless it is one of the senders."""
-    if standpoint.is_leaving:
+    if local_view.is_leaving:
         return 0.0
-    near = standpoint.neighbours
-    halls = _rendezvous.rank(key, near.halls | {standpoint.hall})[:senders_count]
+    near = local_view.live_peers
+    halls = _rendezvous.rank(key, near.halls | {local_view.hall})[:senders_count]
     mates_count = max(1, senders_count // len(halls))
-    hosts = _rendezvous.rank(key, near.staying | {standpoint.host})[:mates_count]
-    if standpoint.hall not in halls or standpoint.host not in hosts:
+    hosts = _rendezvous.rank(key, near.staying | {local_view.host})[:mates_count]
+    if local_view.hall not in halls or local_view.host not in hosts:
         return 0.0
     return 1.0 / (len(halls) * len(hosts))
 
@@ -96,7 +96,9 @@
     at_seconds: float
     requests_per_second: float = 0.0
     saved_count: float = 0.0
-    sent: SentWindow = attrs.field(factory=lambda: SentWindow(SHOWN_WINDOW_SECONDS))
+    sent: SlidingWindow = attrs.field(
+        factory=lambda: SlidingWindow(SHOWN_WINDOW_SECONDS)
+    )
 
     def change(self, requests_per_second: float, now_seconds: float) -> None:
         """Save what was earned until now, and go on at another rate."""
@@ -120,7 +122,7 @@
 
 
 @attrs.frozen(repr=False)
-class TurnState(Shown):
+class UpstreamRateState(Shown):
     """The rate of one upstream as operators are shown it."""
 
     upstream: str
@@ -131,21 +133,21 @@
     own_sent_count: int
 
 
-class RequestTurns:
+class UpstreamRateLimiter:
     """The turns of one host at upstreams that named a rate."""
 
     def __init__(
         self,
         rates: RequestRates,
-        standpoint: Standpoint,
+        local_view: LocalView,
         heard_ratio: Callable[[float], float],
-        rule: SenderRule | None = None,
+        rule: SenderCountPolicy | None = None,
     ) -> None:
         """``heard_ratio`` returns the part of the fleet that is heard here."""
         self.rates = rates
-        self.standpoint = standpoint
+        self.local_view = local_view
         self._heard_ratio = heard_ratio
-        self._rule = rule or FewSenders()
+        self._rule = rule or SendersByRate()
         self._turns: dict[str, _Turns] = {}
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
@@ -170,13 +172,13 @@
         turn = self._turn(upstream, now_seconds)
         return turn.requests_per_second if turn else 0.0
 
-    def state(self, upstream: Upstream, now_seconds: float) -> TurnState | None:
+    def state(self, upstream: Upstream, now_seconds: float) -> UpstreamRateState | None:
         """Return how an upstream's rate stands; none if it names none."""
         turn = self._turn(upstream, now_seconds)
         rate = self.rates.rate(upstream.name, upstream.life_incarnation, now_seconds)
         if turn is None or rate is None:
             return None
-        return TurnState(
+        return UpstreamRateState(
             upstream.name,
             rate,
             turn.requests_per_second,
@@ -194,7 +196,7 @@
         rate = max(rate, TRIAL_PER_SECOND)
         senders_count = self._rule.senders_count(rate)
         key = f"{upstream.name}/{incarnation}".encode()
-        ratio = part_ratio(self.standpoint, key, senders_count)
+        ratio = part_ratio(self.local_view, key, senders_count)
         own_rate = rate * ratio * self._heard_ratio(now_seconds)
         turn = self._turns.get(upstream.name)
         if turn is None:
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -11,7 +11,13 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from rampwick_policy import Dispatch, LimitState, Scheduler, Suspicion, TurnState
+from rampwick_policy import (
+    Dispatch,
+    LimitState,
+    Scheduler,
+    Suspicion,
+    UpstreamRateState,
+)
 
 from ._life import Life
 from ._logs import PartLogger
@@ -224,7 +230,7 @@
     return scheduler.limits.states(now_seconds)
 
 
-def _read_turns(scheduler: Scheduler, now_seconds: float) -> list[TurnState]:
+def _read_turns(scheduler: Scheduler, now_seconds: float) -> list[UpstreamRateState]:
     """Return the rates that upstreams name, with what of them is this host's."""
     turns = scheduler.pool.turns
     states = [turns.state(upstream, now_seconds) for upstream in scheduler.upstreams]
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -172,7 +172,7 @@
         read_clock = self.clocks.monotonic
         if integration is None:
             self.configuration.source = TreeStoreSource(
-                TreeStore(api), settings, self.gossip.roles.neighbours, read_clock
+                TreeStore(api), settings, self.gossip.roles.live_peers, read_clock
             )
             interval_seconds = settings.platform.host_list_interval_seconds
             self.hosts.source = PolledHosts(api, interval_seconds)
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -20,13 +20,13 @@
     Departures,
     Dispatch,
     Event,
-    Notice,
     Obstacle,
     PeerView,
     Refuse,
     RequestArrived,
     RequestRates,
     Scheduler,
+    StateChange,
     Suspects,
     Tick,
 )
@@ -202,10 +202,10 @@
             event.workspace, now_seconds
         ):
             self.note_burst()
-        for notice in self._scheduler.pool.notices.take():
+        for notice in self._scheduler.pool.state_changes.take():
             self._tell(notice)
 
-    def _tell(self, notice: Notice) -> None:
+    def _tell(self, notice: StateChange) -> None:
         log.info(
             f"{notice.kind} is {_first_word(notice.after)}",
             name=notice.name,
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -18,7 +18,7 @@
 )
 from rampwick_policy import (
     ConfigurationFollower,
-    Neighbours,
+    LivePeers,
     ReadTree,
     RestoredTrees,
     is_watcher,
@@ -51,7 +51,7 @@
         self,
         store: TreeStore,
         settings: Settings,
-        list_neighbours: Callable[[], Neighbours],
+        list_neighbours: Callable[[], LivePeers],
         read_clock: Callable[[], float],
     ) -> None:
         self._store = store
--- a/packages/rampwick-router/src/rampwick_router/control/_steward.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_steward.py
@@ -14,7 +14,7 @@
     move_on_at_grid,
 )
 from rampwick_policy import (
-    AskReport,
+    FetchReport,
     LeaseWatcher,
     LoadOrdered,
     LoadReported,
@@ -224,7 +224,7 @@
             entry = entries.get(step.runner)
             if entry is None:
                 continue
-            if isinstance(step, AskReport):
+            if isinstance(step, FetchReport):
                 tasks.start_soon(self._ask, entry)
             else:
                 planned.append((entry, step))
@@ -251,7 +251,7 @@
             report = await self._control.probe(entry)
         except AttemptError as error:
             log.problem("runner does not report", runner=entry.name, error=str(error))
-            self._rollout.note_silence(entry.name, self._read_clock())
+            self._rollout.note_unresponsive(entry.name, self._read_clock())
             self.wake()
             return
         if report is None:
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
@@ -57,7 +57,7 @@
         """What its cached entries belong to; none for plain services."""
         if not self.call.parts:
             return None
-        return Scope(self.workspace.cache_wall, self.call.model)
+        return Scope(self.workspace.cache_domain, self.call.model)
 
     @property
     def chain(self) -> PrefixChain | None:
--- a/packages/rampwick-router/src/rampwick_router/peers/_ages.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_ages.py
@@ -46,7 +46,7 @@
     def _reader_link(self) -> Link | None:
         links = (
             self._links.link_to(member.name)
-            for member in self._roles.table.first_of_group(self._roles.live_names)
+            for member in self._roles.table.ranked_group_peers(self._roles.live_names)
         )
         known = [link for link in links if link is not None]
         if not known:
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -99,7 +99,7 @@
         """Return the hall's relay in a large fleet, if there is a link to it."""
         if not self._table.is_large:
             return None
-        first = next(iter(self._table.first_of_group(live)), None)
+        first = next(iter(self._table.ranked_group_peers(live)), None)
         if first is None or self._links.link_to(first.name) is None:
             return None
         return first.name
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -15,8 +15,8 @@
 from rampwick_policy import (
     CrashUpdateReceived,
     LeavingUpdateReceived,
+    LivePeers,
     Member,
-    Neighbours,
     NeighboursSeen,
     PeerGone,
     PeerSummaryReceived,
@@ -141,7 +141,7 @@
         )
         #: Whether the fleet is large, and whether this host is one of its relays.
         self._standing = (False, False)
-        self._seen = NeighboursSeen(Neighbours(), is_leaving=False)
+        self._seen = NeighboursSeen(LivePeers(), is_leaving=False)
         self._began_seconds = read_clock()
         #: Addresses known from the settings.
         self.seeds = frozenset(settings.peers.seeds)
@@ -225,7 +225,7 @@
 
     def _note_neighbours(self) -> None:
         """Tell the scheduler whom this host hears, by which senders are chosen."""
-        seen = NeighboursSeen(self.roles.neighbours(), self.summaries.is_leaving)
+        seen = NeighboursSeen(self.roles.live_peers(), self.summaries.is_leaving)
         if seen != self._seen:
             self._seen = seen
             self._scheduler.post(seen)
@@ -265,7 +265,7 @@
         if not self.table.is_in_group(peer.hall):
             # Its relay speaks for it.
             return
-        self._listener.note_word(peer.name, self._read_clock())
+        self._listener.note_message(peer.name, self._read_clock())
         self._sync.compare(link, summary)
         if self.table.is_large and not self.roles.is_relay_candidate:
             # The relay speaks for it, too.
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rampwick_policy import Member, MemberTable, Neighbours, RelayListener
+from rampwick_policy import LivePeers, Member, MemberTable, RelayListener
 from rampwick_schema import Shown
 
 from .._scheduler_task import SchedulerTask
@@ -66,51 +66,53 @@
         now_seconds = self._read_clock()
         if not self.table.is_large:
             return self._scheduler.live_names(now_seconds)
-        heard = self.neighbours().heard
+        heard = self.live_peers().heard
         relays = self.table.relays(self.table.own.hall, now_seconds)
         names = heard | {member.name for member in relays}
         return {
-            name for name in names if not self.table.is_passed_over(name, now_seconds)
+            name
+            for name in names
+            if not self.table.is_marked_unreachable(name, now_seconds)
         }
 
     @property
     def staying_names(self) -> set[str]:
         """Names of those of them that are not leaving."""
         if self.table.is_large:
-            near = self.neighbours()
+            near = self.live_peers()
             return self.live_names - (near.heard - near.staying)
         views = self._scheduler.peer_views(self._read_clock())
         return {view.name for view in views if not view.summary.is_leaving}
 
-    def neighbours(self) -> Neighbours:
+    def live_peers(self) -> LivePeers:
         """Return whom this host hears, by itself or through its relay."""
         now_seconds = self._read_clock()
         if self.table.is_large and not self.is_relay_candidate:
-            return self.listener.neighbours(now_seconds)
+            return self.listener.live_peers(now_seconds)
         views = self._scheduler.peer_views(now_seconds)
         own_hall = self.table.own.hall
         mates = [view for view in views if view.hall == own_hall]
-        return Neighbours(
+        return LivePeers(
             frozenset(view.name for view in mates),
             frozenset(view.name for view in mates if not view.summary.is_leaving),
             frozenset(view.hall for view in views),
         )
 
-    def neighbours_at_work(self) -> Neighbours:
+    def neighbours_at_work(self) -> LivePeers:
         """Return among whom the reading of caches is shared.
 
         In the first moments of a large fleet those count that are known and not heard
         yet. Hosts that come back together would each take themselves for alone and ask
         all caches for their histories, and weak links would carry nothing else.
         """
-        near = self.neighbours()
+        near = self.live_peers()
         age_seconds = self._read_clock() - self._began_seconds
         if near.halls or not self.table.is_large or age_seconds > UNHEARD_SECONDS:
             return near
         members = [member for member in self.table if member != self.table.own]
         names = {member.name for member in members if self.is_of_group(member)}
         halls = {member.hall for member in members}
-        return Neighbours(frozenset(names), frozenset(names), frozenset(halls))
+        return LivePeers(frozenset(names), frozenset(names), frozenset(halls))
 
     def is_reader(self) -> bool:
         """Return whether this host is to read the platform for its group."""
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -10,9 +10,9 @@
 import attrs
 
 from rampwick_policy import (
+    BurstDetector,
     ConfigurationFollower,
-    SummaryDigest,
-    SurgeGate,
+    SummaryAggregator,
     sum_limits,
     without_limits,
 )
@@ -48,9 +48,9 @@
         self._sync = sync
         self._read_clock = read_clock
         #: What this hall's hosts say for other halls, and all hosts for this hall.
-        self._summary_aggregator = SummaryDigest()
-        self._fleet_digest = SummaryDigest()
-        self._burst_detector = SurgeGate()
+        self._summary_aggregator = SummaryAggregator()
+        self._fleet_digest = SummaryAggregator()
+        self._burst_detector = BurstDetector()
         self._own: Summary | None = None
         self._sequence = 0
         #: Whether peers are told that this host takes no new requests.
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -10,8 +10,8 @@
     CacheChanges,
     CacheSeen,
     Life,
+    LivePeers,
     Member,
-    Neighbours,
     SaltBook,
     Scheduler,
     Scope,
@@ -133,7 +133,7 @@
         dialect: CacheDialect,
         salts: SaltBook,
         notify_peers: Callable[[CacheSeen], None],
-        list_neighbours: Callable[[], Neighbours],
+        list_neighbours: Callable[[], LivePeers],
     ) -> None:
         self._own = own
         self._scheduler = scheduler
@@ -321,7 +321,7 @@
 
 def _list_scopes(scheduler: Scheduler) -> set[Scope]:
     models = {upstream.model for upstream in scheduler.upstreams if upstream.model}
-    walls = {item.cache_wall for item in scheduler.admission.workspaces.values()}
+    walls = {item.cache_domain for item in scheduler.admission.workspaces.values()}
     return {Scope(wall, model) for wall in walls for model in models}
 
 
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -130,7 +130,7 @@
         for name, is_isolated in isolated.items():
             nodes[f"/{name}"] = Node(is_workspace=True, is_isolated=is_isolated)
         view = make_view(nodes=nodes)
-        return {path: item.cache_wall for path, item in view.workspaces.items()}
+        return {path: item.cache_domain for path, item in view.workspaces.items()}
 
     def test_isolated_workspaces_share_with_nobody(self):
         walls = self.walls(a=False, b=False, c=True, d=True)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -199,7 +199,7 @@
         self.assertIsNone(view.routes.service("kept"))
         self.assertEqual(0, view.workspaces["/t1"].priority_rank)
         self.assertNotEqual(
-            view.workspaces["/t1"].cache_wall, view.workspaces["/t2"].cache_wall
+            view.workspaces["/t1"].cache_domain, view.workspaces["/t2"].cache_domain
         )
         self.assertEqual(15.0, view.routes.routing.caller_limits.idle_timeout_seconds)
 
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -146,7 +146,7 @@
     def __init__(self):
         self.log = []
         self.pool = self
-        self.notices = self
+        self.state_changes = self
         self.task = None
 
     def take(self):
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -10,8 +10,8 @@
     CacheSeen,
     HostListRead,
     Life,
+    LivePeers,
     Member,
-    Neighbours,
     PeerSummaryReceived,
     PromptPart,
     RequestArrived,
@@ -148,7 +148,7 @@
         for name, hall in hosts:
             own = Member(name, hall, "")
             mates = frozenset(other for other, its in hosts if its == hall) - {name}
-            near = Neighbours(mates, mates, frozenset(its for _, its in hosts))
+            near = LivePeers(mates, mates, frozenset(its for _, its in hosts))
             if is_cache_reader(own, "runner", upstream_hall, near):
                 found.append((name, hall))
         return found
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -18,7 +18,7 @@
 from rampwick_policy import (
     Dispatch,
     Health,
-    Neighbours,
+    LivePeers,
     NeighboursSeen,
     ProbeFailed,
     RateLimitUpdateReceived,
@@ -33,14 +33,14 @@
     RateObservation,
     RequestRates,
 )
-from rampwick_policy._state_changes import NoticeBook
+from rampwick_policy._state_changes import StateChangeTracker
 from rampwick_policy._upstream import Upstream
 from rampwick_policy._upstream_rate_limiter import (
     MOST_SAVED_COUNT,
     TRIAL_PER_SECOND,
-    FewSenders,
-    RequestTurns,
-    Standpoint,
+    LocalView,
+    SendersByRate,
+    UpstreamRateLimiter,
     part_ratio,
 )
 from rampwick_schema import HostEntry
@@ -176,14 +176,14 @@
         mates = frozenset(
             other for other in fleet if fleet[other] == hall and other != name
         )
-        yield Standpoint(name, hall, Neighbours(mates, mates, halls))
+        yield LocalView(name, hall, LivePeers(mates, mates, halls))
 
 
-def make_turns(standpoint, rate, at=0.0, heard_ratio=1.0):
+def make_turns(local_view, rate, at=0.0, heard_ratio=1.0):
     """Return the turns of a host that knows the rate of one upstream."""
-    rates = RequestRates(NoticeBook())
+    rates = RequestRates(StateChangeTracker())
     rates.take("u", RateObservation("", rate, at, at), "test")
-    return RequestTurns(rates, standpoint, lambda now_seconds: heard_ratio)
+    return UpstreamRateLimiter(rates, local_view, lambda now_seconds: heard_ratio)
 
 
 class SendersTest(TestCase):
@@ -191,7 +191,7 @@
         for hosts_count, halls_count in ((1, 1), (6, 4), (90, 4), (300, 6)):
             fleet = make_fleet(hosts_count, halls_count)
             for rate in (0.1, 0.2, 1.8, 7.0, 50.0, 1e6):
-                senders_count = FewSenders().senders_count(rate)
+                senders_count = SendersByRate().senders_count(rate)
                 ratios = [
                     part_ratio(item, b"u/1", senders_count)
                     for item in standpoints(fleet)
@@ -243,7 +243,7 @@
                 self.assertGreater(len(times), 0.6 * rate * 12.0 - 1.0)
 
     def test_one_that_nobody_asked_for_a_while_has_two_requests_to_send(self):
-        turns = make_turns(Standpoint("e0", "h0"), 1.0)
+        turns = make_turns(LocalView("e0", "h0"), 1.0)
         upstream = make_upstream()
         self.assertFalse(turns.may_send(upstream, 0.0))
         times = []
@@ -255,24 +255,24 @@
         self.assertLessEqual(most_in_window(times), 4 + MOST_SAVED_COUNT)
 
     def test_a_new_sender_waits_for_a_turn_of_its_own(self):
-        near = Neighbours(frozenset(), frozenset(), frozenset({"h1"}))
-        turns = make_turns(Standpoint("e0", "h0", near), 2.0)
+        near = LivePeers(frozenset(), frozenset(), frozenset({"h1"}))
+        turns = make_turns(LocalView("e0", "h0", near), 2.0)
         upstream = make_upstream()
         is_sender = turns.own_rate(upstream, 0.0) > 0.0
-        turns.standpoint = Standpoint("e0", "h0", near, is_leaving=is_sender)
+        turns.local_view = LocalView("e0", "h0", near, is_leaving=is_sender)
         self.assertTrue(is_sender)
         self.assertFalse(turns.may_send(upstream, 5.0))
-        turns.standpoint = Standpoint("e0", "h0")
+        turns.local_view = LocalView("e0", "h0")
         self.assertFalse(turns.may_send(upstream, 5.0))
         self.assertFalse(turns.may_send(upstream, 5.4))
         self.assertTrue(turns.may_send(upstream, 5.5))
 
     def test_hosts_that_are_cut_off_keep_to_their_part(self):
-        turns = make_turns(Standpoint("e0", "h0"), 2.0, heard_ratio=0.25)
+        turns = make_turns(LocalView("e0", "h0"), 2.0, heard_ratio=0.25)
         self.assertEqual(0.5, turns.own_rate(make_upstream(), 0.0))
 
     def test_one_that_takes_nothing_is_tried_now_and_then(self):
-        turns = make_turns(Standpoint("e0", "h0"), 0.0)
+        turns = make_turns(LocalView("e0", "h0"), 0.0)
         upstream = make_upstream()
         pause_seconds = 1.0 / TRIAL_PER_SECOND
         self.assertFalse(turns.may_send(upstream, 0.0))
@@ -280,7 +280,7 @@
         self.assertTrue(turns.may_send(upstream, pause_seconds))
 
     def test_a_lower_rate_holds_at_once_and_a_higher_one_too(self):
-        turns = make_turns(Standpoint("e0", "h0"), 10.0)
+        turns = make_turns(LocalView("e0", "h0"), 10.0)
         upstream = make_upstream()
         self.assertFalse(turns.may_send(upstream, 0.0))
         self.assertTrue(turns.may_send(upstream, 1.0))
@@ -303,13 +303,13 @@
     def setUp(self):
         super().setUp()
         self.woken = []
-        self.one = RequestRates(NoticeBook())
+        self.one = RequestRates(StateChangeTracker())
         self.one.on_update = lambda: self.woken.append(True)
-        self.two = RequestRates(NoticeBook())
+        self.two = RequestRates(StateChangeTracker())
 
     def answer(self, rate, at, asked=None):
         asked = at if asked is None else asked
-        self.one.take_answer("u", RateObservation("1", rate, asked, at), at)
+        self.one.record_answer("u", RateObservation("1", rate, asked, at), at)
 
     def test_it_is_told_at_once_and_again_for_a_while(self):
         self.answer(1.8, 1.0)
@@ -426,9 +426,9 @@
 
     def test_a_host_that_is_no_sender_refuses_all(self):
         session = Session(runners=1, slots=8)
-        near = Neighbours(frozenset({"e9"}), frozenset({"e9"}), frozenset({"trnava"}))
+        near = LivePeers(frozenset({"e9"}), frozenset({"e9"}), frozenset({"trnava"}))
         session.do(0.0, NeighboursSeen(near, is_leaving=True))
-        rates = RequestRates(NoticeBook())
+        rates = RequestRates(StateChangeTracker())
         rates.take("lektor-1", RateObservation("one", 1.0, 0.0, 0.0), "test")
         session.do(0.0, RateLimitUpdateReceived(rates.initial_state(0.0)))
         (refusal,) = session.arrive(0.1, "r0", latency_target_seconds=2.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,13 +12,13 @@
     Outcome,
     RequestArrived,
     RequestCancelled,
-    SummaryDigest,
+    SummaryAggregator,
     Tick,
     TreeView,
     without,
 )
-from rampwick_policy._limit_tracker import LimitBook
-from rampwick_policy._sliding_window import SentWindow
+from rampwick_policy._limit_tracker import LimitTracker
+from rampwick_policy._sliding_window import SlidingWindow
 from rampwick_schema import LimitUsage, Node, QuotaSettings, Summary, Tree
 
 from .test_scheduler import Session
@@ -29,7 +29,7 @@
 
 class SentWindowTest(TestCase):
     def test_what_was_sent_counts_for_the_whole_window(self):
-        window = SentWindow(8.0)
+        window = SlidingWindow(8.0)
         window.add(100.0, 1.0)
         window.add(50.0, 5.0)
         self.assertEqual(150.0, window.total(9.0))
@@ -37,7 +37,7 @@
         self.assertEqual(0.0, window.total(20.0))
 
     def test_what_leaves_next_is_told(self):
-        window = SentWindow(8.0)
+        window = SlidingWindow(8.0)
         window.add(100.0, 1.0)
         window.add(50.0, 1.9)
         self.assertEqual(0.0, window.leaving(1.0, 7.5))
@@ -45,7 +45,7 @@
         self.assertEqual(150.0, window.leaving(1.0, 9.2))
 
     def test_what_is_taken_back_leaves_at_once_and_once(self):
-        window = SentWindow(8.0)
+        window = SlidingWindow(8.0)
         window.add(100.0, 1.0)
         window.add(50.0, 2.0)
         window.take_back(100.0, 1.0)
@@ -100,11 +100,11 @@
 
     def test_the_log_says_when_a_limit_begins_and_ends_to_bind(self):
         session = self.session()
-        notices = session.scheduler.pool.notices
+        state_changes = session.scheduler.pool.state_changes
 
         def told(at):
             session.do(at, Tick())
-            return [item.after for item in notices.take() if item.kind == "limit"]
+            return [item.after for item in state_changes.take() if item.kind == "limit"]
 
         self.assertEqual([], told(LATER_SECONDS))
         for number in range(3):
@@ -181,7 +181,7 @@
 
     def part(self, *heard):
         """Return the part after so many hosts were heard, each for a second."""
-        book = LimitBook(QuotaSettings(), "h")
+        book = LimitTracker(QuotaSettings(), "h")
         at_seconds = 0.0
         for count in heard:
             for _ in range(10):
@@ -204,7 +204,7 @@
         self.assertEqual(1.0, self.part(100, *[25] * 12))
 
     def test_one_that_hears_nobody_yet_is_not_the_whole_fleet(self):
-        book = LimitBook(QuotaSettings(), "h")
+        book = LimitTracker(QuotaSettings(), "h")
         book.note_time(1, 0.1)
         self.assertEqual(1.0, book.part_ratio(0.1))
         book.note_members(90, 0.2)
@@ -222,7 +222,7 @@
     """Who waits a moment in a fleet that has just come back as a whole."""
 
     def hold(self, at_seconds, known_seconds=0.0, **limit):
-        book = LimitBook(QuotaSettings(), "h")
+        book = LimitTracker(QuotaSettings(), "h")
         view = TreeView(Tree(1, {"/": Node(), "/w": Node(is_workspace=True, **limit)}))
         book.apply(view.workspaces, 100.0)
         summary = Summary(
@@ -260,7 +260,7 @@
 
     def test_sums_of_a_hall_hold_all_and_a_host_takes_its_own_out(self):
         one, two = self.summary(100, 10, 3.0), self.summary(50, 5, 70.0)
-        total = SummaryDigest().merge([one, two], 1)
+        total = SummaryAggregator().merge([one, two], 1)
         self.assertEqual([LimitUsage("/w", 150, 0, 15)], total.limits)
         self.assertEqual(70.0, total.limits_known_seconds)
         self.assertEqual([LimitUsage("/w", 50, 0, 5)], without(total, one).limits)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -352,7 +352,7 @@
     OLD, NEW = WeightsTarget("m", 1), WeightsTarget("m", 2)
 
     def weights(self):
-        return TargetWeights(guessed_age_seconds=10.0)
+        return TargetWeights(assumed_age_seconds=10.0)
 
     def state(self, weights, now_seconds):
         """Return for how long version 1 has been outdated, and what is told of it."""
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 from testtools import TestCase
 
-from rampwick_policy import Member, RelayListener, SummaryDigest, without
+from rampwick_policy import Member, RelayListener, SummaryAggregator, without
 from rampwick_schema import (
     Beat,
     FleetSummary,
@@ -63,9 +63,9 @@
 class WithoutTest(TestCase):
     @given(words(), words())
     def test_a_sum_without_a_part_is_what_the_others_say(self, own, others):
-        total = SummaryDigest().merge([own, others], 9)
+        total = SummaryAggregator().merge([own, others], 9)
         rest = without(total, own)
-        self.assertEqual(facts(SummaryDigest().merge([others], 9)), facts(rest))
+        self.assertEqual(facts(SummaryAggregator().merge([others], 9)), facts(rest))
         self.assertEqual(1, rest.hosts_count)
 
 
@@ -118,17 +118,17 @@
 
     def test_hosts_that_were_named_count_for_a_while(self):
         self.take("first", told(summary(1), leaving=("mate",)), 10.0)
-        near = self.listener.neighbours(11.0)
+        near = self.listener.live_peers(11.0)
         self.assertEqual({"mate"}, near.heard)
         self.assertEqual(frozenset(), near.staying)
         self.assertEqual({"h", "k"}, near.halls)
-        self.assertEqual(frozenset(), self.listener.neighbours(13.5).heard)
+        self.assertEqual(frozenset(), self.listener.live_peers(13.5).heard)
 
     def test_a_relay_that_should_speak_is_silent_after_a_second(self):
         self.assertFalse(self.listener.is_silent(RELAYS, 10.0))
         self.assertFalse(self.listener.is_silent(RELAYS, 10.9))
         self.assertTrue(self.listener.is_silent(RELAYS, 11.1))
-        self.listener.note_word("first", 11.1)
+        self.listener.note_message("first", 11.1)
         self.assertFalse(self.listener.is_silent(RELAYS, 11.2))
 
     def test_the_next_relay_has_its_own_time_to_speak(self):
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -4,7 +4,7 @@
 from testtools import TestCase
 
 from rampwick_policy._request_rates import STALE_SECONDS, RateObservation, RequestRates
-from rampwick_policy._state_changes import NoticeBook
+from rampwick_policy._state_changes import StateChangeTracker
 
 from .scripted import run_routed
 
@@ -16,8 +16,8 @@
 
     def setUp(self):
         super().setUp()
-        self.notices = NoticeBook()
-        self.rates = RequestRates(self.notices)
+        self.state_changes = StateChangeTracker()
+        self.rates = RequestRates(self.state_changes)
 
     def take(self, rate, asked, heard, life="1"):
         return self.rates.take("u", RateObservation(life, rate, asked, heard), "test")
@@ -78,7 +78,7 @@
                 "limited to 0.5 requests a second",
                 "open",
             ],
-            [notice.after for notice in self.notices.take()],
+            [notice.after for notice in self.state_changes.take()],
         )
 
 
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from rampwick_platform import TreeStore
-from rampwick_policy import ConfigurationFollower, ConflictError, Neighbours, Scheduler
+from rampwick_policy import ConfigurationFollower, ConflictError, LivePeers, Scheduler
 from rampwick_policy._restored_trees import COPY_HOLD_SECONDS, REWRITE_HOLD_SECONDS
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.control._configuration import ConfigurationTask
@@ -30,7 +30,7 @@
                 self.follower, scheduler, lambda: self.clock.now
             )
             self.source = TreeStoreSource(
-                self.trees, SETTINGS, Neighbours, lambda: self.clock.now
+                self.trees, SETTINGS, LivePeers, lambda: self.clock.now
             )
             for path in ("/a", "/b"):
                 await self.write(path)
--- a/tests/test_restored_trees.py
+++ b/tests/test_restored_trees.py
@@ -11,7 +11,7 @@
 from rampwick_policy import (
     ConfigurationFollower,
     Scheduler,
-    SummaryDigest,
+    SummaryAggregator,
     TreeVersion,
 )
 from rampwick_policy._restored_trees import COPY_HOLD_SECONDS, REWRITE_HOLD_SECONDS
@@ -219,7 +219,7 @@
             return Summary(1, revision, 1, False, [], [], [], store_era=store_era)
 
         summaries = [tell(22, 0), tell(20, 1), tell(21, 0)]
-        merged = SummaryDigest().merge(summaries, 1)
+        merged = SummaryAggregator().merge(summaries, 1)
         self.assertEqual((20, 1), (merged.revision, merged.store_era))
 
 
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -7,7 +7,13 @@
 from testtools import TestCase
 
 from rampwick_platform import on_grid
-from rampwick_policy import Member, MemberTable, SummaryDigest, diff_hosts, patch_hosts
+from rampwick_policy import (
+    Member,
+    MemberTable,
+    SummaryAggregator,
+    diff_hosts,
+    patch_hosts,
+)
 from rampwick_policy._membership import Membership
 from rampwick_router.peers._member_updates import MemberUpdates
 from rampwick_schema import (
@@ -170,7 +176,7 @@
             waiting=[WaitingCount("/a", "s", 2), WaitingCount("/b", "t", 2)],
             down=["x", "y"],
         )
-        merged = SummaryDigest().merge([one, two], 7)
+        merged = SummaryAggregator().merge([one, two], 7)
         self.assertEqual(
             [
                 UpstreamUsage("r", "one/1", 5, 150),
@@ -189,7 +195,7 @@
         )
 
     def test_placements_are_told_once_and_bounded(self):
-        news = SummaryDigest()
+        news = SummaryAggregator()
         placed = [PlacedPrefix("r", "one/1", [b"12345678"], [5])]
         for number in range(1000):
             news.take(summary(number, placed=placed))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from rampwick_policy import (
-    AskReport,
+    FetchReport,
     HostListRead,
     LeaseWatcher,
     LoadOrdered,
@@ -52,7 +52,7 @@
     def step(self, now):
         runners = [state(name, version) for name, version in self.versions.items()]
         for step in self.rollout.plan(runners, TARGETS, now):
-            if isinstance(step, AskReport):
+            if isinstance(step, FetchReport):
                 self.answer(step.runner, now)
             else:
                 self.take(step, now)
@@ -82,7 +82,7 @@
     def test_a_runner_is_asked_before_it_is_told(self):
         rollout = Rollout(1)
         (ask,) = rollout.plan([state("r")], TARGETS, 1.0)
-        self.assertEqual(AskReport("r", "r:1"), ask)
+        self.assertEqual(FetchReport("r", "r:1"), ask)
         rollout.note_report("r", report(orders=3), 1.01)
         (planned,) = rollout.plan([state("r")], TARGETS, 1.02)
         self.assertEqual(3, planned.order.expected_orders_count)
@@ -93,7 +93,7 @@
         rollout.plan([state("r")], TARGETS, 1.0)
         rollout.note_report("r", report(orders=3), 1.01)
         (again,) = rollout.plan([state("r")], TARGETS, 2.0)
-        self.assertIsInstance(again, AskReport)
+        self.assertIsInstance(again, FetchReport)
 
     def test_all_runners_come_to_the_target_two_of_five_at_a_time(self):
         steward = Steward([f"r{number}" for number in range(5)])
@@ -113,7 +113,7 @@
         rollout.note_result("r", OrderResult.LOST)
         self.assertEqual([], rollout.plan([state("r")], TARGETS, 1.1))
         (look,) = rollout.plan([state("r")], TARGETS, 1.7)
-        self.assertIsInstance(look, AskReport)
+        self.assertIsInstance(look, FetchReport)
         # Too early to tell: reports lag.
         rollout.note_report("r", report(), 1.7)
         self.assertIn("r", rollout.loads())
@@ -128,7 +128,7 @@
         rollout.note_sent("r", 2, 1.0)
         rollout.note_result("r", OrderResult.CONFLICT)
         (look,) = rollout.plan([state("r")], TARGETS, 1.5)
-        self.assertIsInstance(look, AskReport)
+        self.assertIsInstance(look, FetchReport)
 
     def test_runners_that_serve_nothing_are_loaded_all_the_same(self):
         # All have outdated weights for too long to be given work.
@@ -145,7 +145,7 @@
         now = 1.0
         for result in results:
             for step in rollout.plan(runners, TARGETS, now):
-                if isinstance(step, AskReport):
+                if isinstance(step, FetchReport):
                     rollout.note_report(step.runner, report(), now)
                 else:
                     rollout.note_sent(step.runner, 2, now)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -20,9 +20,9 @@
     Dispatch,
     HostListRead,
     Life,
+    LivePeers,
     Member,
     MemberTable,
-    Neighbours,
     SaltBook,
     Scheduler,
     Scope,
@@ -262,7 +262,7 @@
         cache = cache or PagedCache(pages)
         own = Member("e", "h", "e:1")
         reader = CacheReaderTask(
-            own, self, None, cache, SaltBook("s"), self.told.append, Neighbours
+            own, self, None, cache, SaltBook("s"), self.told.append, LivePeers
         )
         source = Source("r", "h", "r:1", "r")
         reader._knows_any = True
@@ -371,7 +371,7 @@
         ]
         scheduler.handle(HostListRead(HostList(1, entries)), 0.0)
         reader = CacheReaderTask(
-            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
+            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, LivePeers
         )
         reader._list_sources(scheduler, 0.0)
         found = reader._list_sources(scheduler, at_seconds)
@@ -385,12 +385,12 @@
 
     def test_looks_are_frequent_only_until_caches_are_known(self):
         reader = CacheReaderTask(
-            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
+            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, LivePeers
         )
         self.assertEqual(FIRST_ROLE_SECONDS, reader._pause_seconds(None, 10.0))
         self.assertEqual(ROLE_SECONDS, reader._pause_seconds(None, 14.0))
         reader = CacheReaderTask(
-            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
+            Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, LivePeers
         )
         reader._knows_any = True
         self.assertEqual(ROLE_SECONDS, reader._pause_seconds(None, 10.0))
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -335,15 +335,15 @@
         self.assertEqual(4, peers.load_of("r", "life").running_count)
         self.assertEqual(["a"], [view.name for view in peers.expire(1.5)])
         self.assertEqual(0, peers.load_of("r", "life").running_count)
-        self.assertFalse(peers.hears_anyone(1.5))
+        self.assertFalse(peers.has_live_peers(1.5))
 
     def test_host_that_hears_nobody_keeps_to_its_part(self):
         peers = Membership(1.0)
         for name in "abc":
             peers.hear(name, "h", 1, summary(1), 0.0)
-        self.assertEqual(1.0, peers.own_part_ratio(0.5))
+        self.assertEqual(1.0, peers.own_share_ratio(0.5))
         peers.expire(2.0)
-        self.assertEqual(0.25, peers.own_part_ratio(2.0))
+        self.assertEqual(0.25, peers.own_share_ratio(2.0))
 
     def test_flapping_list_ends_with_its_newest_version(self):
         table = UpstreamTable("h", RetrySettings(), PlacementSettings(), 1.0)
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -6,16 +6,16 @@
 from testtools import TestCase
 
 from rampwick_policy import (
+    BurstDetector,
     LifeName,
     Member,
     RequestArrived,
     Scheduler,
-    SurgeGate,
     Suspects,
     TreeInForce,
     TreeView,
 )
-from rampwick_policy._state_changes import NoticeBook
+from rampwick_policy._state_changes import StateChangeTracker
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._urgent_updates import UrgentUpdates
 from rampwick_schema import CrashUpdate, LimitUsage, Node, Tree, parse_settings
@@ -68,7 +68,7 @@
         self.assertEqual([("own", True), ("fleet", False)], both)
 
     def test_a_halls_surge_is_news_once(self):
-        gate = SurgeGate()
+        gate = BurstDetector()
         usage = LimitUsage("/w", 0, 0, 1000)
         self.assertTrue(gate.has_grown([usage]))
         gate.note_told([usage])
@@ -138,7 +138,7 @@
         )
 
     def test_each_fact_reaches_the_news(self):
-        suspects = Suspects(NoticeBook())
+        suspects = Suspects(StateChangeTracker())
         for number in range(3):
             life = LifeName("u", str(number))
             suspects.book.note_end(life, b"f" * 16, "/w", 1.0, 1.0)
