--- a/measure/_limit_ways.py
+++ b/measure/_limit_ways.py
@@ -84,7 +84,7 @@
         """Return whether a request may go."""
         arrival = self._arrival(tokens, now_seconds)
         arrival = attrs.evolve(arrival, was_held=was_held)
-        return not isinstance(self.book.ask(arrival, now_seconds), OverLimit)
+        return not isinstance(self.book.admit(arrival, now_seconds), OverLimit)
 
     def _arrival(self, tokens: int, now_seconds: float) -> RequestArrived:
         deadline_seconds = now_seconds + 9.0
@@ -108,7 +108,7 @@
             [],
             [],
             [],
-            limits=self.book.words(now_seconds),
+            limits=self.book.usages(now_seconds),
             limits_known_seconds=self.book.known_seconds(now_seconds),
         )
 
@@ -116,7 +116,7 @@
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
         """Take what is told it."""
-        self.book.hear(peer, summary, age_seconds, now_seconds)
+        self.book.receive_summary(peer, summary, age_seconds, now_seconds)
 
     def note_time(self, hosts_count: int, now_seconds: float) -> None:
         """Note the present time."""
--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -11,7 +11,12 @@
 
 import attrs
 
-from rampwick_policy import BurstDetector, SummaryAggregator, sum_limits, without
+from rampwick_policy import (
+    BurstDetector,
+    SummaryAggregator,
+    subtract_summary,
+    sum_limits,
+)
 from rampwick_schema import Shown, Summary
 
 from ._limit_patterns import LimitPattern
@@ -202,7 +207,7 @@
         for host in self.hosts:
             if host.hall == hall and not host.is_off and host.told is not None:
                 age_seconds = now_seconds - host.told_at_seconds
-                word = without(total, host.told)
+                word = subtract_summary(total, host.told)
                 host.way.hear("fleet", word, age_seconds, now_seconds)
 
     def _tell_others(self, hall: int) -> None:
@@ -213,7 +218,7 @@
         if not any(host.hall == hall and not host.is_off for host in self.hosts):
             return
         summary = SummaryAggregator().merge(self._hall(hall), 1)
-        self._burst_detector[hall].note_told(summary.limits)
+        self._burst_detector[hall].note_published(summary.limits)
         for other in range(self._pattern.halls_count):
             if other != hall and not self._is_cut(hall, other):
                 self._sums[other, hall] = (summary, self.clock.now_seconds)
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -205,7 +205,7 @@
     def _greet(self) -> None:
         for item in self._named:
             for host in self._hosts[1::2]:
-                word = host.rates.word(item.upstream.name)
+                word = host.rates.observation(item.upstream.name)
                 if word is not None:
                     self._hear(host, item.upstream.name, word)
                     break
@@ -267,7 +267,7 @@
         now_seconds = self._clock.now_seconds
         for name in {name for host in self._hosts for name in _limits(host)}:
             said = {
-                host.name: limit.word(now_seconds)
+                host.name: limit.usage(now_seconds)
                 for host in self._hosts
                 if (limit := _limits(host).get(name)) is not None
             }
@@ -286,7 +286,7 @@
             for teller, usage in said.items():
                 if teller != host.name and usage is not None:
                     self.result.messages_count += 1
-                    limit.hear(teller, usage, at_seconds)  # type: ignore[arg-type]
+                    limit.receive_usage(teller, usage, at_seconds)  # type: ignore[arg-type]
 
 
 def _limits(host: _Host) -> dict[str, FleetLimit]:
--- a/measure/_rate_ways.py
+++ b/measure/_rate_ways.py
@@ -105,4 +105,4 @@
             limit.change(node, WINDOW_SECONDS, now_seconds)
         limit.record_demand(1.0, now_seconds)
         terms = LimitParameters(WINDOW_SECONDS, OVER_RATIO - 1.0, SLACK_COUNT)
-        return limit.ask(1.0, terms, now_seconds) is None
+        return limit.admit(1.0, terms, now_seconds) is None
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -136,8 +136,8 @@
 from ._state_changes import StateChange as StateChange
 from ._summary_aggregator import (
     SummaryAggregator as SummaryAggregator,
+    subtract_summary as subtract_summary,
     sum_limits as sum_limits,
-    without as without,
     without_limits as without_limits,
 )
 from ._suspects import Suspects as Suspects
--- a/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self._told: dict[str, int] = {}
 
-    def note_told(self, limits: Iterable[LimitUsage]) -> None:
+    def note_published(self, limits: Iterable[LimitUsage]) -> None:
         """Note what others are told now."""
         self._told = {usage.path: usage.asked_tokens for usage in limits}
 
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -165,7 +165,7 @@
 
     # What peers say and are told.
 
-    def word(self, now_seconds: float) -> LimitUsage | None:
+    def usage(self, now_seconds: float) -> LimitUsage | None:
         """Return what peers are told; nothing if there is nothing to tell."""
         sent = self._sent.total(now_seconds)
         asked = self._asked_per_second(now_seconds)
@@ -175,7 +175,7 @@
         leaving = self._leaving_per_second(now_seconds)
         return LimitUsage(self.limit.path, round(sent), round(leaving), round(asked))
 
-    def hear(self, peer: str, usage: LimitUsage, at_seconds: float) -> None:
+    def receive_usage(self, peer: str, usage: LimitUsage, at_seconds: float) -> None:
         """Take what a peer says of a time."""
         self._words.take(peer, usage, at_seconds)
 
@@ -223,7 +223,7 @@
             self._asked_since_seconds = now_seconds
         self._asked.add(tokens, now_seconds)
 
-    def ask(
+    def admit(
         self, tokens: float, terms: LimitParameters, now_seconds: float
     ) -> OverLimit | None:
         """Count a request that may go now; return why it may not."""
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -87,7 +87,7 @@
             return Rejection(
                 postponed.reason, retry_after_seconds=postponed.retry_after_seconds
             )
-        counted = self._limits.ask(event, now_seconds)
+        counted = self._limits.admit(event, now_seconds)
         if isinstance(counted, OverLimit):
             return Rejection(OVER_LIMIT, counted.path, counted.retry_after_seconds)
         item.counted = counted
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -64,7 +64,9 @@
         self.record = None
         self.give_up()
 
-    def note_heard(self, holder: str, version: int, now_seconds: float) -> None:
+    def observe_announcement(
+        self, holder: str, version: int, now_seconds: float
+    ) -> None:
         """Note what a peer says of the lease that it holds."""
         self.heard_at_seconds = now_seconds
         record = LeaseRecord(holder, "", self.duration_seconds)
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -112,7 +112,7 @@
             default=0.0,
         )
 
-    def ask(
+    def admit(
         self, event: ev.RequestArrived, now_seconds: float
     ) -> OverLimit | list[LimitCharge]:
         """Count a request that arrives; return why it may not go."""
@@ -124,7 +124,7 @@
             tokens = _counted_tokens(limit, event)
             if not event.was_held:
                 known.record_demand(tokens, now_seconds)
-            over = known.ask(tokens, self._terms(now_seconds), now_seconds)
+            over = known.admit(tokens, self._terms(now_seconds), now_seconds)
             if over is not None:
                 self.refund(counted)
                 return over
@@ -156,9 +156,9 @@
 
     # What peers say and are told.
 
-    def words(self, now_seconds: float) -> list[LimitUsage]:
+    def usages(self, now_seconds: float) -> list[LimitUsage]:
         """Return what peers are told of this host's windows."""
-        words = (limit.word(now_seconds) for limit in self._limits.values())
+        words = (limit.usage(now_seconds) for limit in self._limits.values())
         return [word for word in words if word is not None]
 
     def has_surged(self, workspace: Workspace, now_seconds: float) -> bool:
@@ -178,7 +178,7 @@
         self._known_since_seconds = min(self._known_since_seconds, now_seconds)
         return now_seconds - self._known_since_seconds
 
-    def hear(
+    def receive_summary(
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
         """Take a peer's word, which is that old already."""
@@ -190,7 +190,7 @@
             limit = self._limits.get(path)
             if limit is not None:
                 usage = said.get(path) or LimitUsage(path, 0)
-                limit.hear(peer, usage, now_seconds - age_seconds)
+                limit.receive_usage(peer, usage, now_seconds - age_seconds)
         self._said[peer] = frozenset(said)
 
     def forget(self, peer: str) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_membership.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_membership.py
@@ -45,7 +45,7 @@
         #: Most hosts that were alive at once of late, this one included.
         self.known_hosts_count = 1
 
-    def hear(
+    def receive_summary(
         self,
         name: str,
         hall: str,
--- a/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
@@ -39,7 +39,7 @@
             WaitingCount(path, service, count)
             for (path, service), count in sorted(waiting.items())
         ],
-        limits=pool.limits.words(now_seconds),
+        limits=pool.limits.usages(now_seconds),
         limits_known_seconds=pool.limits.known_seconds(now_seconds),
     )
 
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -299,7 +299,7 @@
     def _on_rate_limits_received(
         self, event: ev.RateLimitUpdateReceived, now_seconds: float
     ) -> None:
-        self.rates.hear(event.update, now_seconds)
+        self.rates.receive_update(event.update, now_seconds)
 
     def _on_signalled(self, event: ev.UpstreamSignalled, now_seconds: float) -> None:
         upstream = self.upstreams.get(event.upstream)
@@ -356,13 +356,15 @@
         self.state_changes.forget("peer", event.name, "others speak for it now")
 
     def _on_peer(self, event: ev.PeerSummaryReceived, now_seconds: float) -> None:
-        is_new = self.peers.hear(
+        is_new = self.peers.receive_summary(
             event.name, event.hall, event.incarnation, event.summary, now_seconds
         )
         if is_new:
             self.state_changes.note("peer", event.name, "heard", "its summary came")
             self.ledger.hear(event.name, event.summary.workspaces, now_seconds)
-            self.limits.hear(event.name, event.summary, event.age_seconds, now_seconds)
+            self.limits.receive_summary(
+                event.name, event.summary, event.age_seconds, now_seconds
+            )
             self._hear_down(event.summary.down, now_seconds)
             for placed in event.summary.placed:
                 if not self.imports.note_reported(placed, now_seconds):
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -9,7 +9,7 @@
 from rampwick_schema import Beat, FleetSummary, Shown, Summary
 
 from ._roles import LivePeers, Member
-from ._summary_aggregator import without
+from ._summary_aggregator import subtract_summary
 
 #: Silence after which a relay is passed over: four of its tellings.
 RELAY_SILENCE_SECONDS = 1.0
@@ -52,7 +52,7 @@
         self._halls: frozenset[str] = frozenset()
         self._sequence = 0
 
-    def note_told(self, summary: Summary, now_seconds: float) -> None:
+    def note_published(self, summary: Summary, now_seconds: float) -> None:
         """Note a summary that this host sends to its relays."""
         self._told.append(_OwnReport(now_seconds, summary))
 
@@ -60,7 +60,9 @@
         """Note that a host of the hall said anything at all."""
         self._word_at[name] = now_seconds
 
-    def is_silent(self, relays: Sequence[Member], now_seconds: float) -> bool:
+    def is_relay_unresponsive(
+        self, relays: Sequence[Member], now_seconds: float
+    ) -> bool:
         """Return whether the first relay should have spoken and did not."""
         first = relays[0].name if relays else ""
         if first in ("", self._own.name):
@@ -91,7 +93,7 @@
             self._beats[beat.host] = (beat, now_seconds)
         own = self._find_own(fleet)
         self._sequence += 1
-        summary = without(fleet.summary, own.summary) if own else fleet.summary
+        summary = subtract_summary(fleet.summary, own.summary) if own else fleet.summary
         return FleetReport(
             attrs.evolve(summary, sequence=self._sequence),
             own.told_at_seconds if own else None,
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -69,7 +69,7 @@
         """Return whether the upstream has named a rate, be it over by now."""
         return upstream in self._words
 
-    def word(self, upstream: str) -> RateObservation | None:
+    def observation(self, upstream: str) -> RateObservation | None:
         """Return the newest word of an upstream."""
         return self._words.get(upstream)
 
@@ -94,7 +94,7 @@
             self._untold.add(upstream)
             self.on_update()
 
-    def hear(self, update: RateLimitUpdate, now_seconds: float) -> None:
+    def receive_update(self, update: RateLimitUpdate, now_seconds: float) -> None:
         """Take a peer's word."""
         for told in update.rates:
             word = RateObservation(
--- a/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
@@ -59,7 +59,7 @@
         )
 
 
-def without(total: Summary, part: Summary) -> Summary:
+def subtract_summary(total: Summary, part: Summary) -> Summary:
     """Return a sum of summaries without one that is part of it.
 
     A host takes its own word out of what its relay tells of all.
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -209,7 +209,7 @@
         now_seconds = self._read_clock()
         if self.table.is_large:
             relays = self.table.relays(self.table.own.hall, now_seconds)
-            if self._listener.is_silent(relays, now_seconds):
+            if self._listener.is_relay_unresponsive(relays, now_seconds):
                 log.problem("relay is silent", peer=relays[0].name)
                 self.table.note_unreachable(relays[0].name, now_seconds)
                 self._links.look_again()
@@ -323,7 +323,9 @@
         if update.holder == self.table.own.name:
             return
         now_seconds = self._read_clock()
-        self._steward.lease.note_heard(update.holder, update.lease_version, now_seconds)
+        self._steward.lease.observe_announcement(
+            update.holder, update.lease_version, now_seconds
+        )
         for event in steward_events(update, now_seconds):
             self._scheduler.post(event)
         self._relay(link, update)
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -85,7 +85,7 @@
             store_era=self._follower.version.store_era,
         )
         self._own = summary
-        self._roles.listener.note_told(summary, self._read_clock())
+        self._roles.listener.note_published(summary, self._read_clock())
         self._links.broadcast(summary, self._roles.is_told)
         self.take_host(summary)
 
@@ -130,7 +130,7 @@
         """Send other halls the aggregate of this one."""
         own = self._roles.table.own
         summary = self._summary_aggregator.merge(self._hall_said(), self._sequence)
-        self._burst_detector.note_told(summary.limits)
+        self._burst_detector.note_published(summary.limits)
         summary = attrs.evolve(summary, has_surged=has_surged)
         told = HallSummary(own.hall, own.name, own.incarnation, summary)
         self._links.broadcast(told, self._roles.is_of_another)
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -128,15 +128,15 @@
                     await one.complete(label(number))
                 await until(lambda: two.knows_rate("lektor-0"))
                 rates = two.daemon.scheduler.rates
-                believed = rates.word("lektor-0").requests_per_second
+                believed = rates.observation("lektor-0").requests_per_second
                 self.limit(bench, None)
                 # Whoever has its turn next hears that there is no rate any more.
                 for number in range(1000):
-                    if rates.word("lektor-0").requests_per_second is None:
+                    if rates.observation("lektor-0").requests_per_second is None:
                         break
                     await one.complete(label(1000 + number))
                     await two.complete(label(1000 + number))
-                return believed, rates.word("lektor-0").requests_per_second
+                return believed, rates.observation("lektor-0").requests_per_second
 
         self.assertEqual((self.RATE, None), self.run_scenario(scenario))
 
@@ -314,7 +314,7 @@
     def test_it_is_told_at_once_and_again_for_a_while(self):
         self.answer(1.8, 1.0)
         self.assertEqual([True], self.woken)
-        self.two.hear(self.one.take_update(1.02), 51.0)
+        self.two.receive_update(self.one.take_update(1.02), 51.0)
         self.assertEqual(1.8, self.two.rate("u", "1", 51.0))
         self.assertIs(None, self.one.take_update(1.1))
         self.assertEqual(1, len(self.one.take_retransmission(2.0).rates))
@@ -325,17 +325,17 @@
         self.one.take_update(1.0)
         self.answer(1.8, 5.0)
         self.assertEqual(1, len(self.woken))
-        self.two.hear(self.one.initial_state(5.0), 5.0)
-        self.one.hear(self.two.initial_state(6.0), 6.0)
+        self.two.receive_update(self.one.initial_state(5.0), 5.0)
+        self.one.receive_update(self.two.initial_state(6.0), 6.0)
         self.answer(1.8, 1.5 + CONFIRM_SECONDS)
         self.assertEqual(2, len(self.woken))
 
     def test_an_old_word_does_not_bring_back_what_is_over(self):
         self.answer(1.8, 1.0)
         old = self.one.initial_state(1.0)
-        self.two.hear(old, 1.0)
+        self.two.receive_update(old, 1.0)
         self.answer(None, 2.0)
-        self.two.hear(self.one.take_update(2.0), 2.0)
+        self.two.receive_update(self.one.take_update(2.0), 2.0)
         self.assertIs(None, self.two.rate("u", "1", 2.0))
         late = attrs.evolve(
             old,
@@ -343,7 +343,7 @@
                 attrs.evolve(old.rates[0], asked_age_seconds=2.0, heard_age_seconds=2.0)
             ],
         )
-        self.two.hear(late, 3.0)
+        self.two.receive_update(late, 3.0)
         self.assertIs(None, self.two.rate("u", "1", 3.0))
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,7 +15,7 @@
     SummaryAggregator,
     Tick,
     TreeView,
-    without,
+    subtract_summary,
 )
 from rampwick_policy._limit_tracker import LimitTracker
 from rampwick_policy._sliding_window import SlidingWindow
@@ -228,7 +228,7 @@
         summary = Summary(
             1, 1, 1, False, [], [], [], limits_known_seconds=known_seconds
         )
-        book.hear("p", summary, 0.0, 100.0)
+        book.receive_summary("p", summary, 0.0, 100.0)
         arrival = RequestArrived(
             "r", view.workspaces["/w"], "portal", 200.0, False, named_tokens=500
         )
@@ -263,7 +263,9 @@
         total = SummaryAggregator().merge([one, two], 1)
         self.assertEqual([LimitUsage("/w", 150, 0, 15)], total.limits)
         self.assertEqual(70.0, total.limits_known_seconds)
-        self.assertEqual([LimitUsage("/w", 50, 0, 5)], without(total, one).limits)
+        self.assertEqual(
+            [LimitUsage("/w", 50, 0, 5)], subtract_summary(total, one).limits
+        )
 
 
 class FleetTest(TestCase):
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 from testtools import TestCase
 
-from rampwick_policy import Member, RelayListener, SummaryAggregator, without
+from rampwick_policy import Member, RelayListener, SummaryAggregator, subtract_summary
 from rampwick_schema import (
     Beat,
     FleetSummary,
@@ -64,7 +64,7 @@
     @given(words(), words())
     def test_a_sum_without_a_part_is_what_the_others_say(self, own, others):
         total = SummaryAggregator().merge([own, others], 9)
-        rest = without(total, own)
+        rest = subtract_summary(total, own)
         self.assertEqual(facts(SummaryAggregator().merge([others], 9)), facts(rest))
         self.assertEqual(1, rest.hosts_count)
 
@@ -78,19 +78,19 @@
         return self.listener.take(relay, news, RELAYS, at)
 
     def test_own_work_is_not_heard_as_the_others(self):
-        self.listener.note_told(summary(1, running=3), 10.0)
+        self.listener.note_published(summary(1, running=3), 10.0)
         word = self.take("first", told(summary(5, running=8)), 10.2)
         self.assertEqual(5, word.summary.upstreams[0].running_count)
 
     def test_the_word_that_the_relay_had_heard_is_taken_out_not_a_newer_one(self):
-        self.listener.note_told(summary(1, running=3), 10.0)
-        self.listener.note_told(summary(2, running=7), 10.2)
+        self.listener.note_published(summary(1, running=3), 10.0)
+        self.listener.note_published(summary(2, running=7), 10.2)
         word = self.take("first", told(summary(5, running=8), own_sequence=1), 10.3)
         self.assertEqual(5, word.summary.upstreams[0].running_count)
 
     def test_ages_count_from_when_that_word_was_sent(self):
-        self.listener.note_told(summary(1), 10.0)
-        self.listener.note_told(summary(2), 10.2)
+        self.listener.note_published(summary(1), 10.0)
+        self.listener.note_published(summary(2), 10.2)
         news = told(summary(5), own_sequence=1)
         self.assertEqual(10.0, self.take("first", news, 10.3).asked_at_seconds)
 
@@ -99,7 +99,7 @@
         self.assertIsNone(self.take("first", news, 10.3).asked_at_seconds)
         other_life = attrs.evolve(OWN, incarnation=6)
         listener = RelayListener(other_life)
-        listener.note_told(summary(1), 10.0)
+        listener.note_published(summary(1), 10.0)
         word = listener.take("first", told(summary(5)), RELAYS, 10.3)
         self.assertIsNone(word.asked_at_seconds)
 
@@ -125,18 +125,18 @@
         self.assertEqual(frozenset(), self.listener.live_peers(13.5).heard)
 
     def test_a_relay_that_should_speak_is_silent_after_a_second(self):
-        self.assertFalse(self.listener.is_silent(RELAYS, 10.0))
-        self.assertFalse(self.listener.is_silent(RELAYS, 10.9))
-        self.assertTrue(self.listener.is_silent(RELAYS, 11.1))
+        self.assertFalse(self.listener.is_relay_unresponsive(RELAYS, 10.0))
+        self.assertFalse(self.listener.is_relay_unresponsive(RELAYS, 10.9))
+        self.assertTrue(self.listener.is_relay_unresponsive(RELAYS, 11.1))
         self.listener.note_message("first", 11.1)
-        self.assertFalse(self.listener.is_silent(RELAYS, 11.2))
+        self.assertFalse(self.listener.is_relay_unresponsive(RELAYS, 11.2))
 
     def test_the_next_relay_has_its_own_time_to_speak(self):
-        self.listener.is_silent(RELAYS, 10.0)
-        self.assertTrue(self.listener.is_silent(RELAYS, 11.5))
-        self.assertFalse(self.listener.is_silent([SECOND], 11.5))
-        self.assertTrue(self.listener.is_silent([SECOND], 12.6))
+        self.listener.is_relay_unresponsive(RELAYS, 10.0)
+        self.assertTrue(self.listener.is_relay_unresponsive(RELAYS, 11.5))
+        self.assertFalse(self.listener.is_relay_unresponsive([SECOND], 11.5))
+        self.assertTrue(self.listener.is_relay_unresponsive([SECOND], 12.6))
 
     def test_a_relay_does_not_wait_for_itself(self):
-        self.assertFalse(self.listener.is_silent([OWN, FIRST], 10.0))
-        self.assertFalse(self.listener.is_silent([OWN, FIRST], 99.0))
+        self.assertFalse(self.listener.is_relay_unresponsive([OWN, FIRST], 10.0))
+        self.assertFalse(self.listener.is_relay_unresponsive([OWN, FIRST], 99.0))
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -80,7 +80,7 @@
                 version = write_lease(store, "former")
             now_seconds = 100.0
             watcher = LeaseWatcher("entry-1", 3.0)
-            watcher.note_heard("former", version, now_seconds)
+            watcher.observe_announcement("former", version, now_seconds)
             store.stand_in.restore()
             leases = LeaseStore(store, "leases/steward")
             clock = SimpleNamespace(now=now_seconds)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -206,12 +206,12 @@
     def test_a_hall_counts_all_its_hosts_and_one_relay_follows_another(self):
         peers = Membership(dead_after_seconds=3.0)
         hall = summary(hosts_count=17, upstreams=[UpstreamUsage("r", "one/1", 9, 0)])
-        self.assertTrue(peers.hear("hall b", "b", 5, hall, 1.0))
+        self.assertTrue(peers.receive_summary("hall b", "b", 5, hall, 1.0))
         self.assertEqual(18, peers.known_hosts_count)
         # A second relay is not taken beside the first.
         later = attrs.evolve(hall, sequence=1)
-        self.assertFalse(peers.hear("hall b", "b", 4, later, 2.0))
-        self.assertTrue(peers.hear("hall b", "b", 4, later, 4.5))
+        self.assertFalse(peers.receive_summary("hall b", "b", 4, later, 2.0))
+        self.assertTrue(peers.receive_summary("hall b", "b", 4, later, 4.5))
         self.assertEqual(9, peers.load_of("r", "one/1").running_count)
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -269,9 +269,9 @@
 
     def test_the_next_holder_waits_from_when_it_heard_of_the_last_renewal(self):
         lease = LeaseWatcher("two", 3.8, 0.8)
-        lease.note_heard("one", 5, 10.2)
+        lease.observe_announcement("one", 5, 10.2)
         # The same version again is no renewal.
-        lease.note_heard("one", 5, 12.0)
+        lease.observe_announcement("one", 5, 12.0)
         self.assertFalse(lease.may_take(13.9))
         self.assertTrue(lease.may_take(14.0))
         # The last order of the first could arrive at 10.0 + 0.8 at the latest.
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -530,7 +530,7 @@
             for other in stewards.values():
                 if steward.is_holder and other is not steward:
                     version = steward.lease.version
-                    other.lease.note_heard(name, version, self.now_seconds)
+                    other.lease.observe_announcement(name, version, self.now_seconds)
 
     async def step(self, stewards, reading):
         """Let a tenth of a second pass, and everybody look at it."""
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -323,15 +323,15 @@
 class MembershipTest(TestCase):
     def test_older_news_never_override_newer(self):
         peers = Membership(1.0)
-        self.assertTrue(peers.hear("a", "h", 5, summary(3), 0.0))
-        self.assertFalse(peers.hear("a", "h", 5, summary(2), 0.1))
-        self.assertFalse(peers.hear("a", "h", 4, summary(9), 0.1))
-        self.assertTrue(peers.hear("a", "h", 6, summary(0), 0.1))
+        self.assertTrue(peers.receive_summary("a", "h", 5, summary(3), 0.0))
+        self.assertFalse(peers.receive_summary("a", "h", 5, summary(2), 0.1))
+        self.assertFalse(peers.receive_summary("a", "h", 4, summary(9), 0.1))
+        self.assertTrue(peers.receive_summary("a", "h", 6, summary(0), 0.1))
 
     def test_silent_peer_is_gone_and_its_load_with_it(self):
         peers = Membership(1.0)
         usage = UpstreamUsage("r", "life", 4, 100)
-        peers.hear("a", "h", 1, summary(1, upstreams=[usage]), 0.0)
+        peers.receive_summary("a", "h", 1, summary(1, upstreams=[usage]), 0.0)
         self.assertEqual(4, peers.load_of("r", "life").running_count)
         self.assertEqual(["a"], [view.name for view in peers.expire(1.5)])
         self.assertEqual(0, peers.load_of("r", "life").running_count)
@@ -340,7 +340,7 @@
     def test_host_that_hears_nobody_keeps_to_its_part(self):
         peers = Membership(1.0)
         for name in "abc":
-            peers.hear(name, "h", 1, summary(1), 0.0)
+            peers.receive_summary(name, "h", 1, summary(1), 0.0)
         self.assertEqual(1.0, peers.own_share_ratio(0.5))
         peers.expire(2.0)
         self.assertEqual(0.25, peers.own_share_ratio(2.0))
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -71,7 +71,7 @@
         gate = BurstDetector()
         usage = LimitUsage("/w", 0, 0, 1000)
         self.assertTrue(gate.has_grown([usage]))
-        gate.note_told([usage])
+        gate.note_published([usage])
         self.assertFalse(gate.has_grown([usage]))
         self.assertFalse(gate.has_grown([attrs.evolve(usage, asked_tokens=1400)]))
         self.assertTrue(gate.has_grown([attrs.evolve(usage, asked_tokens=1600)]))
@@ -105,8 +105,8 @@
                 named_tokens=105,
                 was_held=False,
             )
-            scheduler.limits.ask(arrived, clock.now)
-            scheduler.limits.words(clock.now)
+            scheduler.limits.admit(arrived, clock.now)
+            scheduler.limits.usages(clock.now)
         self.assertEqual([], surges)
         clock.now += 0.1
         task.post(attrs.evolve(arrived, request_id="s", named_tokens=900))
