--- a/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
@@ -17,15 +17,16 @@
     """What others were told last that a hall is asked."""
 
     def __init__(self) -> None:
-        self._told: dict[str, int] = {}
+        self._published: dict[str, int] = {}
 
     def note_published(self, limits: Iterable[LimitUsage]) -> None:
         """Note what others are told now."""
-        self._told = {usage.path: usage.asked_tokens for usage in limits}
+        self._published = {usage.path: usage.asked_tokens for usage in limits}
 
     def has_grown(self, limits: Iterable[LimitUsage]) -> bool:
         """Return whether any limit is asked for much more than others know."""
         return any(
-            usage.asked_tokens > GROWTH_RATIO * max(1, self._told.get(usage.path, 0))
+            usage.asked_tokens
+            > GROWTH_RATIO * max(1, self._published.get(usage.path, 0))
             for usage in limits
         )
--- a/packages/rampwick-policy/src/rampwick_policy/_configuration.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_configuration.py
@@ -16,7 +16,7 @@
 from ._tree import TreeView, apply_change, empty_tree
 
 #: Changes kept for peers that ask; one too far behind gets the whole tree.
-KEPT_CHANGES = 256
+MAX_RECENT_CHANGES = 256
 
 #: Changes kept that wait for an earlier one.
 MAX_PENDING = 4096
@@ -157,7 +157,7 @@
             self._recent.append(change)
         for revision in [item for item in self._pending if item <= self.head_revision]:
             del self._pending[revision]
-        del self._recent[:-KEPT_CHANGES]
+        del self._recent[:-MAX_RECENT_CHANGES]
         return trees
 
     def _put_in_force(self, trees: list[Tree], source: str) -> bool:
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -15,38 +15,38 @@
 
 from rampwick_schema import LimitUsage, Shown
 
-from ._limit_reports import LEAVING_SECONDS, PeerReports
+from ._limit_reports import EXPIRY_HORIZON_SECONDS, PeerReports
 from ._sliding_window import SlidingWindow
 from ._tree import LimitedNode
 
 #: Time over which the rate of what is asked for is taken: some tens of requests of a
 #: workspace near its limit, and short against the time in which a burst fills it.
-ASKED_SECONDS = 0.5
+DEMAND_WINDOW_SECONDS = 0.5
 
 #: Time within which the fleet's sum is to reach the limit: two to three times the age
 #: of peers' words, so that the correction of one host isn't repeated by all.
-SETTLE_SECONDS = 2.0
+CONVERGENCE_SECONDS = 2.0
 
 #: Time in which hosts hear of a burst: the aim is as far from what must not be passed
 #: as what is asked for within it, so that a small excess is held near the bound and a
 #: large one near the limit. A fleet that aims at the limit itself is below it half of
 #: the time, and refuses then what is within it.
-UNHEARD_SECONDS = 0.6
+PROPAGATION_SECONDS = 0.6
 
 #: Largest part of what a limit may be passed by that is aimed at.
-MOST_AIMED_RATIO = 0.5
+MAX_TARGET_RATIO = 0.5
 
 #: Growth of what a host is asked for that its peers hear of at once, in a limit of
 #: which more than a part is used.
-SURGE_RATIO = 2.0
-TIGHT_RATIO = 0.8
+BURST_RATIO = 2.0
+NEAR_LIMIT_RATIO = 0.8
 
 #: Least time over which the rate of what is asked for is taken after a start.
-MIN_ASKED_SECONDS = 0.125
+MIN_DEMAND_WINDOW_SECONDS = 0.125
 
 #: Time for which a limit's rate may be used at once by a fleet that has just started:
 #: a lone request is no sign of a workspace over its limit.
-FRESH_SECONDS = 0.5
+START_BURST_SECONDS = 0.5
 
 #: Time for which the first requests wait in a fleet that has just come back as a whole:
 #: until what other halls are asked has come by way of two relays. What was asked
@@ -55,14 +55,14 @@
 HOLD_SECONDS = 1.0
 
 #: Part of a limit up to which a request is no matter: it neither waits nor is drawn.
-TRIFLE_RATIO = 1.0 / 5000.0
+NEGLIGIBLE_RATIO = 1.0 / 5000.0
 
 #: Time for which a limit is said to bind after a refusal.
 BINDING_SECONDS = 1.0
 
 #: Bounds of what callers over a limit are told to wait, and how it is spread.
 MIN_RETRY_AFTER_SECONDS = 0.25
-SPREAD_RATIO = 0.25
+JITTER_RATIO = 0.25
 
 
 @attrs.frozen(repr=False)
@@ -88,7 +88,7 @@
 
 
 @attrs.define(repr=False)
-class _Forgiven(Shown):
+class _ExcessAllowance(Shown):
     """What was sent under a higher limit; less and less of it is in the window.
 
     Forgiven whole until it has left, what leaves would be let go again at the old rate,
@@ -114,42 +114,42 @@
 
 
 @attrs.frozen(repr=False)
-class _Outlook(Shown):
+class _Forecast(Shown):
     """How a limit stands at a moment, over all hosts; tokens within the window."""
 
     used: float
     #: What may still be sent, and what must not be passed.
-    room: float
-    most: float
+    headroom: float
+    ceiling: float
     #: Tokens that will be sent elsewhere before the fleet's sum has settled.
-    ahead: float
+    expected_elsewhere: float
     #: Tokens asked for a second, and those that may go.
-    asked: float
-    may_settle: float
+    demand: float
+    admissible: float
     #: Whether others' part of it is known by old words, or not at all.
-    is_guess: bool
+    is_estimate: bool
 
 
 class FleetLimit:
     """One limit: this host's own window and its peers' words."""
 
     def __init__(
-        self, limit: LimitedNode, window_seconds: float, draw: random.Random
+        self, limit: LimitedNode, window_seconds: float, rng: random.Random
     ) -> None:
         self.limit = limit
-        self._draw = draw
+        self._rng = rng
         self._sent = SlidingWindow(window_seconds)
-        self._asked = SlidingWindow(ASKED_SECONDS)
-        self._words = PeerReports(window_seconds)
+        self._demand = SlidingWindow(DEMAND_WINDOW_SECONDS)
+        self._reports = PeerReports(window_seconds)
         #: Parts of requests that may go; one is sent for each whole.
-        self._credit = draw.random()
+        self._credit = rng.random()
         #: Ratio of the requests that may go, as decided last.
         self.admit_ratio = 1.0
-        self._forgiven: _Forgiven | None = None
+        self._allowance: _ExcessAllowance | None = None
         self._refused_at_seconds = -math.inf
-        self._asked_since_seconds: float | None = None
+        self._demand_since_seconds: float | None = None
         #: What peers were told last that this host is asked for, a second.
-        self._told_asked = 0.0
+        self._published_demand = 0.0
 
     def change(
         self, limit: LimitedNode, window_seconds: float, now_seconds: float
@@ -157,10 +157,10 @@
         """Take other figures; what was sent under a higher limit is no excess."""
         old = allowed_tokens(self.limit, window_seconds)
         if allowed_tokens(limit, window_seconds) < old:
-            self._forgiven = _Forgiven(now_seconds + window_seconds)
-        elif self._forgiven is not None:
+            self._allowance = _ExcessAllowance(now_seconds + window_seconds)
+        elif self._allowance is not None:
             # What is beyond the new figures is less.
-            self._forgiven = _Forgiven(self._forgiven.until_seconds)
+            self._allowance = _ExcessAllowance(self._allowance.until_seconds)
         self.limit = limit
 
     # What peers say and are told.
@@ -168,35 +168,35 @@
     def usage(self, now_seconds: float) -> LimitUsage | None:
         """Return what peers are told; nothing if there is nothing to tell."""
         sent = self._sent.total(now_seconds)
-        asked = self._asked_per_second(now_seconds)
-        self._told_asked = asked
-        if sent < 1.0 and asked < 1.0:
+        demand = self._demand_per_second(now_seconds)
+        self._published_demand = demand
+        if sent < 1.0 and demand < 1.0:
             return None
-        leaving = self._leaving_per_second(now_seconds)
-        return LimitUsage(self.limit.path, round(sent), round(leaving), round(asked))
+        expiring = self._expiring_per_second(now_seconds)
+        return LimitUsage(self.limit.path, round(sent), round(expiring), round(demand))
 
     def receive_usage(self, peer: str, usage: LimitUsage, at_seconds: float) -> None:
         """Take what a peer says of a time."""
-        self._words.take(peer, usage, at_seconds)
+        self._reports.record(peer, usage, at_seconds)
 
     def forget(self, peer: str) -> None:
         """Drop what a peer said, since another one speaks for it."""
-        self._words.forget(peer)
+        self._reports.forget(peer)
 
     def has_surged(self, terms: LimitParameters, now_seconds: float) -> bool:
         """Return whether peers are to hear at once of what this host is asked now.
 
         While a limit has room to spare there is time for the usual words.
         """
-        asked = self._asked_per_second(now_seconds)
-        if asked < SURGE_RATIO * max(1.0, self._told_asked):
+        demand = self._demand_per_second(now_seconds)
+        if demand < BURST_RATIO * max(1.0, self._published_demand):
             return False
         allowed = allowed_tokens(self.limit, terms.window_seconds)
-        return self.used_tokens(terms, now_seconds) > allowed * TIGHT_RATIO
+        return self.used_tokens(terms, now_seconds) > allowed * NEAR_LIMIT_RATIO
 
     def expire(self, now_seconds: float) -> None:
         """Drop the words of which nothing can be within the window any more."""
-        self._words.expire(now_seconds)
+        self._reports.expire(now_seconds)
 
     # Decisions.
 
@@ -207,9 +207,9 @@
 
         To be asked while the fleet is young; peers are told of a request that waits.
         """
-        if tokens <= self._trifle_tokens(window_seconds):
+        if tokens <= self._negligible_tokens(window_seconds):
             return 0.0
-        since_seconds = self._asked_since_seconds
+        since_seconds = self._demand_since_seconds
         if since_seconds is None:
             since_seconds = now_seconds
         hold_seconds = max(0.0, since_seconds + HOLD_SECONDS - now_seconds)
@@ -219,59 +219,61 @@
 
     def record_demand(self, tokens: float, now_seconds: float) -> None:
         """Count a request among those that this host is asked for."""
-        if self._asked_since_seconds is None:
-            self._asked_since_seconds = now_seconds
-        self._asked.add(tokens, now_seconds)
+        if self._demand_since_seconds is None:
+            self._demand_since_seconds = now_seconds
+        self._demand.add(tokens, now_seconds)
 
     def admit(
         self, tokens: float, terms: LimitParameters, now_seconds: float
     ) -> OverLimit | None:
         """Count a request that may go now; return why it may not."""
-        outlook = self._look_ahead(terms, now_seconds)
-        self.admit_ratio = min(1.0, outlook.may_settle / max(1.0, outlook.asked))
-        if self._may_go(tokens, terms.window_seconds, outlook):
+        forecast = self._make_forecast(terms, now_seconds)
+        self.admit_ratio = min(1.0, forecast.admissible / max(1.0, forecast.demand))
+        if self._may_admit(tokens, terms.window_seconds, forecast):
             self._sent.add(tokens, now_seconds)
             return None
         self._refused_at_seconds = now_seconds
-        wait_seconds = self._wait_seconds(tokens, outlook)
+        wait_seconds = self._wait_seconds(tokens, forecast)
         return OverLimit(self.limit.path, min(wait_seconds, terms.window_seconds))
 
-    def _may_go(self, tokens: float, window_seconds: float, outlook: _Outlook) -> bool:
-        if tokens + outlook.ahead <= outlook.room:
+    def _may_admit(
+        self, tokens: float, window_seconds: float, forecast: _Forecast
+    ) -> bool:
+        if tokens + forecast.expected_elsewhere <= forecast.headroom:
             return True
-        if not outlook.is_guess or outlook.used + tokens > outlook.most:
+        if not forecast.is_estimate or forecast.used + tokens > forecast.ceiling:
             return False
-        return tokens <= self._trifle_tokens(window_seconds) or self._draw_one()
+        return tokens <= self._negligible_tokens(window_seconds) or self._sample()
 
-    def _trifle_tokens(self, window_seconds: float) -> float:
-        return allowed_tokens(self.limit, window_seconds) * TRIFLE_RATIO
+    def _negligible_tokens(self, window_seconds: float) -> float:
+        return allowed_tokens(self.limit, window_seconds) * NEGLIGIBLE_RATIO
 
-    def _look_ahead(self, terms: LimitParameters, now_seconds: float) -> _Outlook:
-        asked_elsewhere = self._words.asked_tokens
-        asked = self._asked_per_second(now_seconds) + asked_elsewhere
-        leaving = self._leaving_per_second(now_seconds) + self._words.leaving_tokens
-        aimed, most = self._bounds(asked, terms)
+    def _make_forecast(self, terms: LimitParameters, now_seconds: float) -> _Forecast:
+        demand_elsewhere = self._reports.asked_tokens
+        demand = self._demand_per_second(now_seconds) + demand_elsewhere
+        expiring = self._expiring_per_second(now_seconds) + self._reports.leaving_tokens
+        target, ceiling = self._bounds(demand, terms)
         used = self.used_tokens(terms, now_seconds)
-        if self._forgiven is not None:
-            forgiven = self._forgiven.tokens(used - aimed, now_seconds)
-            used = max(min(used, aimed), used - forgiven)
-        room = aimed - used
+        if self._allowance is not None:
+            exempt = self._allowance.tokens(used - target, now_seconds)
+            used = max(min(used, target), used - exempt)
+        headroom = target - used
         if terms.unknown_seconds:
-            leaving += self._refill * terms.part_ratio
-            room = self._room_of_unknown(room, used, terms)
-        ahead = max(0.0, asked_elsewhere - leaving) * SETTLE_SECONDS
-        return _Outlook(
+            expiring += self._refill * terms.part_ratio
+            headroom = self._headroom_with_unknown(headroom, used, terms)
+        expected_elsewhere = max(0.0, demand_elsewhere - expiring) * CONVERGENCE_SECONDS
+        return _Forecast(
             used=used,
-            room=room,
-            most=most,
-            ahead=ahead,
-            asked=asked,
-            may_settle=max(0.0, room / SETTLE_SECONDS + leaving),
-            is_guess=bool(self._words) or terms.unknown_seconds > 0.0,
+            headroom=headroom,
+            ceiling=ceiling,
+            expected_elsewhere=expected_elsewhere,
+            demand=demand,
+            admissible=max(0.0, headroom / CONVERGENCE_SECONDS + expiring),
+            is_estimate=bool(self._reports) or terms.unknown_seconds > 0.0,
         )
 
-    def _room_of_unknown(
-        self, room: float, used: float, terms: LimitParameters
+    def _headroom_with_unknown(
+        self, headroom: float, used: float, terms: LimitParameters
     ) -> float:
         """Return the room where hosts that are no more may have sent, too.
 
@@ -279,19 +281,19 @@
         """
         sent = self._refill * terms.unknown_seconds + self.limit.burst_tokens
         known_seconds = terms.window_seconds - terms.unknown_seconds
-        fresh = self._refill * (known_seconds + FRESH_SECONDS)
-        return max(room - sent * terms.part_ratio, fresh * terms.part_ratio - used)
+        fresh = self._refill * (known_seconds + START_BURST_SECONDS)
+        return max(headroom - sent * terms.part_ratio, fresh * terms.part_ratio - used)
 
-    def _bounds(self, asked: float, terms: LimitParameters) -> tuple[float, float]:
+    def _bounds(self, demand: float, terms: LimitParameters) -> tuple[float, float]:
         """Return what is aimed at within a window, and what must not be passed."""
         limit = allowed_tokens(self.limit, terms.window_seconds)
-        most = limit * (1.0 + terms.over_ratio) + terms.slack_tokens
-        aimed = min(
-            most - asked * UNHEARD_SECONDS,
-            limit + (most - limit) * MOST_AIMED_RATIO,
+        ceiling = limit * (1.0 + terms.over_ratio) + terms.slack_tokens
+        target = min(
+            ceiling - demand * PROPAGATION_SECONDS,
+            limit + (ceiling - limit) * MAX_TARGET_RATIO,
         )
-        aimed = max(limit, aimed)
-        return aimed * terms.part_ratio, most * terms.part_ratio
+        target = max(limit, target)
+        return target * terms.part_ratio, ceiling * terms.part_ratio
 
     def is_binding(self, now_seconds: float) -> bool:
         """Return whether a request was refused because of it of late."""
@@ -301,13 +303,13 @@
         """Return what all hosts have sent within the window, as far as known."""
         # Those that are not heard have the rest of the limit to themselves.
         only_fresh = terms.part_ratio < 1.0
-        return self._sent.total(now_seconds) + self._words.sent_tokens(
+        return self._sent.total(now_seconds) + self._reports.sent_tokens(
             self.admit_ratio, only_fresh, now_seconds
         )
 
     def move(self, tokens: float, from_seconds: float, now_seconds: float) -> None:
         """Count a request that waited from when it is sent."""
-        self._sent.take_back(tokens, from_seconds)
+        self._sent.subtract(tokens, from_seconds)
         self._sent.add(tokens, now_seconds)
 
     def count_again(self, tokens: float, now_seconds: float) -> None:
@@ -316,24 +318,29 @@
 
     def refund(self, tokens: float, at_seconds: float) -> None:
         """Count a request no more that surely did not run."""
-        self._sent.take_back(tokens, at_seconds)
+        self._sent.subtract(tokens, at_seconds)
 
     @property
     def _refill(self) -> float:
         return self.limit.tokens_per_second or 0.0
 
-    def _asked_per_second(self, now_seconds: float) -> float:
-        if self._asked_since_seconds is None:
+    def _demand_per_second(self, now_seconds: float) -> float:
+        if self._demand_since_seconds is None:
             return 0.0
         # A host that has just started has not been asked for the whole time.
-        since_seconds = now_seconds - self._asked_since_seconds
-        span_seconds = min(ASKED_SECONDS, max(MIN_ASKED_SECONDS, since_seconds))
-        return self._asked.total(now_seconds) / span_seconds
+        since_seconds = now_seconds - self._demand_since_seconds
+        span_seconds = min(
+            DEMAND_WINDOW_SECONDS, max(MIN_DEMAND_WINDOW_SECONDS, since_seconds)
+        )
+        return self._demand.total(now_seconds) / span_seconds
 
-    def _leaving_per_second(self, now_seconds: float) -> float:
-        return self._sent.leaving(LEAVING_SECONDS, now_seconds) / LEAVING_SECONDS
+    def _expiring_per_second(self, now_seconds: float) -> float:
+        return (
+            self._sent.expiring(EXPIRY_HORIZON_SECONDS, now_seconds)
+            / EXPIRY_HORIZON_SECONDS
+        )
 
-    def _draw_one(self) -> bool:
+    def _sample(self) -> bool:
         # Parts are saved up: single draws would let a host that sees two requests a
         # second send both or none.
         self._credit += self.admit_ratio
@@ -342,14 +349,14 @@
         self._credit -= 1.0
         return True
 
-    def _wait_seconds(self, tokens: float, outlook: _Outlook) -> float:
+    def _wait_seconds(self, tokens: float, forecast: _Forecast) -> float:
         """Return when there is room again for this request and those turned away."""
         refill = max(1.0, self._refill)
-        wait_seconds = max(0.0, tokens - outlook.room) / refill
-        turned_away = max(0.0, outlook.asked - outlook.may_settle)
-        wait_seconds += turned_away * ASKED_SECONDS / refill
-        spread = 1.0 + SPREAD_RATIO * (2.0 * self._draw.random() - 1.0)
-        return max(MIN_RETRY_AFTER_SECONDS, wait_seconds * spread)
+        wait_seconds = max(0.0, tokens - forecast.headroom) / refill
+        refused = max(0.0, forecast.demand - forecast.admissible)
+        wait_seconds += refused * DEMAND_WINDOW_SECONDS / refill
+        jitter = 1.0 + JITTER_RATIO * (2.0 * self._rng.random() - 1.0)
+        return max(MIN_RETRY_AFTER_SECONDS, wait_seconds * jitter)
 
 
 def allowed_tokens(limit: LimitedNode, window_seconds: float) -> float:
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -40,7 +40,7 @@
     _free_at_seconds: float = -math.inf
     _seen_at_seconds: float = 0.0
     _held_until_seconds: float = -math.inf
-    _orders_until_seconds: float = -math.inf
+    _may_order_until_seconds: float = -math.inf
 
     def observe(
         self, record: LeaseRecord | None, version: int, now_seconds: float
@@ -99,13 +99,13 @@
         self.record = record
         self._seen_at_seconds = write_began_seconds
         self._held_until_seconds = write_began_seconds + record.duration_seconds
-        self._orders_until_seconds = write_began_seconds + min(
+        self._may_order_until_seconds = write_began_seconds + min(
             record.duration_seconds, self.order_window_seconds
         )
 
     def give_up(self) -> None:
         """Hold the lease no more and stop giving orders at once."""
-        self._held_until_seconds = self._orders_until_seconds = -math.inf
+        self._held_until_seconds = self._may_order_until_seconds = -math.inf
 
     def is_held(self, now_seconds: float) -> bool:
         """Return whether no other host can have taken the lease yet.
@@ -122,6 +122,6 @@
         None means that the lease would not outlive the order: an upstream that
         ignores fencing could then obey two holders.
         """
-        if now_seconds + needed_seconds >= self._orders_until_seconds:
+        if now_seconds + needed_seconds >= self._may_order_until_seconds:
             return None
         return self.version
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
@@ -5,12 +5,12 @@
 from rampwick_schema import LimitUsage, Shown
 
 #: Time ahead for which hosts report what will have left their windows.
-LEAVING_SECONDS = 1.0
+EXPIRY_HORIZON_SECONDS = 1.0
 
 #: Age up to which a report is extrapolated, and up to which it then holds: an
 #: unresponsive peer may still be sending. From there on it leaves the window.
-CONTINUED_SECONDS = 1.0
-HELD_SECONDS = 3.0
+EXTRAPOLATION_SECONDS = 1.0
+ALIVE_SECONDS = 3.0
 
 #: Part of a peer's sum that must be missing, with nothing to have left the window,
 #: before it is taken for the sum of hosts that died: their requests have run all the
@@ -30,24 +30,24 @@
     ) -> float:
         """Return what the peer has sent within the window by now, as far as known."""
         age_seconds = max(0.0, now_seconds - self.at_seconds)
-        continued_seconds = min(age_seconds, CONTINUED_SECONDS)
+        extrapolated_seconds = min(age_seconds, EXTRAPOLATION_SECONDS)
         usage = self.usage
         growth = admit_ratio * usage.asked_tokens - usage.leaving_tokens
-        tokens = max(0.0, usage.sent_tokens + growth * continued_seconds)
-        left_seconds = max(0.0, age_seconds - HELD_SECONDS)
-        return tokens * max(0.0, 1.0 - left_seconds / window_seconds)
+        tokens = max(0.0, usage.sent_tokens + growth * extrapolated_seconds)
+        decay_seconds = max(0.0, age_seconds - ALIVE_SECONDS)
+        return tokens * max(0.0, 1.0 - decay_seconds / window_seconds)
 
-    def kept_tokens(self, at_seconds: float, window_seconds: float) -> float:
+    def remaining_tokens(self, at_seconds: float, window_seconds: float) -> float:
         """Return what must still be in the window then of what was sent."""
         since_seconds = max(0.0, at_seconds - self.at_seconds)
-        told_seconds = min(since_seconds, LEAVING_SECONDS)
-        tokens = self.usage.sent_tokens - self.usage.leaving_tokens * told_seconds
-        untold_seconds = since_seconds - told_seconds
-        return tokens * max(0.0, 1.0 - untold_seconds / window_seconds)
+        reported_seconds = min(since_seconds, EXPIRY_HORIZON_SECONDS)
+        tokens = self.usage.sent_tokens - self.usage.leaving_tokens * reported_seconds
+        unreported_seconds = since_seconds - reported_seconds
+        return tokens * max(0.0, 1.0 - unreported_seconds / window_seconds)
 
     def is_fresh(self, now_seconds: float) -> bool:
         """Return whether the peer is surely alive."""
-        return now_seconds - self.at_seconds < HELD_SECONDS
+        return now_seconds - self.at_seconds < ALIVE_SECONDS
 
 
 class PeerReports:
@@ -61,11 +61,11 @@
     def __bool__(self) -> bool:
         return bool(self._reports)
 
-    def take(self, peer: str, usage: LimitUsage, at_seconds: float) -> None:
+    def record(self, peer: str, usage: LimitUsage, at_seconds: float) -> None:
         """Take a peer's report."""
         known = self._reports.get(peer)
         if known is not None:
-            missing = known.kept_tokens(at_seconds, self._window_seconds)
+            missing = known.remaining_tokens(at_seconds, self._window_seconds)
             missing -= usage.sent_tokens
             if missing > LOST_RATIO * known.usage.sent_tokens:
                 lost = LimitUsage(usage.path, round(missing))
@@ -78,7 +78,7 @@
 
     def expire(self, now_seconds: float) -> None:
         """Drop the reports of which nothing can be within the window any more."""
-        oldest_seconds = now_seconds - self._window_seconds - HELD_SECONDS
+        oldest_seconds = now_seconds - self._window_seconds - ALIVE_SECONDS
         self._lost = [
             report for report in self._lost if report.at_seconds > oldest_seconds
         ]
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -13,20 +13,20 @@
 from ._tree import LimitedNode, Workspace
 
 #: Age of what a fleet knows up to which its first requests wait for what all are asked.
-YOUNG_SECONDS = 3.0
+WARM_UP_SECONDS = 3.0
 
 #: Time for which a host that hears nobody counts those that it heard: where its relay
 #: or its own role is another, the next word is a moment away, and with 90 hosts its
 #: own part of a limit is less than one long prompt.
-ALONE_SECONDS = 1.5
+ISOLATION_GRACE_SECONDS = 1.5
 
 #: Time for which hosts that fell silent may still be serving callers somewhere, as long
 #: as keys are usually honoured without confirmation: for so long those that hear each
 #: other keep to their part of each limit.
-SERVING_SECONDS = 5.0
+UNCONFIRMED_SERVING_SECONDS = 5.0
 
 #: The same for the smaller part of a fleet, which may itself be what was cut off.
-MISSING_SECONDS = 10.0
+FLEET_SIZE_MEMORY_SECONDS = 10.0
 MINORITY_RATIO = 0.5
 
 
@@ -58,16 +58,16 @@
 
     def __init__(self, settings: QuotaSettings, host: str) -> None:
         self._settings = settings
-        self._draw = random.Random(host)
+        self._rng = random.Random(host)
         self._limits: dict[str, FleetLimit] = {}
         #: Limits that each peer named last.
-        self._said: dict[str, frozenset[str]] = {}
+        self._reported_paths: dict[str, frozenset[str]] = {}
         #: Since when somebody who is alive has been counting.
-        self._known_since_seconds = math.inf
+        self._tracked_since_seconds = math.inf
         self._hosts_count = 1
-        self._most_hosts_count = 1
-        self._most_at_seconds = 0.0
-        self._heard_at_seconds = -math.inf
+        self._max_hosts_count = 1
+        self._max_hosts_at_seconds = 0.0
+        self._peers_seen_at_seconds = -math.inf
 
     def apply(self, workspaces: Mapping[str, Workspace], now_seconds: float) -> None:
         """Take the limits of a tree; what was counted stays."""
@@ -79,14 +79,15 @@
             if limit.tokens_per_second is not None
         }
         self._limits = {
-            path: self._changed(limit, now_seconds) for path, limit in limits.items()
+            path: self._updated_limit(limit, now_seconds)
+            for path, limit in limits.items()
         }
 
-    def _changed(self, limit: LimitedNode, now_seconds: float) -> FleetLimit:
+    def _updated_limit(self, limit: LimitedNode, now_seconds: float) -> FleetLimit:
         window_seconds = self._settings.window_seconds
         known = self._limits.get(limit.path)
         if known is None:
-            return FleetLimit(limit, window_seconds, self._draw)
+            return FleetLimit(limit, window_seconds, self._rng)
         known.change(limit, window_seconds, now_seconds)
         return known
 
@@ -97,7 +98,7 @@
 
         Nothing, but for the first moments of a fleet in which nobody knows anything.
         """
-        if self.known_seconds(now_seconds) > YOUNG_SECONDS:
+        if self.known_seconds(now_seconds) > WARM_UP_SECONDS:
             return 0.0
         return max(
             (
@@ -124,28 +125,28 @@
             tokens = _counted_tokens(limit, event)
             if not event.was_held:
                 known.record_demand(tokens, now_seconds)
-            over = known.admit(tokens, self._terms(now_seconds), now_seconds)
-            if over is not None:
+            exceeded = known.admit(tokens, self._terms(now_seconds), now_seconds)
+            if exceeded is not None:
                 self.refund(counted)
-                return over
+                return exceeded
             counted.append(LimitCharge(limit.path, tokens, now_seconds))
         return counted
 
     def note_sent(
-        self, counted: Iterable[LimitCharge], is_again: bool, now_seconds: float
+        self, counted: Iterable[LimitCharge], is_retry: bool, now_seconds: float
     ) -> list[LimitCharge]:
         """Note that a request is sent now; return what it counts from then on."""
-        moved = []
+        charged = []
         for item in counted:
             limit = self._limits.get(item.path)
             if limit is None:
                 continue
-            if is_again:
+            if is_retry:
                 limit.count_again(item.tokens, now_seconds)
             else:
                 limit.move(item.tokens, item.at_seconds, now_seconds)
-            moved.append(attrs.evolve(item, at_seconds=now_seconds))
-        return moved
+            charged.append(attrs.evolve(item, at_seconds=now_seconds))
+        return charged
 
     def refund(self, counted: Iterable[LimitCharge]) -> None:
         """Count a request no more that surely did not run."""
@@ -158,8 +159,8 @@
 
     def usages(self, now_seconds: float) -> list[LimitUsage]:
         """Return what peers are told of this host's windows."""
-        words = (limit.usage(now_seconds) for limit in self._limits.values())
-        return [word for word in words if word is not None]
+        usages = (limit.usage(now_seconds) for limit in self._limits.values())
+        return [usage for usage in usages if usage is not None]
 
     def has_surged(self, workspace: Workspace, now_seconds: float) -> bool:
         """Return whether peers are to hear at once of what a workspace asks here."""
@@ -175,27 +176,27 @@
 
     def known_seconds(self, now_seconds: float) -> float:
         """Return for how long somebody who is alive has been counting."""
-        self._known_since_seconds = min(self._known_since_seconds, now_seconds)
-        return now_seconds - self._known_since_seconds
+        self._tracked_since_seconds = min(self._tracked_since_seconds, now_seconds)
+        return now_seconds - self._tracked_since_seconds
 
     def receive_summary(
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
         """Take a peer's word, which is that old already."""
         since_seconds = now_seconds - age_seconds - summary.limits_known_seconds
-        self._known_since_seconds = min(self._known_since_seconds, since_seconds)
-        said = {usage.path: usage for usage in summary.limits}
+        self._tracked_since_seconds = min(self._tracked_since_seconds, since_seconds)
+        reported = {usage.path: usage for usage in summary.limits}
         # A peer that names a limit no more has nothing left in its window.
-        for path in said.keys() | self._said.get(peer, frozenset()):
+        for path in reported.keys() | self._reported_paths.get(peer, frozenset()):
             limit = self._limits.get(path)
             if limit is not None:
-                usage = said.get(path) or LimitUsage(path, 0)
+                usage = reported.get(path) or LimitUsage(path, 0)
                 limit.receive_usage(peer, usage, now_seconds - age_seconds)
-        self._said[peer] = frozenset(said)
+        self._reported_paths[peer] = frozenset(reported)
 
     def forget(self, peer: str) -> None:
         """Drop what a peer said, since another one speaks for it."""
-        self._said.pop(peer, None)
+        self._reported_paths.pop(peer, None)
         for limit in self._limits.values():
             limit.forget(peer)
 
@@ -204,22 +205,24 @@
 
         One that has just started and hears nobody yet is not the whole fleet.
         """
-        if count > self._most_hosts_count:
-            self._most_hosts_count = count
-            self._most_at_seconds = now_seconds
+        if count > self._max_hosts_count:
+            self._max_hosts_count = count
+            self._max_hosts_at_seconds = now_seconds
 
     def note_time(self, hosts_count: int, now_seconds: float) -> None:
         """Note the present time and the hosts that hear each other."""
         self.known_seconds(now_seconds)
         if hosts_count > 1:
-            self._heard_at_seconds = now_seconds
-        elif now_seconds - self._heard_at_seconds < ALONE_SECONDS:
+            self._peers_seen_at_seconds = now_seconds
+        elif now_seconds - self._peers_seen_at_seconds < ISOLATION_GRACE_SECONDS:
             hosts_count = self._hosts_count
         self._hosts_count = hosts_count
-        is_old = now_seconds - self._most_at_seconds > MISSING_SECONDS
-        if hosts_count >= self._most_hosts_count or is_old:
-            self._most_hosts_count = hosts_count
-            self._most_at_seconds = now_seconds
+        is_expired = (
+            now_seconds - self._max_hosts_at_seconds > FLEET_SIZE_MEMORY_SECONDS
+        )
+        if hosts_count >= self._max_hosts_count or is_expired:
+            self._max_hosts_count = hosts_count
+            self._max_hosts_at_seconds = now_seconds
         for limit in self._limits.values():
             limit.expire(now_seconds)
 
@@ -248,9 +251,9 @@
 
     def part_ratio(self, now_seconds: float) -> float:
         """Return the part of each limit that the hosts heard here may use."""
-        ratio = self._hosts_count / self._most_hosts_count
-        missing_seconds = now_seconds - self._most_at_seconds
-        if ratio >= MINORITY_RATIO and missing_seconds > SERVING_SECONDS:
+        ratio = self._hosts_count / self._max_hosts_count
+        missing_seconds = now_seconds - self._max_hosts_at_seconds
+        if ratio >= MINORITY_RATIO and missing_seconds > UNCONFIRMED_SERVING_SECONDS:
             return 1.0
         return ratio
 
--- a/packages/rampwick-policy/src/rampwick_policy/_membership.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_membership.py
@@ -57,10 +57,12 @@
         known = self._views.get(name)
         order = (incarnation, summary.sequence)
         if known and order <= (known.incarnation, known.summary.sequence):
-            is_silent = now_seconds - known.heard_at_seconds >= self._dead_after_seconds
+            is_unresponsive = (
+                now_seconds - known.heard_at_seconds >= self._dead_after_seconds
+            )
             # Another relay may speak for a hall; it counts from when the one before
             # has fallen silent.
-            if incarnation == known.incarnation or not is_silent:
+            if incarnation == known.incarnation or not is_unresponsive:
                 return False
         if known:
             self._count(known.summary, sign=-1)
@@ -84,11 +86,11 @@
     def expire(self, now_seconds: float) -> list[PeerView]:
         """Drop and return the peers that have been silent for too long."""
         live = {view.name for view in self.live(now_seconds)}
-        gone = [view for name, view in self._views.items() if name not in live]
-        for view in gone:
+        expired = [view for name, view in self._views.items() if name not in live]
+        for view in expired:
             del self._views[view.name]
             self._count(view.summary, sign=-1)
-        return gone
+        return expired
 
     def drop(self, name: str) -> None:
         """Forget a peer and what it said of its load."""
--- a/packages/rampwick-policy/src/rampwick_policy/_orders.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_orders.py
@@ -62,16 +62,18 @@
     loading = sum(runner.is_loading for runner in runners)
     planned: list[PlannedOrder] = []
     for target in targets:
-        of_model = [runner for runner in runners if runner.model == target.model]
-        behind = [
+        model_runners = [runner for runner in runners if runner.model == target.model]
+        outdated = [
             runner
-            for runner in of_model
+            for runner in model_runners
             if runner.weights_version < target.weights_version and not runner.is_loading
         ]
-        for runner in sorted(behind, key=lambda item: (item.running_count, item.name)):
+        for runner in sorted(
+            outdated, key=lambda item: (item.running_count, item.name)
+        ):
             if loading >= max_loads:
                 break
-            if not _can_spare(runner, of_model, planned):
+            if not _can_take_out(runner, model_runners, planned):
                 # Others behind it may serve nothing, so that nothing is lost by them.
                 continue
             order = Order(
@@ -82,9 +84,9 @@
     return planned
 
 
-def _can_spare(
+def _can_take_out(
     runner: RunnerState,
-    of_model: Sequence[RunnerState],
+    model_runners: Sequence[RunnerState],
     planned: Sequence[PlannedOrder],
 ) -> bool:
     if not runner.is_serving:
@@ -93,7 +95,7 @@
     taken = {item.runner for item in planned} | {runner.name}
     serving = sum(
         item.is_serving and not item.is_loading and item.name not in taken
-        for item in of_model
+        for item in model_runners
     )
     # A lone runner has to be taken out, or it would never be renewed.
-    return len(of_model) == 1 or serving >= MIN_SERVING_RATIO * len(of_model)
+    return len(model_runners) == 1 or serving >= MIN_SERVING_RATIO * len(model_runners)
--- a/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
@@ -9,8 +9,8 @@
 
 #: Time after its first failure for which peers are told that an upstream is down, and
 #: the failures in a row from which on they are: one lost packet shows nothing.
-DOWN_TOLD_SECONDS = 1.5
-DOWN_TOLD_FAILURES = 2
+DOWN_REPORT_SECONDS = 1.5
+MIN_DOWN_FAILURES = 2
 
 
 def own_summary(
@@ -34,7 +34,7 @@
         workspaces=_workspace_usages(pool, now_seconds),
         upstreams=[*_upstream_usages(pool), *pool.moves.usages()],
         placed=pool.caches.take_placed(),
-        down=_found_down(pool, now_seconds),
+        down=_reported_down(pool, now_seconds),
         waiting=[
             WaitingCount(path, service, count)
             for (path, service), count in sorted(waiting.items())
@@ -44,7 +44,7 @@
     )
 
 
-def _found_down(pool: Pool, now_seconds: float) -> list[str]:
+def _reported_down(pool: Pool, now_seconds: float) -> list[str]:
     down = [
         upstream
         for upstream in pool.upstreams
@@ -55,8 +55,8 @@
     return [
         upstream.name
         for upstream in down
-        if upstream.health.failures_count >= DOWN_TOLD_FAILURES
-        and now_seconds - upstream.health.down_at_seconds < DOWN_TOLD_SECONDS
+        if upstream.health.failures_count >= MIN_DOWN_FAILURES
+        and now_seconds - upstream.health.down_at_seconds < DOWN_REPORT_SECONDS
     ]
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -12,18 +12,18 @@
 from ._summary_aggregator import subtract_summary
 
 #: Silence after which a relay is passed over: four of its tellings.
-RELAY_SILENCE_SECONDS = 1.0
+RELAY_TIMEOUT_SECONDS = 1.0
 
 #: Time for which a host counts as there after a relay has named it.
-HEARD_SECONDS = 3.0
+HOST_ALIVE_SECONDS = 3.0
 
 #: Own summaries remembered until a relay's sum names one of them.
-KEPT_SUMMARIES = 16
+MAX_SENT_SUMMARIES = 16
 
 
 @attrs.frozen(repr=False)
 class _OwnReport(Shown):
-    told_at_seconds: float
+    sent_at_seconds: float
     summary: Summary
 
 
@@ -43,10 +43,10 @@
 
     def __init__(self, own: Member) -> None:
         self._own = own
-        self._told: deque[_OwnReport] = deque(maxlen=KEPT_SUMMARIES)
-        self._speaker = ""
-        self._spoke_at_seconds = -math.inf
-        self._word_at: dict[str, float] = {}
+        self._sent_reports: deque[_OwnReport] = deque(maxlen=MAX_SENT_SUMMARIES)
+        self._active_relay = ""
+        self._relayed_at_seconds = -math.inf
+        self._last_seen: dict[str, float] = {}
         self._expected: tuple[str, float] = ("", 0.0)
         self._beats: dict[str, tuple[Beat, float]] = {}
         self._halls: frozenset[str] = frozenset()
@@ -54,11 +54,11 @@
 
     def note_published(self, summary: Summary, now_seconds: float) -> None:
         """Note a summary that this host sends to its relays."""
-        self._told.append(_OwnReport(now_seconds, summary))
+        self._sent_reports.append(_OwnReport(now_seconds, summary))
 
     def note_message(self, name: str, now_seconds: float) -> None:
         """Note that a host of the hall said anything at all."""
-        self._word_at[name] = now_seconds
+        self._last_seen[name] = now_seconds
 
     def is_relay_unresponsive(
         self, relays: Sequence[Member], now_seconds: float
@@ -69,8 +69,8 @@
             return False
         if first != self._expected[0]:
             self._expected = (first, now_seconds)
-        since_seconds = max(self._expected[1], self._word_at.get(first, -math.inf))
-        return now_seconds - since_seconds > RELAY_SILENCE_SECONDS
+        since_seconds = max(self._expected[1], self._last_seen.get(first, -math.inf))
+        return now_seconds - since_seconds > RELAY_TIMEOUT_SECONDS
 
     def take(
         self,
@@ -82,12 +82,12 @@
         """Take what a relay tells; None if another one is listened to."""
         self.note_message(relay, now_seconds)
         is_first = bool(relays) and relays[0].name == relay
-        is_other = relay != self._speaker and not is_first
-        since_seconds = now_seconds - self._spoke_at_seconds
-        if is_other and since_seconds <= RELAY_SILENCE_SECONDS:
+        is_other = relay != self._active_relay and not is_first
+        since_seconds = now_seconds - self._relayed_at_seconds
+        if is_other and since_seconds <= RELAY_TIMEOUT_SECONDS:
             return None
-        self._speaker = relay
-        self._spoke_at_seconds = now_seconds
+        self._active_relay = relay
+        self._relayed_at_seconds = now_seconds
         self._halls = frozenset(fleet.halls)
         for beat in fleet.heard:
             self._beats[beat.host] = (beat, now_seconds)
@@ -96,12 +96,12 @@
         summary = subtract_summary(fleet.summary, own.summary) if own else fleet.summary
         return FleetReport(
             attrs.evolve(summary, sequence=self._sequence),
-            own.told_at_seconds if own else None,
+            own.sent_at_seconds if own else None,
         )
 
     def live_peers(self, now_seconds: float) -> LivePeers:
         """Return whom the relay named of late."""
-        oldest_seconds = now_seconds - HEARD_SECONDS
+        oldest_seconds = now_seconds - HOST_ALIVE_SECONDS
         beats = [
             beat
             for beat, heard_at_seconds in self._beats.values()
@@ -121,7 +121,7 @@
             for beat in fleet.heard
             if (beat.host, beat.incarnation) == own
         }
-        for word in self._told:
-            if word.summary.sequence in sequences:
-                return word
+        for report in self._sent_reports:
+            if report.summary.sequence in sequences:
+                return report
         return None
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -35,8 +35,8 @@
     #: Requests a second from all hosts together; none if it names no rate.
     requests_per_second: float | None
     #: When the request was sent, and when the head of its answer came.
-    asked_at_seconds: float
-    heard_at_seconds: float
+    sent_at_seconds: float
+    received_at_seconds: float
 
     def replaces(self, known: "RateObservation") -> bool:
         """Return whether this is surely what the upstream says now.
@@ -45,8 +45,8 @@
         Where they differ, only what was asked for after the other was heard is newer.
         """
         if (self.requests_per_second is None) is (known.requests_per_second is None):
-            return self.heard_at_seconds > known.heard_at_seconds
-        return self.asked_at_seconds >= known.heard_at_seconds
+            return self.received_at_seconds > known.received_at_seconds
+        return self.sent_at_seconds >= known.received_at_seconds
 
 
 class RequestRates:
@@ -54,76 +54,78 @@
 
     def __init__(self, state_changes: StateChangeTracker) -> None:
         self._state_changes = state_changes
-        self._words: dict[str, RateObservation] = {}
+        self._observations: dict[str, RateObservation] = {}
         #: When this host told the others of each, and when anybody did.
-        self._told_at: dict[str, float] = {}
+        self._published_at: dict[str, float] = {}
         self._confirmed_at: dict[str, float] = {}
-        self._untold: set[str] = set()
+        self._unpublished: set[str] = set()
         #: Called when there is something to tell.
         self.on_update: Callable[[], None] = _do_nothing
 
     def __len__(self) -> int:
-        return len(self._words)
+        return len(self._observations)
 
     def knows(self, upstream: str) -> bool:
         """Return whether the upstream has named a rate, be it over by now."""
-        return upstream in self._words
+        return upstream in self._observations
 
     def observation(self, upstream: str) -> RateObservation | None:
         """Return the newest word of an upstream."""
-        return self._words.get(upstream)
+        return self._observations.get(upstream)
 
     def rate(self, upstream: str, incarnation: str, now_seconds: float) -> float | None:
         """Return the requests a second that a life takes; none if it names none."""
-        word = self._words.get(upstream)
-        if word is None or word.incarnation != incarnation:
+        observed = self._observations.get(upstream)
+        if observed is None or observed.incarnation != incarnation:
             return None
-        if now_seconds - word.heard_at_seconds > STALE_SECONDS:
+        if now_seconds - observed.received_at_seconds > STALE_SECONDS:
             return None
-        return word.requests_per_second
+        return observed.requests_per_second
 
     def record_answer(
-        self, upstream: str, word: RateObservation, now_seconds: float
+        self, upstream: str, observed: RateObservation, now_seconds: float
     ) -> None:
         """Take the word of an answer that this host had; peers hear what is new."""
-        is_change = self.take(upstream, word, "its answer says so")
-        if self._words.get(upstream) is not word:
+        has_changed = self.take(upstream, observed, "its answer says so")
+        if self._observations.get(upstream) is not observed:
             return
         confirmed_at_seconds = self._confirmed_at.get(upstream, -math.inf)
-        if is_change or now_seconds - confirmed_at_seconds > CONFIRM_SECONDS:
-            self._untold.add(upstream)
+        if has_changed or now_seconds - confirmed_at_seconds > CONFIRM_SECONDS:
+            self._unpublished.add(upstream)
             self.on_update()
 
     def receive_update(self, update: RateLimitUpdate, now_seconds: float) -> None:
         """Take a peer's word."""
-        for told in update.rates:
-            word = RateObservation(
-                told.incarnation,
-                told.requests_per_second if told.is_limited else None,
-                now_seconds - told.asked_age_seconds,
-                now_seconds - told.heard_age_seconds,
+        for reported in update.rates:
+            observed = RateObservation(
+                reported.incarnation,
+                reported.requests_per_second if reported.is_limited else None,
+                now_seconds - reported.asked_age_seconds,
+                now_seconds - reported.heard_age_seconds,
             )
-            source = f"a peer had an answer {told.heard_age_seconds:.3f} s ago"
-            self.take(told.upstream, word, source)
-            if self._words.get(told.upstream) is word:
-                self._confirmed_at[told.upstream] = now_seconds
+            source = f"a peer had an answer {reported.heard_age_seconds:.3f} s ago"
+            self.take(reported.upstream, observed, source)
+            if self._observations.get(reported.upstream) is observed:
+                self._confirmed_at[reported.upstream] = now_seconds
 
     def take_update(self, now_seconds: float) -> RateLimitUpdate | None:
         """Return what peers have not been told, to tell them now and again later."""
-        untold, self._untold = self._untold, set()
-        for upstream in untold:
-            self._told_at[upstream] = self._confirmed_at[upstream] = now_seconds
-        return self._to_update(untold, now_seconds)
+        unpublished, self._unpublished = self._unpublished, set()
+        for upstream in unpublished:
+            self._published_at[upstream] = self._confirmed_at[upstream] = now_seconds
+        return self._to_update(unpublished, now_seconds)
 
     def take_retransmission(self, now_seconds: float) -> RateLimitUpdate | None:
         """Return what peers were told of late, to tell it again."""
         oldest_seconds = now_seconds - RETRANSMIT_SECONDS
-        told = {name for name, at in self._told_at.items() if at > oldest_seconds}
-        return self._to_update(told, now_seconds)
+        reported = {
+            name for name, at in self._published_at.items() if at > oldest_seconds
+        }
+        return self._to_update(reported, now_seconds)
 
     def initial_state(self, now_seconds: float) -> RateLimitUpdate | None:
         """Return what a host is to know that has just come."""
-        return self._to_update(self._words, now_seconds)
+        return self._to_update(self._observations, now_seconds)
 
     def _to_update(
         self, names: Iterable[str], now_seconds: float
@@ -131,53 +133,53 @@
         rates = [
             UpstreamRate(
                 name,
-                word.incarnation,
-                word.requests_per_second is not None,
-                word.requests_per_second or 0.0,
-                max(0.0, now_seconds - word.asked_at_seconds),
-                max(0.0, now_seconds - word.heard_at_seconds),
+                observed.incarnation,
+                observed.requests_per_second is not None,
+                observed.requests_per_second or 0.0,
+                max(0.0, now_seconds - observed.sent_at_seconds),
+                max(0.0, now_seconds - observed.received_at_seconds),
             )
             for name in sorted(names)
-            if (word := self._words.get(name)) is not None
+            if (observed := self._observations.get(name)) is not None
         ]
         return RateLimitUpdate(rates) if rates else None
 
-    def take(self, upstream: str, word: RateObservation, source: str) -> bool:
+    def take(self, upstream: str, observed: RateObservation, source: str) -> bool:
         """Take a word; return whether what is believed is another now."""
-        known = self._words.get(upstream)
-        if known is not None and known.incarnation != word.incarnation:
+        known = self._observations.get(upstream)
+        if known is not None and known.incarnation != observed.incarnation:
             known = None
-        if known is None and word.requests_per_second is None:
+        if known is None and observed.requests_per_second is None:
             return False
-        if known is not None and not word.replaces(known):
+        if known is not None and not observed.replaces(known):
             return False
-        self._words[upstream] = word
+        self._observations[upstream] = observed
         before = known.requests_per_second if known else None
-        if word.requests_per_second == before:
+        if observed.requests_per_second == before:
             return False
-        self._note(upstream, word, source)
+        self._note(upstream, observed, source)
         return True
 
     def sweep(self, now_seconds: float) -> None:
         """Drop the words that have not held for long; to be called now and then."""
         oldest_seconds = now_seconds - 2.0 * STALE_SECONDS
-        for upstream, word in list(self._words.items()):
-            if word.heard_at_seconds < oldest_seconds:
+        for upstream, observed in list(self._observations.items()):
+            if observed.received_at_seconds < oldest_seconds:
                 self.forget(upstream, "nobody has heard it name a rate for long")
 
     def forget(self, upstream: str, reason: str) -> None:
         """Drop what was said by an upstream that is gone."""
-        self._told_at.pop(upstream, None)
+        self._published_at.pop(upstream, None)
         self._confirmed_at.pop(upstream, None)
-        self._untold.discard(upstream)
-        if self._words.pop(upstream, None) is not None:
+        self._unpublished.discard(upstream)
+        if self._observations.pop(upstream, None) is not None:
             self._state_changes.forget("rate", upstream, reason)
 
-    def _note(self, upstream: str, word: RateObservation, source: str) -> None:
-        if word.requests_per_second is None:
+    def _note(self, upstream: str, observed: RateObservation, source: str) -> None:
+        if observed.requests_per_second is None:
             self._state_changes.note("rate", upstream, "open", source)
             return
-        state = f"limited to {word.requests_per_second:g} requests a second"
+        state = f"limited to {observed.requests_per_second:g} requests a second"
         self._state_changes.note("rate", upstream, state, source)
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
@@ -53,7 +53,7 @@
 
         ``known`` is the newest one that this host knows.
         """
-        self._note(read, now_seconds)
+        self._record_read(read, now_seconds)
         if not self._era:
             return TreeOffer(attrs.evolve(read.tree, store_era=0), now_seconds)
         is_copied = read.version <= self._first_version
@@ -68,7 +68,7 @@
             max(now_seconds, due_at_seconds),
         )
 
-    def _note(self, read: ReadTree, now_seconds: float) -> None:
+    def _record_read(self, read: ReadTree, now_seconds: float) -> None:
         era = era_of(read.store_version)
         if era != self._era:
             self._era = era
--- a/packages/rampwick-policy/src/rampwick_policy/_rollout.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_rollout.py
@@ -22,8 +22,8 @@
 
 #: Time after an order before the first look at what came of it, and between looks.
 #: Loads take about 0.8 s on today's engines, so the first look comes a little before.
-FIRST_LOOK_SECONDS = 0.6
-LOOK_INTERVAL_SECONDS = 0.15
+FIRST_POLL_SECONDS = 0.6
+POLL_INTERVAL_SECONDS = 0.15
 
 #: Time after which an order that no report shows is sent again; reports lag by 0.2 s.
 RESEND_SECONDS = 1.0
@@ -35,10 +35,10 @@
 STILL_LOADING_SECONDS = 0.5
 
 #: Time for which a runner that did not report is left out of the plan.
-SILENT_SECONDS = 1.0
+UNRESPONSIVE_SECONDS = 1.0
 
 #: Time after which a report that did not come is asked for again.
-ASK_AGAIN_SECONDS = 0.3
+REPORT_RETRY_SECONDS = 0.3
 
 
 class OrderResult(enum.Enum):
@@ -74,9 +74,9 @@
 
     report: LoadReport | None = None
     reported_at_seconds: float = 0.0
-    asked_at_seconds: float = -1e9
+    requested_at_seconds: float = -1e9
     #: Until when a runner that did not report is left out.
-    silent_until_seconds: float = -1e9
+    unresponsive_until_seconds: float = -1e9
     #: The last order, while it is not known to be over.
     ordered_version: int | None = None
     ordered_at_seconds: float = 0.0
@@ -121,30 +121,30 @@
         states = [
             self._with_pending(runner)
             for runner in runners
-            if now_seconds >= self._record(runner.name).silent_until_seconds
+            if now_seconds >= self._record(runner.name).unresponsive_until_seconds
         ]
         steps: list[RolloutStep] = []
         # Rounded up: with a runner gone the others load as fast as before.
         by_ratio = math.ceil(len(states) * self._max_loads_ratio)
         max_loads = max(self._max_loads, by_ratio)
         for planned in plan_orders(states, targets, 0, max_loads):
-            steps += self._approach(planned, now_seconds)
+            steps += self._order_or_fetch(planned, now_seconds)
         for runner in states:
             if self._record(runner.name).is_pending():
-                steps += self._look(runner, now_seconds)
+                steps += self._poll(runner, now_seconds)
         return steps
 
     def note_report(
-        self, runner: str, report: LoadReport, asked_at_seconds: float
+        self, runner: str, report: LoadReport, requested_at_seconds: float
     ) -> None:
         """Take a report that was asked for at the given time."""
         record = self._record(runner)
         record.report = report
-        record.reported_at_seconds = asked_at_seconds
+        record.reported_at_seconds = requested_at_seconds
         version = record.ordered_version
         if version is None:
             return
-        waited_seconds = asked_at_seconds - record.ordered_at_seconds
+        waited_seconds = requested_at_seconds - record.ordered_at_seconds
         is_idle = report.role == SERVING_ROLE
         if (
             report.weights_version >= version
@@ -154,13 +154,13 @@
             record.ordered_version = None
         elif not is_idle:
             record.until_seconds = max(
-                record.until_seconds, asked_at_seconds + STILL_LOADING_SECONDS
+                record.until_seconds, requested_at_seconds + STILL_LOADING_SECONDS
             )
 
     def note_unresponsive(self, runner: str, now_seconds: float) -> None:
         """Note that a runner did not report; others go before it for a while."""
         record = self._record(runner)
-        record.silent_until_seconds = now_seconds + SILENT_SECONDS
+        record.unresponsive_until_seconds = now_seconds + UNRESPONSIVE_SECONDS
 
     def note_sent(self, runner: str, version: int, now_seconds: float) -> None:
         """Note that an order is about to be sent."""
@@ -188,12 +188,14 @@
         is_loading = runner.is_loading or record.is_pending()
         return attrs.evolve(runner, is_loading=is_loading)
 
-    def _approach(self, planned: PlannedOrder, now_seconds: float) -> list[RolloutStep]:
+    def _order_or_fetch(
+        self, planned: PlannedOrder, now_seconds: float
+    ) -> list[RolloutStep]:
         record = self._record(planned.runner)
         report = record.report
         age_seconds = now_seconds - record.reported_at_seconds
         if report is None or age_seconds > FRESH_REPORT_SECONDS:
-            return self._ask(planned.runner, planned.address, now_seconds)
+            return self._fetch_report(planned.runner, planned.address, now_seconds)
         if report.role != SERVING_ROLE:
             # Somebody's order is under way; look again before telling it more.
             record.report = None
@@ -201,20 +203,22 @@
         order = attrs.evolve(planned.order, expected_orders_count=report.orders_count)
         return [attrs.evolve(planned, order=order)]
 
-    def _look(self, runner: RunnerState, now_seconds: float) -> list[RolloutStep]:
+    def _poll(self, runner: RunnerState, now_seconds: float) -> list[RolloutStep]:
         record = self._record(runner.name)
-        if now_seconds - record.ordered_at_seconds < FIRST_LOOK_SECONDS:
+        if now_seconds - record.ordered_at_seconds < FIRST_POLL_SECONDS:
             return []
-        if now_seconds - record.asked_at_seconds < LOOK_INTERVAL_SECONDS:
+        if now_seconds - record.requested_at_seconds < POLL_INTERVAL_SECONDS:
             return []
-        return self._ask(runner.name, runner.address, now_seconds, is_look=True)
+        return self._fetch_report(
+            runner.name, runner.address, now_seconds, is_poll=True
+        )
 
-    def _ask(
-        self, runner: str, address: str, now_seconds: float, is_look: bool = False
+    def _fetch_report(
+        self, runner: str, address: str, now_seconds: float, is_poll: bool = False
     ) -> list[RolloutStep]:
         record = self._record(runner)
-        waited_seconds = now_seconds - record.asked_at_seconds
-        if not is_look and waited_seconds < ASK_AGAIN_SECONDS:
+        waited_seconds = now_seconds - record.requested_at_seconds
+        if not is_poll and waited_seconds < REPORT_RETRY_SECONDS:
             return []
-        record.asked_at_seconds = now_seconds
+        record.requested_at_seconds = now_seconds
         return [FetchReport(runner, address)]
--- a/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
@@ -22,30 +22,30 @@
 class StateChangeTracker(Shown):
     """Beliefs as they were last noted; changes wait here until they are taken."""
 
-    _known: dict[tuple[str, str], str] = attrs.field(factory=dict)
-    _waiting: list[StateChange] = attrs.field(factory=list)
+    _states: dict[tuple[str, str], str] = attrs.field(factory=dict)
+    _pending: list[StateChange] = attrs.field(factory=list)
 
     def note(self, kind: str, name: str, state: str, reason: str) -> None:
         """Note a belief; only one that differs from the last becomes a notice."""
-        before = self._known.get((kind, name), "")
+        before = self._states.get((kind, name), "")
         if state == before:
             return
-        self._known[kind, name] = state
-        self._waiting.append(StateChange(kind, name, before, state, reason))
+        self._states[kind, name] = state
+        self._pending.append(StateChange(kind, name, before, state, reason))
 
     def knows(self, kind: str, name: str) -> bool:
         """Return whether anything is believed of something."""
-        return (kind, name) in self._known
+        return (kind, name) in self._states
 
     def forget(self, kind: str, name: str, reason: str) -> None:
         """Note that nothing is believed of something any more."""
-        before = self._known.pop((kind, name), "")
+        before = self._states.pop((kind, name), "")
         if before:
-            self._waiting.append(StateChange(kind, name, before, "gone", reason))
+            self._pending.append(StateChange(kind, name, before, "gone", reason))
 
     def take(self) -> list[StateChange]:
         """Return the changes since the last call."""
-        if not self._waiting:
+        if not self._pending:
             return []
-        taken, self._waiting = self._waiting, []
+        taken, self._pending = self._pending, []
         return taken
--- a/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
@@ -35,25 +35,25 @@
 
     def merge(self, summaries: Iterable[Summary], sequence: int) -> Summary:
         """Return the sum of the summaries of a hall's hosts."""
-        known = list(summaries)
+        host_summaries = list(summaries)
         placed, self._placed = self._placed, []
-        version = _newest_version(known)
+        version = _newest_version(host_summaries)
         return Summary(
             sequence=sequence,
             revision=version.revision,
             host_list_version=max(
-                (item.host_list_version for item in known), default=-1
+                (item.host_list_version for item in host_summaries), default=-1
             ),
             is_leaving=False,
-            workspaces=_sum_workspaces(known),
-            upstreams=_sum_upstreams(known),
+            workspaces=_sum_workspaces(host_summaries),
+            upstreams=_sum_upstreams(host_summaries),
             placed=placed,
-            down=sorted({name for item in known for name in item.down}),
-            hosts_count=max(1, sum(item.hosts_count for item in known)),
-            waiting=_sum_waiting(known),
-            limits=sum_limits(known),
+            down=sorted({name for item in host_summaries for name in item.down}),
+            hosts_count=max(1, sum(item.hosts_count for item in host_summaries)),
+            waiting=_sum_waiting(host_summaries),
+            limits=sum_limits(host_summaries),
             limits_known_seconds=max(
-                (item.limits_known_seconds for item in known), default=0.0
+                (item.limits_known_seconds for item in host_summaries), default=0.0
             ),
             store_era=version.store_era,
         )
@@ -80,7 +80,7 @@
             for item in total.workspaces
         ],
         upstreams=[
-            _less(item, loads.get((item.upstream, item.incarnation)))
+            _subtract_load(item, loads.get((item.upstream, item.incarnation)))
             for item in total.upstreams
         ],
         waiting=[
@@ -96,7 +96,7 @@
         ],
         hosts_count=max(1, total.hosts_count - part.hosts_count),
         limits=[
-            _plus(item, own_limits[item.path], sign=-1)
+            _add_usage(item, own_limits[item.path], sign=-1)
             if item.path in own_limits
             else item
             for item in total.limits
@@ -118,7 +118,7 @@
     return newest
 
 
-def _less(total: UpstreamUsage, part: UpstreamUsage | None) -> UpstreamUsage:
+def _subtract_load(total: UpstreamUsage, part: UpstreamUsage | None) -> UpstreamUsage:
     if part is None:
         return total
     return UpstreamUsage(
@@ -150,12 +150,14 @@
     sums: dict[str, LimitUsage] = {}
     for summary in summaries:
         for usage in summary.limits:
-            known = sums.get(usage.path)
-            sums[usage.path] = usage if known is None else _plus(known, usage)
+            previous = sums.get(usage.path)
+            sums[usage.path] = (
+                usage if previous is None else _add_usage(previous, usage)
+            )
     return [sums[path] for path in sorted(sums)]
 
 
-def _plus(usage: LimitUsage, other: LimitUsage, sign: int = 1) -> LimitUsage:
+def _add_usage(usage: LimitUsage, other: LimitUsage, sign: int = 1) -> LimitUsage:
     return LimitUsage(
         usage.path,
         max(0, usage.sent_tokens + sign * other.sent_tokens),
@@ -169,12 +171,12 @@
     for summary in summaries:
         for usage in summary.upstreams:
             key = (usage.upstream, usage.incarnation)
-            known = sums.get(key)
-            if known is not None:
+            previous = sums.get(key)
+            if previous is not None:
                 usage = attrs.evolve(
                     usage,
-                    running_count=usage.running_count + known.running_count,
-                    waiting_tokens=usage.waiting_tokens + known.waiting_tokens,
+                    running_count=usage.running_count + previous.running_count,
+                    waiting_tokens=usage.waiting_tokens + previous.waiting_tokens,
                 )
             sums[key] = usage
     return [sums[key] for key in sorted(sums)]
--- a/packages/rampwick-policy/src/rampwick_policy/_targets.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_targets.py
@@ -9,8 +9,8 @@
 
 #: Versions of one model whose time of naming is remembered, and how many of the newest
 #: are told to peers: more are seldom named within the time that any may be used.
-KEPT_VERSIONS = 64
-TOLD_VERSIONS = 4
+MAX_VERSIONS_PER_MODEL = 64
+MAX_PUBLISHED_VERSIONS = 4
 
 
 #: Age of a host's own reading up to which it was reading all the time: a watch of 3 s
@@ -30,11 +30,11 @@
     #: Age of a version that was named while nobody told this host of it.
     assumed_age_seconds: float = 0.0
     #: Steady time up to which no newer version was known to readers or to this host.
-    quiet_until_seconds: float = -math.inf
+    unchanged_until_seconds: float = -math.inf
     #: Steady time at which this host's own reading was surely the newest.
     read_at_seconds: float = -math.inf
     _named_at: dict[str, dict[int, float]] = attrs.field(factory=dict)
-    _guessed: set[tuple[str, int]] = attrs.field(factory=set)
+    _estimated: set[tuple[str, int]] = attrs.field(factory=set)
 
     def apply(
         self,
@@ -44,8 +44,8 @@
         """Take the targets that were told; older versions change nothing."""
         for target in targets:
             if self._is_new(target):
-                self._guess(target, now_seconds)
-        self._note_quiet(now_seconds - MAX_READING_AGE_SECONDS)
+                self._note_estimated(target, now_seconds)
+        self._note_unchanged(now_seconds - MAX_READING_AGE_SECONDS)
 
     def read(
         self,
@@ -60,31 +60,31 @@
         or a pause nobody here knows when.
         """
         age_seconds = now_seconds - self.read_at_seconds
-        has_seen = age_seconds <= MAX_READING_AGE_SECONDS and not is_after_failure
+        was_observed = age_seconds <= MAX_READING_AGE_SECONDS and not is_after_failure
         for target in targets:
             if not self._is_new(target):
                 continue
-            if has_seen:
+            if was_observed:
                 self._note(
-                    target.model, target.weights_version, now_seconds, is_guess=False
+                    target.model, target.weights_version, now_seconds, is_estimate=False
                 )
             else:
-                self._guess(target, now_seconds)
+                self._note_estimated(target, now_seconds)
         self.read_at_seconds = max(self.read_at_seconds, read_at_seconds)
-        self._note_quiet(read_at_seconds)
+        self._note_unchanged(read_at_seconds)
 
     def _is_new(self, target: WeightsTarget) -> bool:
         known = self._named_at.get(target.model, {})
         return target.weights_version > max(known, default=-1)
 
-    def _guess(self, target: WeightsTarget, now_seconds: float) -> None:
+    def _note_estimated(self, target: WeightsTarget, now_seconds: float) -> None:
         at_seconds = max(
-            now_seconds - self.assumed_age_seconds, self.quiet_until_seconds
+            now_seconds - self.assumed_age_seconds, self.unchanged_until_seconds
         )
-        self._note(target.model, target.weights_version, at_seconds, is_guess=True)
+        self._note(target.model, target.weights_version, at_seconds, is_estimate=True)
 
-    def _note_quiet(self, at_seconds: float) -> None:
-        self.quiet_until_seconds = max(self.quiet_until_seconds, at_seconds)
+    def _note_unchanged(self, at_seconds: float) -> None:
+        self.unchanged_until_seconds = max(self.unchanged_until_seconds, at_seconds)
 
     def learn(self, named: Iterable[NamedWeights], now_seconds: float) -> None:
         """Take a peer's word on when versions were named; the earliest time holds."""
@@ -92,21 +92,21 @@
             model, version = item.model, item.weights_version
             at_seconds = now_seconds - item.age_seconds
             known_seconds = self._named_at.get(model, {}).get(version, math.inf)
-            if (model, version) in self._guessed or at_seconds < known_seconds:
-                self._note(model, version, at_seconds, is_guess=False)
+            if (model, version) in self._estimated or at_seconds < known_seconds:
+                self._note(model, version, at_seconds, is_estimate=False)
 
     def _note(
-        self, model: str, version: int, at_seconds: float, is_guess: bool
+        self, model: str, version: int, at_seconds: float, is_estimate: bool
     ) -> None:
         named = self._named_at.setdefault(model, {})
         named[version] = at_seconds
-        self._guessed.discard((model, version))
-        if is_guess:
-            self._guessed.add((model, version))
-        while len(named) > KEPT_VERSIONS:
+        self._estimated.discard((model, version))
+        if is_estimate:
+            self._estimated.add((model, version))
+        while len(named) > MAX_VERSIONS_PER_MODEL:
             oldest = min(named)
             del named[oldest]
-            self._guessed.discard((model, oldest))
+            self._estimated.discard((model, oldest))
 
     def read_age_seconds(self, now_seconds: float) -> float:
         """Return the age of this host's own reading; infinite if there is none."""
@@ -127,8 +127,8 @@
         return [
             NamedWeights(model, version, max(0.0, now_seconds - named[version]))
             for model, named in self._named_at.items()
-            for version in sorted(named)[-TOLD_VERSIONS:]
-            if (model, version) not in self._guessed
+            for version in sorted(named)[-MAX_PUBLISHED_VERSIONS:]
+            if (model, version) not in self._estimated
         ]
 
     def outdated_seconds(self, model: str, version: int, now_seconds: float) -> float:
--- a/packages/rampwick-policy/src/rampwick_policy/_tree.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_tree.py
@@ -85,17 +85,17 @@
         validate_tree(tree)
         self.tree = tree
         self.routes = RouteIndex(tree.routing)
-        shared_wall = _shared_wall(tree)
+        shared_domain = _shared_cache_domain(tree)
         self._workspaces = {
             path: attrs.evolve(
                 resolve_workspace(tree, path),
-                cache_domain=path if node.is_isolated else shared_wall,
+                cache_domain=path if node.is_isolated else shared_domain,
             )
             for path, node in tree.nodes.items()
             if node.is_workspace
         }
         #: Stands for whoever uses a public route.
-        self.public_workspace = Workspace(ROOT, (), (), cache_domain=shared_wall)
+        self.public_workspace = Workspace(ROOT, (), (), cache_domain=shared_domain)
         self._by_key_hash = {
             key_hash: path
             for path, node in tree.nodes.items()
@@ -155,7 +155,7 @@
     )
 
 
-def _shared_wall(tree: Tree) -> str:
+def _shared_cache_domain(tree: Tree) -> str:
     """Return the name under which workspaces that are not isolated share a cache.
 
     It changes with the set of isolated workspaces, since one that becomes isolated
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
@@ -24,20 +24,20 @@
 
 #: Least rate: an upstream that takes nothing is tried now and then, since only an
 #: answer says that it takes requests again.
-TRIAL_PER_SECOND = 0.1
+MIN_PROBES_PER_SECOND = 0.1
 
 #: Senders for each request a second, beside the first.
 SENDERS_PER_RATE = 1.0
 
 #: Requests that a sender may have saved up, so that its part is used though callers
 #: come by chance.
-MOST_SAVED_COUNT = 2.0
+BURST_COUNT = 2.0
 
 #: What sums of parts may lack of a whole request.
-ROUNDING_COUNT = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 #: Time for which operators are shown what was sent.
-SHOWN_WINDOW_SECONDS = 4.0
+STATUS_WINDOW_SECONDS = 4.0
 
 
 class SenderCountPolicy(Protocol):
@@ -72,52 +72,52 @@
 
 #: Parts remembered: they are asked for at each look at a limited upstream, and are
 #: others only where hosts come or go.
-PARTS_COUNT = 1024
+SHARE_CACHE_SIZE = 1024
 
 
-@functools.lru_cache(maxsize=PARTS_COUNT)
-def part_ratio(local_view: LocalView, key: bytes, senders_count: int) -> float:
+@functools.lru_cache(maxsize=SHARE_CACHE_SIZE)
+def rate_share(local_view: LocalView, key: bytes, senders_count: int) -> float:
     """Return a host's part of a rate; none unless it is one of the senders."""
     if local_view.is_leaving:
         return 0.0
-    near = local_view.live_peers
-    halls = _rendezvous.rank(key, near.halls | {local_view.hall})[:senders_count]
-    mates_count = max(1, senders_count // len(halls))
-    hosts = _rendezvous.rank(key, near.staying | {local_view.host})[:mates_count]
+    peers = local_view.live_peers
+    halls = _rendezvous.rank(key, peers.halls | {local_view.hall})[:senders_count]
+    hosts_per_hall = max(1, senders_count // len(halls))
+    hosts = _rendezvous.rank(key, peers.staying | {local_view.host})[:hosts_per_hall]
     if local_view.hall not in halls or local_view.host not in hosts:
         return 0.0
     return 1.0 / (len(halls) * len(hosts))
 
 
 @attrs.define(repr=False)
-class _Turns(Shown):
+class _TokenBucket(Shown):
     """What one host may send one upstream; a new sender has nothing saved."""
 
     at_seconds: float
     requests_per_second: float = 0.0
-    saved_count: float = 0.0
+    tokens_count: float = 0.0
     sent: SlidingWindow = attrs.field(
-        factory=lambda: SlidingWindow(SHOWN_WINDOW_SECONDS)
+        factory=lambda: SlidingWindow(STATUS_WINDOW_SECONDS)
     )
 
-    def change(self, requests_per_second: float, now_seconds: float) -> None:
+    def set_rate(self, requests_per_second: float, now_seconds: float) -> None:
         """Save what was earned until now, and go on at another rate."""
-        earned = (now_seconds - self.at_seconds) * self.requests_per_second
-        self.saved_count = min(MOST_SAVED_COUNT, self.saved_count + earned)
+        refilled = (now_seconds - self.at_seconds) * self.requests_per_second
+        self.tokens_count = min(BURST_COUNT, self.tokens_count + refilled)
         if not requests_per_second:
             # By the time it sends again, others have used what it saved.
-            self.saved_count = 0.0
+            self.tokens_count = 0.0
         self.at_seconds = now_seconds
         self.requests_per_second = requests_per_second
 
     @property
     def next_at_seconds(self) -> float:
         """When the next request may go; infinite if none may."""
-        if self.saved_count >= 1.0 - ROUNDING_COUNT:
+        if self.tokens_count >= 1.0 - ROUNDING_TOLERANCE:
             return self.at_seconds
         if not self.requests_per_second:
             return math.inf
-        missing = 1.0 - self.saved_count
+        missing = 1.0 - self.tokens_count
         return self.at_seconds + missing / self.requests_per_second
 
 
@@ -140,66 +140,66 @@
         self,
         rates: RequestRates,
         local_view: LocalView,
-        heard_ratio: Callable[[float], float],
-        rule: SenderCountPolicy | None = None,
+        alive_ratio: Callable[[float], float],
+        sender_count_policy: SenderCountPolicy | None = None,
     ) -> None:
         """``heard_ratio`` returns the part of the fleet that is heard here."""
         self.rates = rates
         self.local_view = local_view
-        self._heard_ratio = heard_ratio
-        self._rule = rule or SendersByRate()
-        self._turns: dict[str, _Turns] = {}
+        self._alive_ratio = alive_ratio
+        self._sender_count_policy = sender_count_policy or SendersByRate()
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether an upstream may be sent a request by this host now."""
-        turn = self._turn(upstream, now_seconds)
-        return turn is None or now_seconds >= turn.next_at_seconds
+        bucket = self._bucket(upstream, now_seconds)
+        return bucket is None or now_seconds >= bucket.next_at_seconds
 
     def note_sent(self, upstream: Upstream, now_seconds: float) -> None:
         """Note that a request goes to an upstream."""
-        turn = self._turn(upstream, now_seconds)
-        if turn is not None:
-            turn.saved_count -= 1.0
-            turn.sent.add(1.0, now_seconds)
+        bucket = self._bucket(upstream, now_seconds)
+        if bucket is not None:
+            bucket.tokens_count -= 1.0
+            bucket.sent.add(1.0, now_seconds)
 
     def next_at_seconds(self, upstream: Upstream, now_seconds: float) -> float | None:
         """Return when this host may send to it; none if it takes what comes."""
-        turn = self._turn(upstream, now_seconds)
-        return None if turn is None else turn.next_at_seconds
+        bucket = self._bucket(upstream, now_seconds)
+        return None if bucket is None else bucket.next_at_seconds
 
     def own_rate(self, upstream: Upstream, now_seconds: float) -> float:
         """Return the requests a second that this host may send, where one is named."""
-        turn = self._turn(upstream, now_seconds)
-        return turn.requests_per_second if turn else 0.0
+        bucket = self._bucket(upstream, now_seconds)
+        return bucket.requests_per_second if bucket else 0.0
 
     def state(self, upstream: Upstream, now_seconds: float) -> UpstreamRateState | None:
         """Return how an upstream's rate stands; none if it names none."""
-        turn = self._turn(upstream, now_seconds)
+        bucket = self._bucket(upstream, now_seconds)
         rate = self.rates.rate(upstream.name, upstream.life_incarnation, now_seconds)
-        if turn is None or rate is None:
+        if bucket is None or rate is None:
             return None
         return UpstreamRateState(
             upstream.name,
             rate,
-            turn.requests_per_second,
-            round(turn.sent.total(now_seconds)),
+            bucket.requests_per_second,
+            round(bucket.sent.total(now_seconds)),
         )
 
-    def _turn(self, upstream: Upstream, now_seconds: float) -> _Turns | None:
+    def _bucket(self, upstream: Upstream, now_seconds: float) -> _TokenBucket | None:
         if not len(self.rates):
             return None
         incarnation = upstream.life_incarnation
         rate = self.rates.rate(upstream.name, incarnation, now_seconds)
         if rate is None:
-            self._turns.pop(upstream.name, None)
+            self._buckets.pop(upstream.name, None)
             return None
-        rate = max(rate, TRIAL_PER_SECOND)
-        senders_count = self._rule.senders_count(rate)
+        rate = max(rate, MIN_PROBES_PER_SECOND)
+        senders_count = self._sender_count_policy.senders_count(rate)
         key = f"{upstream.name}/{incarnation}".encode()
-        ratio = part_ratio(self.local_view, key, senders_count)
-        own_rate = rate * ratio * self._heard_ratio(now_seconds)
-        turn = self._turns.get(upstream.name)
-        if turn is None:
-            turn = self._turns[upstream.name] = _Turns(now_seconds)
-        turn.change(own_rate, now_seconds)
-        return turn
+        ratio = rate_share(self.local_view, key, senders_count)
+        own_rate = rate * ratio * self._alive_ratio(now_seconds)
+        bucket = self._buckets.get(upstream.name)
+        if bucket is None:
+            bucket = self._buckets[upstream.name] = _TokenBucket(now_seconds)
+        bucket.set_rate(own_rate, now_seconds)
+        return bucket
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -36,12 +36,12 @@
 from rampwick_policy._state_changes import StateChangeTracker
 from rampwick_policy._upstream import Upstream
 from rampwick_policy._upstream_rate_limiter import (
-    MOST_SAVED_COUNT,
-    TRIAL_PER_SECOND,
+    BURST_COUNT,
+    MIN_PROBES_PER_SECOND,
     LocalView,
     SendersByRate,
     UpstreamRateLimiter,
-    part_ratio,
+    rate_share,
 )
 from rampwick_schema import HostEntry
 
@@ -193,7 +193,7 @@
             for rate in (0.1, 0.2, 1.8, 7.0, 50.0, 1e6):
                 senders_count = SendersByRate().senders_count(rate)
                 ratios = [
-                    part_ratio(item, b"u/1", senders_count)
+                    rate_share(item, b"u/1", senders_count)
                     for item in standpoints(fleet)
                 ]
                 self.assertAlmostEqual(1.0, sum(ratios))
@@ -205,7 +205,7 @@
         firsts = set()
         for key in (b"u/1", b"u/2", b"v/1", b"w/1"):
             for item in standpoints(fleet):
-                if part_ratio(item, key, 1):
+                if rate_share(item, key, 1):
                     firsts.add(item.host)
         self.assertGreater(len(firsts), 1)
 
@@ -213,7 +213,7 @@
         (own,) = standpoints(make_fleet(1, 1))
         leaving = attrs.evolve(own, is_leaving=True)
         self.assertEqual(
-            (1.0, 0.0), (part_ratio(own, b"u", 1), part_ratio(leaving, b"u", 1))
+            (1.0, 0.0), (rate_share(own, b"u", 1), rate_share(leaving, b"u", 1))
         )
 
 
@@ -252,7 +252,7 @@
                 turns.note_sent(upstream, step / 100.0)
                 times.append(step / 100.0)
         self.assertEqual([10.0, 10.01, 11.0], times[:3])
-        self.assertLessEqual(most_in_window(times), 4 + MOST_SAVED_COUNT)
+        self.assertLessEqual(most_in_window(times), 4 + BURST_COUNT)
 
     def test_a_new_sender_waits_for_a_turn_of_its_own(self):
         near = LivePeers(frozenset(), frozenset(), frozenset({"h1"}))
@@ -274,7 +274,7 @@
     def test_one_that_takes_nothing_is_tried_now_and_then(self):
         turns = make_turns(LocalView("e0", "h0"), 0.0)
         upstream = make_upstream()
-        pause_seconds = 1.0 / TRIAL_PER_SECOND
+        pause_seconds = 1.0 / MIN_PROBES_PER_SECOND
         self.assertFalse(turns.may_send(upstream, 0.0))
         self.assertFalse(turns.may_send(upstream, pause_seconds - 0.1))
         self.assertTrue(turns.may_send(upstream, pause_seconds))
@@ -285,7 +285,7 @@
         self.assertFalse(turns.may_send(upstream, 0.0))
         self.assertTrue(turns.may_send(upstream, 1.0))
         turns.rates.take("u", RateObservation("", 0.5, 0.95, 1.0), "test")
-        for _ in range(int(MOST_SAVED_COUNT)):
+        for _ in range(int(BURST_COUNT)):
             self.assertTrue(turns.may_send(upstream, 1.0))
             turns.note_sent(upstream, 1.0)
         self.assertFalse(turns.may_send(upstream, 2.9))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -40,17 +40,17 @@
         window = SlidingWindow(8.0)
         window.add(100.0, 1.0)
         window.add(50.0, 1.9)
-        self.assertEqual(0.0, window.leaving(1.0, 7.5))
-        self.assertEqual(100.0, window.leaving(1.0, 8.5))
-        self.assertEqual(150.0, window.leaving(1.0, 9.2))
+        self.assertEqual(0.0, window.expiring(1.0, 7.5))
+        self.assertEqual(100.0, window.expiring(1.0, 8.5))
+        self.assertEqual(150.0, window.expiring(1.0, 9.2))
 
     def test_what_is_taken_back_leaves_at_once_and_once(self):
         window = SlidingWindow(8.0)
         window.add(100.0, 1.0)
         window.add(50.0, 2.0)
-        window.take_back(100.0, 1.0)
+        window.subtract(100.0, 1.0)
         self.assertEqual(50.0, window.total(3.0))
-        window.take_back(50.0, 30.0)
+        window.subtract(50.0, 30.0)
         self.assertEqual(50.0, window.total(9.0))
 
 
