--- a/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_burst_detector.py
@@ -1,30 +1,30 @@
-"""Whether demand of a hall under limits has grown since others were told.
+"""Detects growth in the demand of a hall since its last published summary.
 
-A host sees a few requests of a workspace in a second, so that what it is asked doubles
-by chance all the time; only a hall's sum tells whether there is more of it.
+A host receives a few requests per second of a workspace, so its own demand often
+doubles by chance. Only the sum over a hall shows whether demand has grown.
 """
 
 from collections.abc import Iterable
 
 from rampwick_schema import LimitUsage
 
-#: Growth of what a hall is asked under a limit, since it was told last, that can't wait
-#: for the next usual word.
+#: Growth in demand under a limit since the last summary that is published immediately
+#: instead of with the next periodic summary.
 GROWTH_RATIO = 1.5
 
 
 class BurstDetector:
-    """What others were told last that a hall is asked."""
+    """Compares the demand of a hall with the last published values."""
 
     def __init__(self) -> None:
         self._published: dict[str, int] = {}
 
     def note_published(self, limits: Iterable[LimitUsage]) -> None:
-        """Note what others are told now."""
+        """Record the values that are published now."""
         self._published = {usage.path: usage.asked_tokens for usage in limits}
 
     def has_grown(self, limits: Iterable[LimitUsage]) -> bool:
-        """Return whether any limit is asked for much more than others know."""
+        """Return whether the demand of any limit is well above its published value."""
         return any(
             usage.asked_tokens
             > GROWTH_RATIO * max(1, self._published.get(usage.path, 0))
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -1,11 +1,11 @@
-"""A limit in tokens that all hosts keep together, as one host sees it.
-
-Each host counts what it sends itself and hears from its peers, some tenths of a second
-late, what they sent within the window, what of it leaves the window next, and what they
-are asked for. While the fleet is well below the limit every request goes. Near it, each
-host lets the same ratio of its requests go: so many as bring the fleet's sum to the
-limit within a short time. A host's equal part of a limit would not do: with 90 hosts it
-is smaller than one long prompt.
+"""A token limit that all hosts enforce together, as one host sees it.
+
+Each host counts the tokens that it sends. Its peers report, some tenths of a second
+late, the tokens that they sent within the window, the part that expires next, and their
+demand. While the fleet is well below the limit, every request is admitted. Near the
+limit, each host admits the same ratio of its requests, such that the sum of the fleet
+converges to the limit within a short time. Equal shares would not work: with 90 hosts,
+a share is smaller than one long prompt.
 """
 
 import math
@@ -19,69 +19,69 @@
 from ._sliding_window import SlidingWindow
 from ._tree import LimitedNode
 
-#: Time over which the rate of what is asked for is taken: some tens of requests of a
-#: workspace near its limit, and short against the time in which a burst fills it.
+#: Window over which demand is measured. It covers some tens of requests of a workspace
+#: near its limit and is short compared to the time in which a burst exhausts the limit.
 DEMAND_WINDOW_SECONDS = 0.5
 
-#: Time within which the fleet's sum is to reach the limit: two to three times the age
-#: of peers' words, so that the correction of one host isn't repeated by all.
+#: Time within which the sum of the fleet converges to the limit. It is two to three
+#: times the age of peer reports, so that not all hosts repeat the correction of one.
 CONVERGENCE_SECONDS = 2.0
 
-#: Time in which hosts hear of a burst: the aim is as far from what must not be passed
-#: as what is asked for within it, so that a small excess is held near the bound and a
-#: large one near the limit. A fleet that aims at the limit itself is below it half of
-#: the time, and refuses then what is within it.
+#: Time in which a burst becomes known to all hosts. The target stays below the hard
+#: ceiling by the demand of this time, so a small excess converges near the ceiling and
+#: a large one near the limit. With the limit itself as target, the fleet would be below
+#: it half of the time and refuse requests that are within the limit.
 PROPAGATION_SECONDS = 0.6
 
-#: Largest part of what a limit may be passed by that is aimed at.
+#: Largest part of the tolerated excess over a limit that the target may include.
 MAX_TARGET_RATIO = 0.5
 
-#: Growth of what a host is asked for that its peers hear of at once, in a limit of
-#: which more than a part is used.
+#: Growth in demand at a host that is reported to its peers immediately, and the usage
+#: of the limit above which this applies.
 BURST_RATIO = 2.0
 NEAR_LIMIT_RATIO = 0.8
 
-#: Least time over which the rate of what is asked for is taken after a start.
+#: Shortest window over which demand is measured after a start.
 MIN_DEMAND_WINDOW_SECONDS = 0.125
 
-#: Time for which a limit's rate may be used at once by a fleet that has just started:
-#: a lone request is no sign of a workspace over its limit.
+#: Time whose worth of a limit's rate a fleet that has just started may use at once,
+#: since a single request does not indicate a workspace over its limit.
 START_BURST_SECONDS = 0.5
 
-#: Time for which the first requests wait in a fleet that has just come back as a whole:
-#: until what other halls are asked has come by way of two relays. What was asked
-#: meanwhile comes at once, and each host would let all of it go before it had heard of
-#: the others'.
+#: Time for which the first requests are held after a simultaneous start of the fleet,
+#: until the demand of other halls has arrived through two relays. Requests that built
+#: up during the outage arrive all at once, and each host would admit all of its own
+#: before it knew the demand elsewhere.
 HOLD_SECONDS = 1.0
 
-#: Part of a limit up to which a request is no matter: it neither waits nor is drawn.
+#: Fraction of a limit up to which a request is negligible: neither held nor sampled.
 NEGLIGIBLE_RATIO = 1.0 / 5000.0
 
-#: Time for which a limit is said to bind after a refusal.
+#: Time for which a limit is reported as binding after a refusal.
 BINDING_SECONDS = 1.0
 
-#: Bounds of what callers over a limit are told to wait, and how it is spread.
+#: Lower bound and jitter of the retry delay sent to callers over a limit.
 MIN_RETRY_AFTER_SECONDS = 0.25
 JITTER_RATIO = 0.25
 
 
 @attrs.frozen(repr=False)
 class LimitParameters(Shown):
-    """What holds for all limits at a moment."""
+    """Parameters that apply to all limits at one time."""
 
     window_seconds: float
-    #: How far a limit may be passed before a rule is broken.
+    #: Tolerated excess over a limit.
     over_ratio: float
     slack_tokens: float
-    #: Part of the limit that the hosts which hear each other may use.
+    #: Share of the limit that the hosts which reach each other may use.
     part_ratio: float = 1.0
-    #: Part of the window of which nobody who is alive knows anything.
+    #: Part of the window for which no live host has usage data.
     unknown_seconds: float = 0.0
 
 
 @attrs.frozen(repr=False)
 class OverLimit(Shown):
-    """A request that its workspace's limit has no room for."""
+    """A request that would exceed a limit of its workspace."""
 
     path: str
     retry_after_seconds: float
@@ -89,10 +89,10 @@
 
 @attrs.define(repr=False)
 class _ExcessAllowance(Shown):
-    """What was sent under a higher limit; less and less of it is in the window.
+    """Tokens sent under a higher limit that are exempt, decreasing over one window.
 
-    Forgiven whole until it has left, what leaves would be let go again at the old rate,
-    and a surge right after would find the window full.
+    If the full excess stayed exempt until it expired, expiring tokens would be admitted
+    again at the old rate, and a burst right afterwards would find the window full.
     """
 
     until_seconds: float
@@ -100,9 +100,9 @@
     _since_seconds: float | None = None
 
     def tokens(self, excess_tokens: float, now_seconds: float) -> float:
-        """Return the tokens of the window that count no more.
+        """Return the tokens of the window that are exempt.
 
-        The excess counts as it is when it is first asked for after the change.
+        The excess is fixed at the first call after the change of the limit.
         """
         if now_seconds >= self.until_seconds:
             return 0.0
@@ -115,23 +115,23 @@
 
 @attrs.frozen(repr=False)
 class _Forecast(Shown):
-    """How a limit stands at a moment, over all hosts; tokens within the window."""
+    """Usage and demand of a limit over all hosts, in tokens within the window."""
 
     used: float
-    #: What may still be sent, and what must not be passed.
+    #: Tokens up to the target, and the hard upper bound of the usage.
     headroom: float
     ceiling: float
-    #: Tokens that will be sent elsewhere before the fleet's sum has settled.
+    #: Tokens that peers are expected to send before the sum of the fleet converges.
     expected_elsewhere: float
-    #: Tokens asked for a second, and those that may go.
+    #: Demand and admissible rate, in tokens per second.
     demand: float
     admissible: float
-    #: Whether others' part of it is known by old words, or not at all.
+    #: Whether the usage of peers is known from old reports only, or not at all.
     is_estimate: bool
 
 
 class FleetLimit:
-    """One limit: this host's own window and its peers' words."""
+    """One limit: the window of this host and the reports of its peers."""
 
     def __init__(
         self, limit: LimitedNode, window_seconds: float, rng: random.Random
@@ -141,32 +141,32 @@
         self._sent = SlidingWindow(window_seconds)
         self._demand = SlidingWindow(DEMAND_WINDOW_SECONDS)
         self._reports = PeerReports(window_seconds)
-        #: Parts of requests that may go; one is sent for each whole.
+        #: Accumulated fractions of admitted requests; each whole admits one request.
         self._credit = rng.random()
-        #: Ratio of the requests that may go, as decided last.
+        #: Last computed ratio of requests that are admitted.
         self.admit_ratio = 1.0
         self._allowance: _ExcessAllowance | None = None
         self._refused_at_seconds = -math.inf
         self._demand_since_seconds: float | None = None
-        #: What peers were told last that this host is asked for, a second.
+        #: Demand in the last report to the peers, in tokens per second.
         self._published_demand = 0.0
 
     def change(
         self, limit: LimitedNode, window_seconds: float, now_seconds: float
     ) -> None:
-        """Take other figures; what was sent under a higher limit is no excess."""
+        """Apply changed values; tokens sent under a higher limit are exempt."""
         old = allowed_tokens(self.limit, window_seconds)
         if allowed_tokens(limit, window_seconds) < old:
             self._allowance = _ExcessAllowance(now_seconds + window_seconds)
         elif self._allowance is not None:
-            # What is beyond the new figures is less.
+            # The excess over the new limit is smaller and is fixed again.
             self._allowance = _ExcessAllowance(self._allowance.until_seconds)
         self.limit = limit
 
-    # What peers say and are told.
+    # Exchange with peers.
 
     def usage(self, now_seconds: float) -> LimitUsage | None:
-        """Return what peers are told; nothing if there is nothing to tell."""
+        """Return the report for the peers; ``None`` if there is nothing to report."""
         sent = self._sent.total(now_seconds)
         demand = self._demand_per_second(now_seconds)
         self._published_demand = demand
@@ -176,36 +176,36 @@
         return LimitUsage(self.limit.path, round(sent), round(expiring), round(demand))
 
     def receive_usage(self, peer: str, usage: LimitUsage, at_seconds: float) -> None:
-        """Take what a peer says of a time."""
+        """Record the report of a peer, current at ``at_seconds``."""
         self._reports.record(peer, usage, at_seconds)
 
     def forget(self, peer: str) -> None:
-        """Drop what a peer said, since another one speaks for it."""
+        """Drop the report of a peer; another peer now reports on its behalf."""
         self._reports.forget(peer)
 
-    def has_surged(self, terms: LimitParameters, now_seconds: float) -> bool:
-        """Return whether peers are to hear at once of what this host is asked now.
+    def has_surged(self, parameters: LimitParameters, now_seconds: float) -> bool:
+        """Return whether the demand at this host calls for an immediate update.
 
-        While a limit has room to spare there is time for the usual words.
+        While a limit has enough headroom, the periodic summary is sufficient.
         """
         demand = self._demand_per_second(now_seconds)
         if demand < BURST_RATIO * max(1.0, self._published_demand):
             return False
-        allowed = allowed_tokens(self.limit, terms.window_seconds)
-        return self.used_tokens(terms, now_seconds) > allowed * NEAR_LIMIT_RATIO
+        allowed = allowed_tokens(self.limit, parameters.window_seconds)
+        return self.used_tokens(parameters, now_seconds) > allowed * NEAR_LIMIT_RATIO
 
     def expire(self, now_seconds: float) -> None:
-        """Drop the words of which nothing can be within the window any more."""
+        """Drop reports that are older than the window."""
         self._reports.expire(now_seconds)
 
-    # Decisions.
+    # Admission.
 
     def hold_seconds(
         self, tokens: float, window_seconds: float, now_seconds: float
     ) -> float:
-        """Return how long a request waits until peers have told what they are asked.
+        """Return how long a request is held until peers have reported their demand.
 
-        To be asked while the fleet is young; peers are told of a request that waits.
+        Called during warm-up only; the demand report includes held requests.
         """
         if tokens <= self._negligible_tokens(window_seconds):
             return 0.0
@@ -218,23 +218,23 @@
         return hold_seconds
 
     def record_demand(self, tokens: float, now_seconds: float) -> None:
-        """Count a request among those that this host is asked for."""
+        """Add a request to the demand at this host."""
         if self._demand_since_seconds is None:
             self._demand_since_seconds = now_seconds
         self._demand.add(tokens, now_seconds)
 
     def admit(
-        self, tokens: float, terms: LimitParameters, now_seconds: float
+        self, tokens: float, parameters: LimitParameters, now_seconds: float
     ) -> OverLimit | None:
-        """Count a request that may go now; return why it may not."""
-        forecast = self._make_forecast(terms, now_seconds)
+        """Charge a request that is admitted now; return the excess otherwise."""
+        forecast = self._make_forecast(parameters, now_seconds)
         self.admit_ratio = min(1.0, forecast.admissible / max(1.0, forecast.demand))
-        if self._may_admit(tokens, terms.window_seconds, forecast):
+        if self._may_admit(tokens, parameters.window_seconds, forecast):
             self._sent.add(tokens, now_seconds)
             return None
         self._refused_at_seconds = now_seconds
         wait_seconds = self._wait_seconds(tokens, forecast)
-        return OverLimit(self.limit.path, min(wait_seconds, terms.window_seconds))
+        return OverLimit(self.limit.path, min(wait_seconds, parameters.window_seconds))
 
     def _may_admit(
         self, tokens: float, window_seconds: float, forecast: _Forecast
@@ -248,19 +248,21 @@
     def _negligible_tokens(self, window_seconds: float) -> float:
         return allowed_tokens(self.limit, window_seconds) * NEGLIGIBLE_RATIO
 
-    def _make_forecast(self, terms: LimitParameters, now_seconds: float) -> _Forecast:
+    def _make_forecast(
+        self, parameters: LimitParameters, now_seconds: float
+    ) -> _Forecast:
         demand_elsewhere = self._reports.asked_tokens
         demand = self._demand_per_second(now_seconds) + demand_elsewhere
         expiring = self._expiring_per_second(now_seconds) + self._reports.leaving_tokens
-        target, ceiling = self._bounds(demand, terms)
-        used = self.used_tokens(terms, now_seconds)
+        target, ceiling = self._bounds(demand, parameters)
+        used = self.used_tokens(parameters, now_seconds)
         if self._allowance is not None:
             exempt = self._allowance.tokens(used - target, now_seconds)
             used = max(min(used, target), used - exempt)
         headroom = target - used
-        if terms.unknown_seconds:
-            expiring += self._refill * terms.part_ratio
-            headroom = self._headroom_with_unknown(headroom, used, terms)
+        if parameters.unknown_seconds:
+            expiring += self._refill * parameters.part_ratio
+            headroom = self._headroom_with_unknown(headroom, used, parameters)
         expected_elsewhere = max(0.0, demand_elsewhere - expiring) * CONVERGENCE_SECONDS
         return _Forecast(
             used=used,
@@ -269,55 +271,60 @@
             expected_elsewhere=expected_elsewhere,
             demand=demand,
             admissible=max(0.0, headroom / CONVERGENCE_SECONDS + expiring),
-            is_estimate=bool(self._reports) or terms.unknown_seconds > 0.0,
+            is_estimate=bool(self._reports) or parameters.unknown_seconds > 0.0,
         )
 
     def _headroom_with_unknown(
-        self, headroom: float, used: float, terms: LimitParameters
+        self, headroom: float, used: float, parameters: LimitParameters
     ) -> float:
-        """Return the room where hosts that are no more may have sent, too.
+        """Return the headroom if hosts that no longer exist may have sent as well.
 
-        They are taken to have sent all that they might, the burst not long ago.
+        They are assumed to have used the full rate and, recently, the burst.
         """
-        sent = self._refill * terms.unknown_seconds + self.limit.burst_tokens
-        known_seconds = terms.window_seconds - terms.unknown_seconds
+        sent = self._refill * parameters.unknown_seconds + self.limit.burst_tokens
+        known_seconds = parameters.window_seconds - parameters.unknown_seconds
         fresh = self._refill * (known_seconds + START_BURST_SECONDS)
-        return max(headroom - sent * terms.part_ratio, fresh * terms.part_ratio - used)
+        return max(
+            headroom - sent * parameters.part_ratio,
+            fresh * parameters.part_ratio - used,
+        )
 
-    def _bounds(self, demand: float, terms: LimitParameters) -> tuple[float, float]:
-        """Return what is aimed at within a window, and what must not be passed."""
-        limit = allowed_tokens(self.limit, terms.window_seconds)
-        ceiling = limit * (1.0 + terms.over_ratio) + terms.slack_tokens
+    def _bounds(
+        self, demand: float, parameters: LimitParameters
+    ) -> tuple[float, float]:
+        """Return the target usage within a window and its hard upper bound."""
+        limit = allowed_tokens(self.limit, parameters.window_seconds)
+        ceiling = limit * (1.0 + parameters.over_ratio) + parameters.slack_tokens
         target = min(
             ceiling - demand * PROPAGATION_SECONDS,
             limit + (ceiling - limit) * MAX_TARGET_RATIO,
         )
         target = max(limit, target)
-        return target * terms.part_ratio, ceiling * terms.part_ratio
+        return target * parameters.part_ratio, ceiling * parameters.part_ratio
 
     def is_binding(self, now_seconds: float) -> bool:
-        """Return whether a request was refused because of it of late."""
+        """Return whether the limit has recently caused a refusal."""
         return now_seconds - self._refused_at_seconds < BINDING_SECONDS
 
-    def used_tokens(self, terms: LimitParameters, now_seconds: float) -> float:
-        """Return what all hosts have sent within the window, as far as known."""
-        # Those that are not heard have the rest of the limit to themselves.
-        only_fresh = terms.part_ratio < 1.0
+    def used_tokens(self, parameters: LimitParameters, now_seconds: float) -> float:
+        """Return the estimated tokens that all hosts have sent within the window."""
+        # Unreachable hosts use the remaining share of the limit.
+        only_fresh = parameters.part_ratio < 1.0
         return self._sent.total(now_seconds) + self._reports.sent_tokens(
             self.admit_ratio, only_fresh, now_seconds
         )
 
     def move(self, tokens: float, from_seconds: float, now_seconds: float) -> None:
-        """Count a request that waited from when it is sent."""
+        """Move the charge of a queued request to its dispatch time."""
         self._sent.subtract(tokens, from_seconds)
         self._sent.add(tokens, now_seconds)
 
     def count_again(self, tokens: float, now_seconds: float) -> None:
-        """Count a second run of a request."""
+        """Charge another attempt of a request."""
         self._sent.add(tokens, now_seconds)
 
     def refund(self, tokens: float, at_seconds: float) -> None:
-        """Count a request no more that surely did not run."""
+        """Revert the charge of a request that did not run."""
         self._sent.subtract(tokens, at_seconds)
 
     @property
@@ -327,7 +334,7 @@
     def _demand_per_second(self, now_seconds: float) -> float:
         if self._demand_since_seconds is None:
             return 0.0
-        # A host that has just started has not been asked for the whole time.
+        # A host that has just started has no demand for the whole window yet.
         since_seconds = now_seconds - self._demand_since_seconds
         span_seconds = min(
             DEMAND_WINDOW_SECONDS, max(MIN_DEMAND_WINDOW_SECONDS, since_seconds)
@@ -341,8 +348,8 @@
         )
 
     def _sample(self) -> bool:
-        # Parts are saved up: single draws would let a host that sees two requests a
-        # second send both or none.
+        # Fractions accumulate: with independent samples, a host that receives two
+        # requests per second would often admit both or none.
         self._credit += self.admit_ratio
         if self._credit < 1.0:
             return False
@@ -350,7 +357,7 @@
         return True
 
     def _wait_seconds(self, tokens: float, forecast: _Forecast) -> float:
-        """Return when there is room again for this request and those turned away."""
+        """Return the time until this and other refused requests have capacity."""
         refill = max(1.0, self._refill)
         wait_seconds = max(0.0, tokens - forecast.headroom) / refill
         refused = max(0.0, forecast.demand - forecast.admissible)
@@ -360,5 +367,5 @@
 
 
 def allowed_tokens(limit: LimitedNode, window_seconds: float) -> float:
-    """Return what all hosts together may send within a window."""
+    """Return the tokens that all hosts together may send within a window."""
     return (limit.tokens_per_second or 0.0) * window_seconds + limit.burst_tokens
--- a/packages/rampwick-policy/src/rampwick_policy/_host_lists.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_host_lists.py
@@ -1,10 +1,10 @@
-"""Differences between versions of the host list, to be sent instead of the whole."""
+"""Differences between versions of the host list, sent instead of the full list."""
 
 from rampwick_schema import HostList, HostListChanges
 
 
 def diff_hosts(base: HostList, current: HostList) -> HostListChanges:
-    """Return what makes ``current`` out of ``base``."""
+    """Return the changes from ``base`` to ``current``."""
     before = {entry.name: entry for entry in base.hosts}
     after = {entry.name: entry for entry in current.hosts}
     return HostListChanges(
@@ -16,7 +16,7 @@
 
 
 def patch_hosts(base: HostList, changes: HostListChanges) -> HostList | None:
-    """Return the list that the changes make, or none if they are not for this one."""
+    """Return the patched list; ``None`` if the changes have another base version."""
     if base.version != changes.base_version:
         return None
     hosts = {entry.name: entry for entry in base.hosts}
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
@@ -1,26 +1,26 @@
-"""Peers' reports on one limit, extrapolated to the present."""
+"""Reports of peers on one limit, extrapolated to the current time."""
 
 import attrs
 
 from rampwick_schema import LimitUsage, Shown
 
-#: Time ahead for which hosts report what will have left their windows.
+#: Look-ahead for which hosts report the tokens that will expire from their windows.
 EXPIRY_HORIZON_SECONDS = 1.0
 
-#: Age up to which a report is extrapolated, and up to which it then holds: an
-#: unresponsive peer may still be sending. From there on it leaves the window.
+#: Age up to which a report is extrapolated, and age up to which its last value is then
+#: held, since an unresponsive peer may still be sending. After that the value decays.
 EXTRAPOLATION_SECONDS = 1.0
 ALIVE_SECONDS = 3.0
 
-#: Part of a peer's sum that must be missing, with nothing to have left the window,
-#: before it is taken for the sum of hosts that died: their requests have run all the
-#: same. Less is a host that is counted in one report and not in the next.
+#: Drop in the sum that a peer reports, beyond what expired, that is attributed to hosts
+#: that crashed; requests that they sent still count. A smaller drop is a host that is
+#: missing from one report only.
 LOST_RATIO = 0.1
 
 
 @attrs.frozen(repr=False)
 class _Report(Shown):
-    """A peer's last report, with the time at which it held."""
+    """The last report of a peer and the time at which it was current."""
 
     usage: LimitUsage
     at_seconds: float
@@ -28,7 +28,7 @@
     def sent_tokens(
         self, admit_ratio: float, window_seconds: float, now_seconds: float
     ) -> float:
-        """Return what the peer has sent within the window by now, as far as known."""
+        """Return the estimated tokens that the peer has sent within the window."""
         age_seconds = max(0.0, now_seconds - self.at_seconds)
         extrapolated_seconds = min(age_seconds, EXTRAPOLATION_SECONDS)
         usage = self.usage
@@ -38,7 +38,7 @@
         return tokens * max(0.0, 1.0 - decay_seconds / window_seconds)
 
     def remaining_tokens(self, at_seconds: float, window_seconds: float) -> float:
-        """Return what must still be in the window then of what was sent."""
+        """Return the reported tokens that are still within the window at a time."""
         since_seconds = max(0.0, at_seconds - self.at_seconds)
         reported_seconds = min(since_seconds, EXPIRY_HORIZON_SECONDS)
         tokens = self.usage.sent_tokens - self.usage.leaving_tokens * reported_seconds
@@ -46,12 +46,12 @@
         return tokens * max(0.0, 1.0 - unreported_seconds / window_seconds)
 
     def is_fresh(self, now_seconds: float) -> bool:
-        """Return whether the peer is surely alive."""
+        """Return whether the report is recent enough for the peer to be alive."""
         return now_seconds - self.at_seconds < ALIVE_SECONDS
 
 
 class PeerReports:
-    """The newest report of each peer, and what hosts had sent that died."""
+    """The newest report of each peer, and the usage of crashed hosts."""
 
     def __init__(self, window_seconds: float) -> None:
         self._window_seconds = window_seconds
@@ -62,7 +62,7 @@
         return bool(self._reports)
 
     def record(self, peer: str, usage: LimitUsage, at_seconds: float) -> None:
-        """Take a peer's report."""
+        """Record the report of a peer."""
         known = self._reports.get(peer)
         if known is not None:
             missing = known.remaining_tokens(at_seconds, self._window_seconds)
@@ -73,11 +73,11 @@
         self._reports[peer] = _Report(usage, at_seconds)
 
     def forget(self, peer: str) -> None:
-        """Drop a peer's report, since another peer reports for it."""
+        """Drop the report of a peer; another peer now reports on its behalf."""
         self._reports.pop(peer, None)
 
     def expire(self, now_seconds: float) -> None:
-        """Drop the reports of which nothing can be within the window any more."""
+        """Drop reports that are older than the window."""
         oldest_seconds = now_seconds - self._window_seconds - ALIVE_SECONDS
         self._lost = [
             report for report in self._lost if report.at_seconds > oldest_seconds
@@ -88,21 +88,21 @@
 
     @property
     def asked_tokens(self) -> float:
-        """Tokens that peers are asked for, a second."""
+        """Demand at the peers, in tokens per second."""
         return sum(report.usage.asked_tokens for report in self._reports.values())
 
     @property
     def leaving_tokens(self) -> float:
-        """Tokens that leave peers' windows, a second."""
+        """Tokens per second that expire from the windows of the peers."""
         return sum(report.usage.leaving_tokens for report in self._reports.values())
 
     def sent_tokens(
         self, admit_ratio: float, only_fresh: bool, now_seconds: float
     ) -> float:
-        """Return what peers have sent within the window by now, as far as known.
+        """Return the estimated tokens that the peers have sent within the window.
 
-        ``admit_ratio`` is the part that they are assumed to have admitted since;
-        ``only_fresh`` leaves out those that are not surely alive.
+        ``admit_ratio`` is the ratio of requests that they are assumed to have admitted
+        since their reports; ``only_fresh`` excludes peers with an old report.
         """
         reports = [*self._reports.values(), *self._lost]
         if only_fresh:
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -1,4 +1,4 @@
-"""All limits in tokens of a host: what is counted, and who may go."""
+"""Token limits of a host: usage tracking and admission of requests."""
 
 import math
 import random
@@ -12,27 +12,28 @@
 from ._fleet_limit import FleetLimit, LimitParameters, OverLimit, allowed_tokens
 from ._tree import LimitedNode, Workspace
 
-#: Age of what a fleet knows up to which its first requests wait for what all are asked.
+#: Time after the start of a fleet in which its first requests are held until the
+#: demand at the other hosts is known.
 WARM_UP_SECONDS = 3.0
 
-#: Time for which a host that hears nobody counts those that it heard: where its relay
-#: or its own role is another, the next word is a moment away, and with 90 hosts its
-#: own part of a limit is less than one long prompt.
+#: Time for which a host without live peers keeps the previous host count. After a
+#: change of relay or role the next summary arrives shortly, and with 90 hosts the share
+#: of a single host is less than one long prompt.
 ISOLATION_GRACE_SECONDS = 1.5
 
-#: Time for which hosts that fell silent may still be serving callers somewhere, as long
-#: as keys are usually honoured without confirmation: for so long those that hear each
-#: other keep to their part of each limit.
+#: Time for which unreachable hosts may still be serving callers, which is how long keys
+#: are usually accepted without confirmation. Until it is over, the hosts that reach
+#: each other use only their share of each limit.
 UNCONFIRMED_SERVING_SECONDS = 5.0
 
-#: The same for the smaller part of a fleet, which may itself be what was cut off.
+#: The same for the smaller side of a partition, which may itself be the isolated one.
 FLEET_SIZE_MEMORY_SECONDS = 10.0
 MINORITY_RATIO = 0.5
 
 
 @attrs.frozen(repr=False)
 class LimitCharge(Shown):
-    """What a request counts towards one limit, and from when."""
+    """Charge of a request against one limit, and the time at which it was made."""
 
     path: str
     tokens: float
@@ -41,28 +42,28 @@
 
 @attrs.frozen(repr=False)
 class LimitState(Shown):
-    """One limit as operators are shown it."""
+    """State of one limit, for the status page and metrics."""
 
     path: str
     allowed_tokens: float
     used_tokens: float
     admit_ratio: float
-    #: Part of the limit that the hosts heard here may use.
+    #: Share of the limit that the live hosts may use.
     part_ratio: float
-    #: Whether requests were refused because of it within the last second.
+    #: Whether the limit caused refusals within the last second.
     is_binding: bool
 
 
 class LimitTracker:
-    """Limits by path, and what counts towards them."""
+    """Limits by path, with their usage."""
 
     def __init__(self, settings: QuotaSettings, host: str) -> None:
         self._settings = settings
         self._rng = random.Random(host)
         self._limits: dict[str, FleetLimit] = {}
-        #: Limits that each peer named last.
+        #: Paths of the limits in the last summary of each peer.
         self._reported_paths: dict[str, frozenset[str]] = {}
-        #: Since when somebody who is alive has been counting.
+        #: Time since which at least one live host has tracked usage.
         self._tracked_since_seconds = math.inf
         self._hosts_count = 1
         self._max_hosts_count = 1
@@ -70,7 +71,7 @@
         self._peers_seen_at_seconds = -math.inf
 
     def apply(self, workspaces: Mapping[str, Workspace], now_seconds: float) -> None:
-        """Take the limits of a tree; what was counted stays."""
+        """Apply the limits of a tree; existing limits keep their usage."""
         self.known_seconds(now_seconds)
         limits = {
             limit.path: limit
@@ -85,30 +86,31 @@
 
     def _updated_limit(self, limit: LimitedNode, now_seconds: float) -> FleetLimit:
         window_seconds = self._settings.window_seconds
-        known = self._limits.get(limit.path)
-        if known is None:
+        fleet_limit = self._limits.get(limit.path)
+        if fleet_limit is None:
             return FleetLimit(limit, window_seconds, self._rng)
-        known.change(limit, window_seconds, now_seconds)
-        return known
+        fleet_limit.change(limit, window_seconds, now_seconds)
+        return fleet_limit
 
-    # What requests count.
+    # Requests.
 
     def hold_seconds(self, event: ev.RequestArrived, now_seconds: float) -> float:
-        """Return how long a request waits for what the fleet is asked, as a whole.
+        """Return how long a request is held until the demand of the fleet is known.
 
-        Nothing, but for the first moments of a fleet in which nobody knows anything.
+        The result is 0 except shortly after the start of a whole fleet, when no host
+        has any usage history.
         """
         if self.known_seconds(now_seconds) > WARM_UP_SECONDS:
             return 0.0
         return max(
             (
-                known.hold_seconds(
-                    _counted_tokens(limit, event),
+                fleet_limit.hold_seconds(
+                    _charged_tokens(limit, event),
                     self._settings.window_seconds,
                     now_seconds,
                 )
                 for limit in event.workspace.limits
-                if (known := self._limits.get(limit.path)) is not None
+                if (fleet_limit := self._limits.get(limit.path)) is not None
             ),
             default=0.0,
         )
@@ -116,28 +118,30 @@
     def admit(
         self, event: ev.RequestArrived, now_seconds: float
     ) -> OverLimit | list[LimitCharge]:
-        """Count a request that arrives; return why it may not go."""
-        counted: list[LimitCharge] = []
+        """Charge an arriving request; return its charges, or the limit it exceeds."""
+        charges: list[LimitCharge] = []
         for limit in event.workspace.limits:
-            known = self._limits.get(limit.path)
-            if known is None:
+            fleet_limit = self._limits.get(limit.path)
+            if fleet_limit is None:
                 continue
-            tokens = _counted_tokens(limit, event)
+            tokens = _charged_tokens(limit, event)
             if not event.was_held:
-                known.record_demand(tokens, now_seconds)
-            exceeded = known.admit(tokens, self._terms(now_seconds), now_seconds)
+                fleet_limit.record_demand(tokens, now_seconds)
+            exceeded = fleet_limit.admit(
+                tokens, self._parameters(now_seconds), now_seconds
+            )
             if exceeded is not None:
-                self.refund(counted)
+                self.refund(charges)
                 return exceeded
-            counted.append(LimitCharge(limit.path, tokens, now_seconds))
-        return counted
+            charges.append(LimitCharge(limit.path, tokens, now_seconds))
+        return charges
 
     def note_sent(
-        self, counted: Iterable[LimitCharge], is_retry: bool, now_seconds: float
+        self, charges: Iterable[LimitCharge], is_retry: bool, now_seconds: float
     ) -> list[LimitCharge]:
-        """Note that a request is sent now; return what it counts from then on."""
+        """Move the charges of a request to its dispatch time and return them."""
         charged = []
-        for item in counted:
+        for item in charges:
             limit = self._limits.get(item.path)
             if limit is None:
                 continue
@@ -148,45 +152,45 @@
             charged.append(attrs.evolve(item, at_seconds=now_seconds))
         return charged
 
-    def refund(self, counted: Iterable[LimitCharge]) -> None:
-        """Count a request no more that surely did not run."""
-        for item in counted:
+    def refund(self, charges: Iterable[LimitCharge]) -> None:
+        """Revert the charges of a request that did not run."""
+        for item in charges:
             limit = self._limits.get(item.path)
             if limit is not None:
                 limit.refund(item.tokens, item.at_seconds)
 
-    # What peers say and are told.
+    # Exchange with peers.
 
     def usages(self, now_seconds: float) -> list[LimitUsage]:
-        """Return what peers are told of this host's windows."""
+        """Return the usage that this host reports to its peers."""
         usages = (limit.usage(now_seconds) for limit in self._limits.values())
         return [usage for usage in usages if usage is not None]
 
     def has_surged(self, workspace: Workspace, now_seconds: float) -> bool:
-        """Return whether peers are to hear at once of what a workspace asks here."""
+        """Return whether the demand of a workspace calls for an immediate update."""
         if not workspace.limits:
             return False
-        terms = self._terms(now_seconds)
+        parameters = self._parameters(now_seconds)
         limits = (self._limits.get(limit.path) for limit in workspace.limits)
         return any(
-            limit.has_surged(terms, now_seconds)
+            limit.has_surged(parameters, now_seconds)
             for limit in limits
             if limit is not None
         )
 
     def known_seconds(self, now_seconds: float) -> float:
-        """Return for how long somebody who is alive has been counting."""
+        """Return for how long at least one live host has tracked usage."""
         self._tracked_since_seconds = min(self._tracked_since_seconds, now_seconds)
         return now_seconds - self._tracked_since_seconds
 
     def receive_summary(
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
-        """Take a peer's word, which is that old already."""
+        """Record the summary of a peer, sent ``age_seconds`` ago."""
         since_seconds = now_seconds - age_seconds - summary.limits_known_seconds
         self._tracked_since_seconds = min(self._tracked_since_seconds, since_seconds)
         reported = {usage.path: usage for usage in summary.limits}
-        # A peer that names a limit no more has nothing left in its window.
+        # A limit that is missing from a summary has no usage left at that peer.
         for path in reported.keys() | self._reported_paths.get(peer, frozenset()):
             limit = self._limits.get(path)
             if limit is not None:
@@ -195,22 +199,23 @@
         self._reported_paths[peer] = frozenset(reported)
 
     def forget(self, peer: str) -> None:
-        """Drop what a peer said, since another one speaks for it."""
+        """Drop the reports of a peer; another peer now reports on its behalf."""
         self._reported_paths.pop(peer, None)
         for limit in self._limits.values():
             limit.forget(peer)
 
     def note_members(self, count: int, now_seconds: float) -> None:
-        """Note how many hosts are known, heard or not.
+        """Record the number of known hosts, whether alive or not.
 
-        One that has just started and hears nobody yet is not the whole fleet.
+        A host that has just started and has no peers yet must not take itself for the
+        whole fleet.
         """
         if count > self._max_hosts_count:
             self._max_hosts_count = count
             self._max_hosts_at_seconds = now_seconds
 
     def note_time(self, hosts_count: int, now_seconds: float) -> None:
-        """Note the present time and the hosts that hear each other."""
+        """Record the current time and the number of hosts that reach each other."""
         self.known_seconds(now_seconds)
         if hosts_count > 1:
             self._peers_seen_at_seconds = now_seconds
@@ -227,37 +232,37 @@
             limit.expire(now_seconds)
 
     def states(self, now_seconds: float) -> list[LimitState]:
-        """Return how each limit stands."""
+        """Return the state of each limit, ordered by path."""
         return [self.state(path, now_seconds) for path in sorted(self._limits)]
 
     def state(self, path: str, now_seconds: float) -> LimitState:
-        """Return how one limit stands."""
-        limit, terms = self._limits[path], self._terms(now_seconds)
+        """Return the state of one limit."""
+        limit, parameters = self._limits[path], self._parameters(now_seconds)
         return LimitState(
             path,
-            allowed_tokens(limit.limit, terms.window_seconds),
-            limit.used_tokens(terms, now_seconds),
+            allowed_tokens(limit.limit, parameters.window_seconds),
+            limit.used_tokens(parameters, now_seconds),
             limit.admit_ratio,
-            terms.part_ratio,
+            parameters.part_ratio,
             limit.is_binding(now_seconds),
         )
 
     def binding_states(self, now_seconds: float) -> list[tuple[str, bool]]:
-        """Return the paths of all limits, each with whether it binds."""
+        """Return the path of each limit and whether it is binding."""
         return [
             (path, limit.is_binding(now_seconds))
             for path, limit in sorted(self._limits.items())
         ]
 
     def part_ratio(self, now_seconds: float) -> float:
-        """Return the part of each limit that the hosts heard here may use."""
+        """Return the share of each limit that the live hosts may use."""
         ratio = self._hosts_count / self._max_hosts_count
         missing_seconds = now_seconds - self._max_hosts_at_seconds
         if ratio >= MINORITY_RATIO and missing_seconds > UNCONFIRMED_SERVING_SECONDS:
             return 1.0
         return ratio
 
-    def _terms(self, now_seconds: float) -> LimitParameters:
+    def _parameters(self, now_seconds: float) -> LimitParameters:
         settings = self._settings
         known_seconds = self.known_seconds(now_seconds)
         return LimitParameters(
@@ -269,8 +274,8 @@
         )
 
 
-def _counted_tokens(limit: LimitedNode, event: ev.RequestArrived) -> float:
-    """Return what a request counts: as its caller names it, no matter what it costs."""
+def _charged_tokens(limit: LimitedNode, event: ev.RequestArrived) -> float:
+    """Return the charge of a request: the count its caller names, not its real cost."""
     if limit.counts_requests:
         return 1.0
     if event.named_tokens is not None:
--- a/packages/rampwick-policy/src/rampwick_policy/_membership.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_membership.py
@@ -1,8 +1,8 @@
-"""Which peers are alive and what each said last.
+"""Live peers and the last summary of each.
 
-A peer's report counts by incarnation, then by sequence: an older one never
-overrides newer. A peer that is silent for too long counts as gone; what it said of
-running work is then dropped, while its use of the pool decays by itself.
+Summaries are ordered by incarnation, then by sequence; an older one never replaces a
+newer one. A peer that is unresponsive for too long is considered dead. Its reported
+load is then dropped, while its usage of the pool decays on its own.
 """
 
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 @attrs.frozen(repr=False)
 class PeerView(Shown):
-    """The newest word of one peer."""
+    """The newest summary of one peer."""
 
     name: str
     hall: str
@@ -25,7 +25,7 @@
 
 @attrs.frozen(repr=False)
 class PeerLoad(Shown):
-    """What peers have under way at one upstream."""
+    """Load of the peers at one upstream."""
 
     running_count: int = 0
     waiting_tokens: int = 0
@@ -35,14 +35,14 @@
 
 
 class Membership:
-    """All peers that this host has heard in a while."""
+    """All peers that sent a summary recently."""
 
     def __init__(self, dead_after_seconds: float) -> None:
         self._dead_after_seconds = dead_after_seconds
         self._views: dict[str, PeerView] = {}
-        # Sums over all views, kept up to date so that a choice costs no walk.
+        # Sums over all views, updated incrementally so that placement does not iterate.
         self._loads: dict[tuple[str, str], PeerLoad] = {}
-        #: Most hosts that were alive at once of late, this one included.
+        #: Largest number of hosts that were alive at once, including this one.
         self.known_hosts_count = 1
 
     def receive_summary(
@@ -53,15 +53,15 @@
         summary: Summary,
         now_seconds: float,
     ) -> bool:
-        """Take a summary; return false for one that is older than the last."""
+        """Record a summary; return false if it is older than the last."""
         known = self._views.get(name)
         order = (incarnation, summary.sequence)
         if known and order <= (known.incarnation, known.summary.sequence):
             is_unresponsive = (
                 now_seconds - known.heard_at_seconds >= self._dead_after_seconds
             )
-            # Another relay may speak for a hall; it counts from when the one before
-            # has fallen silent.
+            # Another relay may take over the reports of a hall; its summaries count
+            # once the previous relay is unresponsive.
             if incarnation == known.incarnation or not is_unresponsive:
                 return False
         if known:
@@ -74,17 +74,17 @@
         return True
 
     def hosts_count(self, now_seconds: float) -> int:
-        """Return the hosts that are alive, this one included."""
+        """Return the number of live hosts, including this one."""
         return 1 + sum(view.summary.hosts_count for view in self.live(now_seconds))
 
     def live(self, now_seconds: float) -> Iterator[PeerView]:
-        """Yield the peers that were heard recently."""
+        """Yield the peers that sent a summary recently."""
         for view in self._views.values():
             if now_seconds - view.heard_at_seconds < self._dead_after_seconds:
                 yield view
 
     def expire(self, now_seconds: float) -> list[PeerView]:
-        """Drop and return the peers that have been silent for too long."""
+        """Drop and return the peers that have been unresponsive for too long."""
         live = {view.name for view in self.live(now_seconds)}
         expired = [view for name, view in self._views.items() if name not in live]
         for view in expired:
@@ -93,27 +93,27 @@
         return expired
 
     def drop(self, name: str) -> None:
-        """Forget a peer and what it said of its load."""
+        """Drop a peer and its reported load."""
         known = self._views.pop(name, None)
         if known is not None:
             self._count(known.summary, sign=-1)
 
     def has_live_peers(self, now_seconds: float) -> bool:
-        """Return whether any peer is alive as far as this host knows."""
+        """Return whether any peer is alive."""
         return next(self.live(now_seconds), None) is not None
 
     def own_share_ratio(self, now_seconds: float) -> float:
-        """Return the part of the pool that this host may use on its own.
+        """Return the share of the pool that this host may use.
 
-        While it hears a peer, the whole: use is then counted together. A host that
-        hears nobody takes an equal part of the fleet it last knew.
+        With a live peer it is the whole pool, since usage is then counted together.
+        Without one it is an equal share, by the last known size of the fleet.
         """
         if self.has_live_peers(now_seconds):
             return 1.0
         return 1.0 / self.known_hosts_count
 
     def load_of(self, upstream: str, incarnation: str) -> "PeerLoad":
-        """Return what peers, those not yet expired, have under way at an upstream."""
+        """Return the load of all peers that have not expired at an upstream."""
         return self._loads.get((upstream, incarnation), NO_LOAD)
 
     def _count(self, summary: Summary, sign: int) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
@@ -1,4 +1,4 @@
-"""What one host tells its peers of itself: use, open work, placements, what is down."""
+"""The summary that a host publishes: usage, load, placements and failed upstreams."""
 
 from collections.abc import Mapping
 
@@ -7,8 +7,8 @@
 from ._health import HealthState
 from ._pool import MAX_DOWN_TOLD_RATIO, Pool
 
-#: Time after its first failure for which peers are told that an upstream is down, and
-#: the failures in a row from which on they are: one lost packet shows nothing.
+#: Time after its first failure for which an upstream is reported as down, and the
+#: minimum number of consecutive failures, since a single one may be a lost packet.
 DOWN_REPORT_SECONDS = 1.5
 MIN_DOWN_FAILURES = 2
 
@@ -21,10 +21,10 @@
     is_leaving: bool,
     now_seconds: float,
 ) -> Summary:
-    """Return what peers are told.
+    """Return the summary of this host for its peers.
 
-    ``waiting`` counts requests by workspace and service. Updates of placements are
-    told once.
+    ``waiting`` counts requests by workspace and service. Each placement is included in
+    one summary only.
     """
     return Summary(
         sequence=sequence,
--- a/packages/rampwick-policy/src/rampwick_policy/_pauses.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pauses.py
@@ -1,15 +1,15 @@
-"""Pauses that upstreams asked this host for."""
+"""Pauses that upstreams requested from this host, for example with Retry-After."""
 
 import math
 
 from ._departures import Incarnation
 
-#: Pause after a refusal that names no time.
+#: Pause after a refusal without a requested duration.
 DEFAULT_PAUSE_SECONDS = 1.0
 
 
 class Pauses:
-    """Until when each incarnation wants no request from this host."""
+    """End of the pause of each incarnation."""
 
     def __init__(self) -> None:
         self._until: dict[Incarnation, float] = {}
@@ -20,17 +20,17 @@
     def note(
         self, incarnation: Incarnation, pause_seconds: float | None, now_seconds: float
     ) -> None:
-        """Note that a pause begins; it never shortens the one under way."""
+        """Start a pause; a longer pause in progress is not shortened."""
         until_seconds = now_seconds + (pause_seconds or DEFAULT_PAUSE_SECONDS)
         known_seconds = self.until_seconds(incarnation)
         self._until[incarnation] = max(known_seconds, until_seconds)
 
     def until_seconds(self, incarnation: Incarnation) -> float:
-        """Return when the last pause of an incarnation ends or ended."""
+        """Return the end of the last pause of an incarnation."""
         return self._until.get(incarnation, -math.inf)
 
     def expire(self, now_seconds: float) -> list[Incarnation]:
-        """Drop the pauses that are over; return whose they were."""
+        """Drop pauses that are over; return their incarnations."""
         if not self._until:
             return []
         over = [item for item, until in self._until.items() if until <= now_seconds]
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -1,4 +1,4 @@
-"""Listening to a hall's relay: what it tells of the fleet, and if it still does."""
+"""Receives fleet summaries from the relays of a hall and detects relay failure."""
 
 import math
 from collections import deque
@@ -11,13 +11,13 @@
 from ._roles import LivePeers, Member
 from ._summary_aggregator import subtract_summary
 
-#: Silence after which a relay is passed over: four of its tellings.
+#: Time without messages after which a relay is skipped: four of its intervals.
 RELAY_TIMEOUT_SECONDS = 1.0
 
-#: Time for which a host counts as there after a relay has named it.
+#: Time for which a host is considered alive after a relay has listed it.
 HOST_ALIVE_SECONDS = 3.0
 
-#: Own summaries remembered until a relay's sum names one of them.
+#: Number of own summaries retained until the sum of a relay includes one of them.
 MAX_SENT_SUMMARIES = 16
 
 
@@ -29,17 +29,17 @@
 
 @attrs.frozen(repr=False)
 class FleetReport(Shown):
-    """What a relay told of the fleet, as this host takes it."""
+    """A fleet summary from a relay, without the contribution of this host."""
 
-    #: What the others say, this host left out.
+    #: Sum of all other hosts.
     summary: Summary
-    #: When this host sent the word that the relay had heard by then: ages that the
-    #: relay tells count from there. None if it has not heard this host yet.
+    #: Time at which this host sent the summary that the sum includes; ages in the
+    #: message are relative to it. None if the sum does not include this host yet.
     asked_at_seconds: float | None
 
 
 class RelayListener:
-    """State machine of one host that hears the fleet through its hall's relay."""
+    """State machine of a host that receives fleet summaries through a relay."""
 
     def __init__(self, own: Member) -> None:
         self._own = own
@@ -53,17 +53,17 @@
         self._sequence = 0
 
     def note_published(self, summary: Summary, now_seconds: float) -> None:
-        """Note a summary that this host sends to its relays."""
+        """Record a summary that this host sends to its relays."""
         self._sent_reports.append(_OwnReport(now_seconds, summary))
 
     def note_message(self, name: str, now_seconds: float) -> None:
-        """Note that a host of the hall said anything at all."""
+        """Record that a message from a host of the hall arrived."""
         self._last_seen[name] = now_seconds
 
     def is_relay_unresponsive(
         self, relays: Sequence[Member], now_seconds: float
     ) -> bool:
-        """Return whether the first relay should have spoken and did not."""
+        """Return whether the first relay has not sent a message in time."""
         first = relays[0].name if relays else ""
         if first in ("", self._own.name):
             return False
@@ -79,7 +79,7 @@
         relays: Sequence[Member],
         now_seconds: float,
     ) -> FleetReport | None:
-        """Take what a relay tells; None if another one is listened to."""
+        """Process a relay's message; ``None`` if another relay is active."""
         self.note_message(relay, now_seconds)
         is_first = bool(relays) and relays[0].name == relay
         is_other = relay != self._active_relay and not is_first
@@ -100,7 +100,7 @@
         )
 
     def live_peers(self, now_seconds: float) -> LivePeers:
-        """Return whom the relay named of late."""
+        """Return the hosts and halls that the relay listed recently."""
         oldest_seconds = now_seconds - HOST_ALIVE_SECONDS
         beats = [
             beat
@@ -114,7 +114,7 @@
         )
 
     def _find_own(self, fleet: FleetSummary) -> _OwnReport | None:
-        """Return the own summary that is part of a relay's sum, if one is."""
+        """Return the own summary that the sum of a relay includes, if any."""
         own = (self._own.name, self._own.incarnation)
         sequences = {
             beat.sequence
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -1,8 +1,8 @@
-"""How many requests a second upstreams say that they take from all hosts together.
+"""Request rate limits that upstreams announce for all hosts together.
 
-An upstream in need names such a rate in its answers for as long as it holds. Answers
-overtake each other, so each word is kept with the times between which it was true:
-when the request was sent, and when its answer came.
+An overloaded upstream includes such a rate in its answers while the limit applies.
+Answers may be reordered, so each observation has the time at which the request was sent
+and the time at which its answer arrived.
 """
 
 import math
@@ -14,12 +14,12 @@
 
 from ._state_changes import StateChangeTracker
 
-#: Age up to which a word holds that nothing confirms. Hosts that send to the upstream
-#: confirm it with each answer; without a bound, a host that missed the end of a rate
-#: would keep to it for good.
+#: Age up to which an unconfirmed rate applies. Hosts that send to the upstream confirm
+#: it with each answer. Without a bound, a host that missed the end of a rate limit
+#: would apply it forever.
 STALE_SECONDS = 30.0
 
-#: Time after which what has not changed is told again by whoever has an answer next.
+#: Time after which the next host with an answer publishes an unchanged rate again.
 CONFIRM_SECONDS = 10.0
 
 #: Covers messages dropped by a full send queue and a relay fail-over.
@@ -28,21 +28,21 @@
 
 @attrs.frozen(repr=False)
 class RateObservation(Shown):
-    """What one answer said of its upstream's rate."""
+    """The rate limit in one answer of an upstream."""
 
-    #: Life that answered; empty where lives are not told apart.
+    #: Incarnation that answered; empty if incarnations are not distinguished.
     incarnation: str
-    #: Requests a second from all hosts together; none if it names no rate.
+    #: Requests per second from all hosts together; ``None`` if there is no limit.
     requests_per_second: float | None
-    #: When the request was sent, and when the head of its answer came.
+    #: Times at which the request was sent and the head of its answer arrived.
     sent_at_seconds: float
     received_at_seconds: float
 
     def replaces(self, known: "RateObservation") -> bool:
-        """Return whether this is surely what the upstream says now.
+        """Return whether this observation is newer than another one.
 
-        Of two words that agree in whether there is a rate, the one heard last holds.
-        Where they differ, only what was asked for after the other was heard is newer.
+        If both or neither have a rate, the one that arrived last is newer. Otherwise an
+        observation is newer only if its request was sent after the other one arrived.
         """
         if (self.requests_per_second is None) is (known.requests_per_second is None):
             return self.received_at_seconds > known.received_at_seconds
@@ -50,31 +50,31 @@
 
 
 class RequestRates:
-    """The newest word of each upstream that named a rate of late."""
+    """The newest observation of each upstream that recently announced a rate."""
 
     def __init__(self, state_changes: StateChangeTracker) -> None:
         self._state_changes = state_changes
         self._observations: dict[str, RateObservation] = {}
-        #: When this host told the others of each, and when anybody did.
+        #: Times at which this host, and any host, last published each rate.
         self._published_at: dict[str, float] = {}
         self._confirmed_at: dict[str, float] = {}
         self._unpublished: set[str] = set()
-        #: Called when there is something to tell.
+        #: Called when there is an update to publish.
         self.on_update: Callable[[], None] = _do_nothing
 
     def __len__(self) -> int:
         return len(self._observations)
 
     def knows(self, upstream: str) -> bool:
-        """Return whether the upstream has named a rate, be it over by now."""
+        """Return whether the upstream has announced a rate, even if it has ended."""
         return upstream in self._observations
 
     def observation(self, upstream: str) -> RateObservation | None:
-        """Return the newest word of an upstream."""
+        """Return the newest observation of an upstream."""
         return self._observations.get(upstream)
 
     def rate(self, upstream: str, incarnation: str, now_seconds: float) -> float | None:
-        """Return the requests a second that a life takes; none if it names none."""
+        """Return the rate limit of an incarnation; ``None`` if there is none."""
         observed = self._observations.get(upstream)
         if observed is None or observed.incarnation != incarnation:
             return None
@@ -85,8 +85,8 @@
     def record_answer(
         self, upstream: str, observed: RateObservation, now_seconds: float
     ) -> None:
-        """Take the word of an answer that this host had; peers hear what is new."""
-        has_changed = self.take(upstream, observed, "its answer says so")
+        """Record a rate from an answer to this host and publish it if it is new."""
+        has_changed = self.take(upstream, observed, "stated in its answer")
         if self._observations.get(upstream) is not observed:
             return
         confirmed_at_seconds = self._confirmed_at.get(upstream, -math.inf)
@@ -95,7 +95,7 @@
             self.on_update()
 
     def receive_update(self, update: RateLimitUpdate, now_seconds: float) -> None:
-        """Take a peer's word."""
+        """Record the rates in an update of a peer."""
         for reported in update.rates:
             observed = RateObservation(
                 reported.incarnation,
@@ -103,28 +103,28 @@
                 now_seconds - reported.asked_age_seconds,
                 now_seconds - reported.heard_age_seconds,
             )
-            source = f"a peer had an answer {reported.heard_age_seconds:.3f} s ago"
+            source = f"a peer got an answer {reported.heard_age_seconds:.3f} s ago"
             self.take(reported.upstream, observed, source)
             if self._observations.get(reported.upstream) is observed:
                 self._confirmed_at[reported.upstream] = now_seconds
 
     def take_update(self, now_seconds: float) -> RateLimitUpdate | None:
-        """Return what peers have not been told, to tell them now and again later."""
+        """Return the unpublished rates, which are also retransmitted later."""
         unpublished, self._unpublished = self._unpublished, set()
         for upstream in unpublished:
             self._published_at[upstream] = self._confirmed_at[upstream] = now_seconds
         return self._to_update(unpublished, now_seconds)
 
     def take_retransmission(self, now_seconds: float) -> RateLimitUpdate | None:
-        """Return what peers were told of late, to tell it again."""
+        """Return the recently published rates for retransmission."""
         oldest_seconds = now_seconds - RETRANSMIT_SECONDS
-        reported = {
+        published = {
             name for name, at in self._published_at.items() if at > oldest_seconds
         }
-        return self._to_update(reported, now_seconds)
+        return self._to_update(published, now_seconds)
 
     def initial_state(self, now_seconds: float) -> RateLimitUpdate | None:
-        """Return what a host is to know that has just come."""
+        """Return all rates, for a host that has just connected."""
         return self._to_update(self._observations, now_seconds)
 
     def _to_update(
@@ -145,7 +145,7 @@
         return RateLimitUpdate(rates) if rates else None
 
     def take(self, upstream: str, observed: RateObservation, source: str) -> bool:
-        """Take a word; return whether what is believed is another now."""
+        """Record an observation; return whether the rate has changed."""
         known = self._observations.get(upstream)
         if known is not None and known.incarnation != observed.incarnation:
             known = None
@@ -161,14 +161,14 @@
         return True
 
     def sweep(self, now_seconds: float) -> None:
-        """Drop the words that have not held for long; to be called now and then."""
+        """Drop observations that have long been stale; called periodically."""
         oldest_seconds = now_seconds - 2.0 * STALE_SECONDS
         for upstream, observed in list(self._observations.items()):
             if observed.received_at_seconds < oldest_seconds:
-                self.forget(upstream, "nobody has heard it name a rate for long")
+                self.forget(upstream, "no answer has included a rate recently")
 
     def forget(self, upstream: str, reason: str) -> None:
-        """Drop what was said by an upstream that is gone."""
+        """Drop the rate of an upstream that no longer exists."""
         self._published_at.pop(upstream, None)
         self._confirmed_at.pop(upstream, None)
         self._unpublished.discard(upstream)
@@ -179,7 +179,7 @@
         if observed.requests_per_second is None:
             self._state_changes.note("rate", upstream, "open", source)
             return
-        state = f"limited to {observed.requests_per_second:g} requests a second"
+        state = f"limited to {observed.requests_per_second:g} requests per second"
         self._state_changes.note("rate", upstream, state, source)
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -1,12 +1,13 @@
-"""Which hosts talk to which, and who reads the platform for the others.
-
-A small fleet is one group: all its hosts hear each other. In a larger one the hosts
-of each hall are a group. Each tells the first two of its hall, the relays, what it has
-to say; the first of them adds it up, tells the other halls' relays, and tells its own
-hall what the whole fleet says. A few hosts of each group read the platform and the
-others ask them. Nobody agrees on anything: each host ranks the members that it knows
-and hears, by the speed of their links, and takes the role that its own place gives it.
-Two hosts that differ do a role twice for a while, which costs some calls.
+"""Gossip topology and the choice of relays and platform readers.
+
+A small fleet is one group with a full mesh. In a larger fleet, the hosts of each hall
+form a group. Each host sends its summary to the first two hosts of its hall, the
+relays. The first relay aggregates the summaries, sends the sum to the relays of other
+halls, and sends the sum of the fleet to its own hall. A few hosts of each group read
+the platform, and the others query them. There is no leader election: each host ranks
+the live members by the speed of their links and takes the role that follows from its
+own rank. Hosts with different views may both act in one role for a while, which costs
+some extra calls.
 """
 
 import itertools
@@ -18,20 +19,20 @@
 
 from . import _rendezvous
 
-#: Hosts up to which a fleet is one group. Each hears every other a few times a second,
-#: which costs more with each of them.
+#: Maximum number of hosts of a full mesh. Each host receives a few messages per second
+#: from every other, so the cost per host grows with the number of hosts.
 MESH_LIMIT_COUNT = 16
 
-#: Hosts of a group that read the platform: in a small fleet, where a call is cheap and
-#: a group is all there is, so many that two may fail at once.
+#: Hosts of a group that read the platform. A small fleet is a single group and its calls
+#: are cheap, so it has enough readers that two may fail at once.
 READERS_COUNT = 3
 LARGE_READERS_COUNT = 1
 
-#: Relays of each hall: hosts that hear all of it and the other halls' relays. The first
-#: that is heard speaks; the next one is ready to.
+#: Relays of each hall, which receive from all its hosts and from the relays of other
+#: halls. The first live one is active, the next is a standby.
 RELAYS_COUNT = 2
 
-#: Time for which a member that could not be reached is passed over.
+#: Time for which an unreachable member is skipped.
 UNREACHABLE_SECONDS = 5.0
 
 _KEY = b"roles"
@@ -39,11 +40,11 @@
 
 @attrs.frozen(repr=False)
 class Member(Shown):
-    """A host of the fleet, as it says of itself."""
+    """A host of the fleet, as described by itself."""
 
     name: str
     hall: str
-    #: IP and port of its streams between hosts.
+    #: IP and port for streams between hosts.
     address: str
     incarnation: int = 0
     link_megabits_per_second: float = 1000.0
@@ -51,23 +52,23 @@
 
 @attrs.frozen(repr=False)
 class LivePeers(Shown):
-    """Whom a host hears: its own hall's hosts by name, and the halls."""
+    """Live hosts of the own hall, by name, and live halls."""
 
-    #: Hosts of its own hall.
+    #: Live hosts of the own hall.
     heard: frozenset[str] = frozenset()
-    #: Those of them that are not leaving.
+    #: Those of them that are not draining.
     staying: frozenset[str] = frozenset()
     halls: frozenset[str] = frozenset()
 
 
 class MemberTable:
-    """The members of the fleet that this host knows, and its own place among them."""
+    """Known members of the fleet, and the rank of this host among them."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
         self._members: dict[str, Member] = {own.name: own}
         self._unreachable_until: dict[str, float] = {}
-        # Roles are asked for with each message and seldom change.
+        # Caches: roles are read for each message and seldom change.
         self._group: list[Member] | None = None
         self._ranking: tuple[frozenset[str], list[Member]] | None = None
         self._halls: dict[str, list[Member]] = {}
@@ -80,7 +81,7 @@
         return self._members.get(name)
 
     def learn(self, members: Iterable[Member]) -> list[Member]:
-        """Take what is said of members; return those that were not known."""
+        """Merge member records; return those that are new or changed."""
         learned = []
         for member in members:
             known = self._members.get(member.name)
@@ -95,7 +96,7 @@
         return learned
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Forget the members that an authoritative list does not name."""
+        """Drop the members that are missing from an authoritative list."""
         for name in self._members.keys() - set(names) - {self.own.name}:
             del self._members[name]
             self._forget_roles()
@@ -105,12 +106,12 @@
         self._halls.clear()
 
     def note_unreachable(self, name: str, now_seconds: float) -> None:
-        """Note that a member could not be reached, or fell silent."""
+        """Record that a member is unreachable or unresponsive."""
         self._unreachable_until[name] = now_seconds + UNREACHABLE_SECONDS
 
     @property
     def is_large(self) -> bool:
-        """Whether the fleet is more than one group."""
+        """Whether the fleet has more than one group."""
         return len(self._members) > MESH_LIMIT_COUNT
 
     def group(self) -> list[Member]:
@@ -124,19 +125,19 @@
         return list(self._group)
 
     def is_in_group(self, hall: str) -> bool:
-        """Return whether hosts of a hall are of this host's group."""
+        """Return whether the hosts of a hall belong to the group of this host."""
         return not self.is_large or hall == self.own.hall
 
     def rank(self, live: Collection[str]) -> int:
-        """Return this host's place among the members of its group that it hears."""
+        """Return the rank of this host among the live members of its group."""
         return self._ranked_group(live).index(self.own)
 
     def ranked_group_peers(self, live: Collection[str]) -> list[Member]:
-        """Return the members of the group that are heard, the first in rank first."""
+        """Return the live peers of the group in order of rank."""
         return [member for member in self._ranked_group(live) if member != self.own]
 
     def _ranked_group(self, live: Collection[str]) -> list[Member]:
-        """Return this host and those of its group that it hears, by rank."""
+        """Return this host and the live peers of its group in order of rank."""
         names = frozenset(live)
         if self._ranking is None or self._ranking[0] != names:
             heard = [member for member in self.group() if member.name in names]
@@ -149,11 +150,11 @@
         return self.rank(live) < most
 
     def is_relay(self, live: Collection[str]) -> bool:
-        """Return whether this host tells other groups what its own says."""
+        """Return whether this host relays the summary of its group to other groups."""
         return self.is_large and self.rank(live) == 0
 
     def wanted_links(self, now_seconds: float) -> list[Member]:
-        """Return the members that this host is to keep a link to."""
+        """Return the members to which this host maintains a link."""
         if not self.is_large:
             return self.group()
         halls = {self.own.hall}
@@ -171,7 +172,7 @@
         return self.is_large and self.own in self.relays(self.own.hall, now_seconds)
 
     def relays(self, hall: str, now_seconds: float) -> list[Member]:
-        """Return the relays of a hall, the one that speaks first."""
+        """Return the relays of a hall, the active one first."""
         if hall not in self._halls:
             self._halls[hall] = _ranked(
                 member for member in self._members.values() if member.hall == hall
@@ -184,12 +185,12 @@
         return list(itertools.islice(reachable, RELAYS_COUNT))
 
     def is_marked_unreachable(self, name: str, now_seconds: float) -> bool:
-        """Return whether a member was out of reach or silent a moment ago."""
+        """Return whether a member was recently unreachable or unresponsive."""
         return now_seconds < self._unreachable_until.get(name, -1.0)
 
 
 def _ranked(members: Iterable[Member]) -> list[Member]:
-    """Return members in the order that every host gives them."""
+    """Return members in an order that is the same on every host."""
     known = {member.name: member for member in members}
     order = _rendezvous.rank(_KEY, known)
     place = {name: index for index, name in enumerate(order)}
--- a/packages/rampwick-policy/src/rampwick_policy/_sliding_window.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_sliding_window.py
@@ -1,4 +1,4 @@
-"""Tokens sent within a sliding window of time."""
+"""Sum of tokens over a sliding time window."""
 
 import math
 from collections import deque
@@ -7,8 +7,8 @@
 
 from rampwick_schema import Shown
 
-#: Steps of a window. What was sent counts until its whole step has left the window, so
-#: that a sum is too large by one step at the most and never too small.
+#: Buckets per window. Tokens count until their whole bucket has expired, so a sum is
+#: too large by at most one bucket and never too small.
 BUCKETS_COUNT = 64
 
 
@@ -19,7 +19,7 @@
 
 
 class SlidingWindow:
-    """Sum of tokens by the time at which they were sent."""
+    """Tokens by the time at which they were added, summed over a window."""
 
     def __init__(self, length_seconds: float) -> None:
         self._bucket_seconds = length_seconds / BUCKETS_COUNT
@@ -27,7 +27,7 @@
         self._total = 0.0
 
     def add(self, tokens: float, now_seconds: float) -> None:
-        """Count tokens that are sent now."""
+        """Add tokens at the current time."""
         index = self._index(now_seconds)
         self._expire(index)
         if self._buckets and self._buckets[-1].index == index:
@@ -37,7 +37,7 @@
         self._total += tokens
 
     def subtract(self, tokens: float, at_seconds: float) -> None:
-        """Count tokens no more that were counted at a time."""
+        """Remove tokens that were added at ``at_seconds`` and have not expired."""
         index = self._index(at_seconds)
         for bucket in reversed(self._buckets):
             if bucket.index == index:
@@ -48,12 +48,12 @@
                 return
 
     def total(self, now_seconds: float) -> float:
-        """Return the tokens within the window that ends now."""
+        """Return the sum of the window that ends now."""
         self._expire(self._index(now_seconds))
         return self._total
 
     def expiring(self, within_seconds: float, now_seconds: float) -> float:
-        """Return the tokens that will have left the window after a time."""
+        """Return the tokens that expire within a time."""
         last = self._index(now_seconds + within_seconds) - BUCKETS_COUNT
         tokens = 0.0
         for bucket in self._buckets:
--- a/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
@@ -1,4 +1,4 @@
-"""What changed of a host's beliefs, for its log: who is up, down, loading, silent."""
+"""State changes of upstreams, peers, targets and limits, for the log."""
 
 import attrs
 
@@ -7,26 +7,26 @@
 
 @attrs.frozen(repr=False)
 class StateChange(Shown):
-    """One belief that is another now."""
+    """One change of state."""
 
-    #: What it is about: an upstream, a peer, a target or a limit.
+    #: Kind of the object: an upstream, a peer, a target or a limit, for example.
     kind: str
     name: str
     before: str
     after: str
-    #: What the change rests on: an error, a report, a list.
+    #: Cause of the change: an error, a report or a list, for example.
     reason: str
 
 
 @attrs.define(repr=False)
 class StateChangeTracker(Shown):
-    """Beliefs as they were last noted; changes wait here until they are taken."""
+    """Last recorded states, and the changes that have not been taken yet."""
 
     _states: dict[tuple[str, str], str] = attrs.field(factory=dict)
     _pending: list[StateChange] = attrs.field(factory=list)
 
     def note(self, kind: str, name: str, state: str, reason: str) -> None:
-        """Note a belief; only one that differs from the last becomes a notice."""
+        """Record a state; a state equal to the last one is not a change."""
         before = self._states.get((kind, name), "")
         if state == before:
             return
@@ -34,11 +34,11 @@
         self._pending.append(StateChange(kind, name, before, state, reason))
 
     def knows(self, kind: str, name: str) -> bool:
-        """Return whether anything is believed of something."""
+        """Return whether a state is recorded for an object."""
         return (kind, name) in self._states
 
     def forget(self, kind: str, name: str, reason: str) -> None:
-        """Note that nothing is believed of something any more."""
+        """Remove the state of an object."""
         before = self._states.pop((kind, name), "")
         if before:
             self._pending.append(StateChange(kind, name, before, "gone", reason))
--- a/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
@@ -1,4 +1,4 @@
-"""What many hosts say, put together by a relay for those that don't hear them."""
+"""Aggregation of host summaries by a relay."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -17,24 +17,24 @@
 
 from ._configuration import TreeVersion
 
-#: Placements of a hall that wait for the next sum; older ones give way, since a home
-#: is computed for what nobody is known to hold.
+#: Maximum number of placements of a hall that wait for the next sum. Older ones are
+#: dropped, since a home is computed for prefixes without a known holder.
 MAX_PLACED = 512
 
 
 @attrs.define(repr=False)
 class SummaryAggregator(Shown):
-    """Collects what is told only once, and adds up what stands."""
+    """Collects placements, which are sent once, and sums up current values."""
 
     _placed: list[PlacedPrefix] = attrs.field(factory=list)
 
     def take(self, summary: Summary) -> None:
-        """Take a summary of one host."""
+        """Collect the placements in the summary of one host."""
         self._placed += summary.placed
         del self._placed[:-MAX_PLACED]
 
     def merge(self, summaries: Iterable[Summary], sequence: int) -> Summary:
-        """Return the sum of the summaries of a hall's hosts."""
+        """Return the sum of the summaries of the hosts of a hall."""
         host_summaries = list(summaries)
         placed, self._placed = self._placed, []
         version = _newest_version(host_summaries)
@@ -60,9 +60,9 @@
 
 
 def subtract_summary(total: Summary, part: Summary) -> Summary:
-    """Return a sum of summaries without one that is part of it.
+    """Return a sum of summaries minus one of them.
 
-    A host takes its own word out of what its relay tells of all.
+    A host subtracts its own summary from the sum that its relay sends.
     """
     used = {item.workspace: item.used_tokens for item in part.workspaces}
     loads = {(item.upstream, item.incarnation): item for item in part.upstreams}
@@ -105,7 +105,7 @@
 
 
 def without_limits(summary: Summary) -> Summary:
-    """Return what hosts say that may be gone: they neither send nor are there."""
+    """Return the summary of hosts that may be dead, without limits and host count."""
     return attrs.evolve(summary, limits=[], hosts_count=1, limits_known_seconds=0.0)
 
 
@@ -146,7 +146,7 @@
 
 
 def sum_limits(summaries: Iterable[Summary]) -> list[LimitUsage]:
-    """Return what hosts say under each limit, added up."""
+    """Return the usage of each limit, summed over all summaries."""
     sums: dict[str, LimitUsage] = {}
     for summary in summaries:
         for usage in summary.limits:
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
@@ -1,10 +1,11 @@
-"""Which host sends an upstream next that takes only so many requests a second.
-
-The rate is one number for all hosts. An equal part for each would leave 90 hosts with
-less than one request in a minute, and one saved up at each of them is more than the
-whole allows. So a few hosts send, those that rendezvous puts first, and each sends its
-part of the rate one request after the other. Nobody is asked: who hears the same hosts
-chooses the same senders, and two that differ for a moment send one request too many.
+"""Enforcement of the request rates that upstreams announce, across all hosts.
+
+A rate applies to all hosts together. With equal shares, each of 90 hosts could send
+less than one request per minute, and one accumulated token at each of them would exceed
+the rate. So only a few hosts send, those that rank first in rendezvous hashing, each
+with a token bucket for its share of the rate. This needs no coordination: hosts with
+the same set of live peers choose the same senders, and hosts whose sets differ for a
+moment send about one request too many.
 """
 
 import functools
@@ -22,62 +23,62 @@
 from ._sliding_window import SlidingWindow
 from ._upstream import Upstream
 
-#: Least rate: an upstream that takes nothing is tried now and then, since only an
-#: answer says that it takes requests again.
+#: Minimum rate. An upstream that accepts no requests is probed from time to time, since
+#: only an answer shows that it accepts them again.
 MIN_PROBES_PER_SECOND = 0.1
 
-#: Senders for each request a second, beside the first.
+#: Additional senders per request per second of the rate.
 SENDERS_PER_RATE = 1.0
 
-#: Requests that a sender may have saved up, so that its part is used though callers
-#: come by chance.
+#: Capacity of a token bucket, so that a sender uses its share in spite of irregular
+#: arrivals.
 BURST_COUNT = 2.0
 
-#: What sums of parts may lack of a whole request.
+#: Tolerance for rounding errors in the sum of token fractions.
 ROUNDING_TOLERANCE = 1e-9
 
-#: Time for which operators are shown what was sent.
+#: Window of the count of sent requests in the status.
 STATUS_WINDOW_SECONDS = 4.0
 
 
 class SenderCountPolicy(Protocol):
-    """Says how many hosts share the rate of one upstream."""
+    """Decides how many hosts share the rate of one upstream."""
 
     def senders_count(self, requests_per_second: float) -> int:
-        """Return the hosts that send, as far as there are so many."""
+        """Return the maximum number of hosts that send."""
 
 
 class SendersByRate:
-    """So many that each has its turn about every second.
+    """Chooses as many senders as lets each send about once per second.
 
-    Each may have a request or two ready to go: twice their number is what may be sent
-    at once beyond the rate.
+    Each sender may hold up to two tokens, so the requests sent at once may exceed the
+    rate by twice the number of senders.
     """
 
     def senders_count(self, requests_per_second: float) -> int:
-        """Return the hosts that send, as far as there are so many."""
+        """Return the maximum number of hosts that send."""
         return 1 + int(requests_per_second * SENDERS_PER_RATE)
 
 
 @attrs.frozen(repr=False)
 class LocalView(Shown):
-    """Where a host stands and whom it hears, as far as senders are chosen by it."""
+    """A host, its hall and its live peers, as input to the choice of senders."""
 
     host: str
     hall: str
     live_peers: LivePeers = LivePeers()
-    #: Whether it takes no new requests; the others don't count it then either.
+    #: Whether the host is draining; its peers exclude it as well.
     is_leaving: bool = False
 
 
-#: Parts remembered: they are asked for at each look at a limited upstream, and are
-#: others only where hosts come or go.
+#: Number of cached shares. A share is read at each check of a rate-limited upstream and
+#: changes only when hosts join or leave.
 SHARE_CACHE_SIZE = 1024
 
 
 @functools.lru_cache(maxsize=SHARE_CACHE_SIZE)
 def rate_share(local_view: LocalView, key: bytes, senders_count: int) -> float:
-    """Return a host's part of a rate; none unless it is one of the senders."""
+    """Return the share of a rate that a host may use; 0 if it is not a sender."""
     if local_view.is_leaving:
         return 0.0
     peers = local_view.live_peers
@@ -91,7 +92,7 @@
 
 @attrs.define(repr=False)
 class _TokenBucket(Shown):
-    """What one host may send one upstream; a new sender has nothing saved."""
+    """Requests that one host may send to one upstream; empty for a new sender."""
 
     at_seconds: float
     requests_per_second: float = 0.0
@@ -101,18 +102,18 @@
     )
 
     def set_rate(self, requests_per_second: float, now_seconds: float) -> None:
-        """Save what was earned until now, and go on at another rate."""
+        """Refill the bucket up to now and change its rate."""
         refilled = (now_seconds - self.at_seconds) * self.requests_per_second
         self.tokens_count = min(BURST_COUNT, self.tokens_count + refilled)
         if not requests_per_second:
-            # By the time it sends again, others have used what it saved.
+            # Other senders use the share until this host becomes a sender again.
             self.tokens_count = 0.0
         self.at_seconds = now_seconds
         self.requests_per_second = requests_per_second
 
     @property
     def next_at_seconds(self) -> float:
-        """When the next request may go; infinite if none may."""
+        """Time at which the next request may be sent; infinite if none may."""
         if self.tokens_count >= 1.0 - ROUNDING_TOLERANCE:
             return self.at_seconds
         if not self.requests_per_second:
@@ -123,18 +124,18 @@
 
 @attrs.frozen(repr=False)
 class UpstreamRateState(Shown):
-    """The rate of one upstream as operators are shown it."""
+    """State of the rate limit of one upstream, for the status page and metrics."""
 
     upstream: str
-    #: Requests a second from all hosts, as it says, and from this one.
+    #: Requests per second from all hosts, as announced, and from this host.
     requests_per_second: float
     own_requests_per_second: float
-    #: Requests that this host sent it within the last seconds.
+    #: Requests that this host sent within ``STATUS_WINDOW_SECONDS``.
     own_sent_count: int
 
 
 class UpstreamRateLimiter:
-    """The turns of one host at upstreams that named a rate."""
+    """Token buckets of one host for upstreams that announced a rate."""
 
     def __init__(
         self,
@@ -143,7 +144,7 @@
         alive_ratio: Callable[[float], float],
         sender_count_policy: SenderCountPolicy | None = None,
     ) -> None:
-        """``heard_ratio`` returns the part of the fleet that is heard here."""
+        """``alive_ratio`` returns the part of the fleet that this host can reach."""
         self.rates = rates
         self.local_view = local_view
         self._alive_ratio = alive_ratio
@@ -151,29 +152,29 @@
         self._buckets: dict[str, _TokenBucket] = {}
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether an upstream may be sent a request by this host now."""
+        """Return whether this host may send a request to an upstream now."""
         bucket = self._bucket(upstream, now_seconds)
         return bucket is None or now_seconds >= bucket.next_at_seconds
 
     def note_sent(self, upstream: Upstream, now_seconds: float) -> None:
-        """Note that a request goes to an upstream."""
+        """Record that a request is sent to an upstream."""
         bucket = self._bucket(upstream, now_seconds)
         if bucket is not None:
             bucket.tokens_count -= 1.0
             bucket.sent.add(1.0, now_seconds)
 
     def next_at_seconds(self, upstream: Upstream, now_seconds: float) -> float | None:
-        """Return when this host may send to it; none if it takes what comes."""
+        """Return when this host may send next; ``None`` if there is no rate limit."""
         bucket = self._bucket(upstream, now_seconds)
         return None if bucket is None else bucket.next_at_seconds
 
     def own_rate(self, upstream: Upstream, now_seconds: float) -> float:
-        """Return the requests a second that this host may send, where one is named."""
+        """Return the rate that this host may use; 0 if there is no rate limit."""
         bucket = self._bucket(upstream, now_seconds)
         return bucket.requests_per_second if bucket else 0.0
 
     def state(self, upstream: Upstream, now_seconds: float) -> UpstreamRateState | None:
-        """Return how an upstream's rate stands; none if it names none."""
+        """Return the state of the rate limit; ``None`` if there is none."""
         bucket = self._bucket(upstream, now_seconds)
         rate = self.rates.rate(upstream.name, upstream.life_incarnation, now_seconds)
         if bucket is None or rate is None:
--- a/packages/rampwick-policy/src/rampwick_policy/_watchers.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_watchers.py
@@ -1,20 +1,20 @@
-"""Which hosts of a hall wait on the platform's watch.
+"""Choice of the hosts that watch the platform for changes.
 
-A waiting watch is a counted call, so only a few hosts of a hall keep one; the others
-hear of changes from them. A host that hears no peer keeps its own.
+A watch counts as a call to the platform, so only a few hosts of a hall have one open
+and notify the others of changes. A host without live peers opens its own.
 """
 
 from collections.abc import Iterable
 
 from . import _rendezvous
 
-#: Hosts in each hall that keep a watch, so that one may fail unnoticed.
+#: Hosts in each hall with an open watch, so that the failure of one has no effect.
 WATCHERS_PER_HALL = 2
 
 _KEY = b"configuration watch"
 
 
 def is_watcher(host: str, heard: Iterable[str]) -> bool:
-    """Return whether ``host`` shall keep a watch, by whom it hears of its hall."""
+    """Return whether ``host`` opens a watch, given the live hosts of its hall."""
     ranked = _rendezvous.rank(_KEY, {*heard, host})
     return host in ranked[:WATCHERS_PER_HALL]
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -74,8 +74,8 @@
             self.take(rate, at, at)
         self.assertEqual(
             [
-                "limited to 1.8 requests a second",
-                "limited to 0.5 requests a second",
+                "limited to 1.8 requests per second",
+                "limited to 0.5 requests per second",
                 "open",
             ],
             [notice.after for notice in self.state_changes.take()],
