--- a/packages/rampwick-policy/src/rampwick_policy/_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_admission.py
@@ -113,7 +113,7 @@
     def _waiting_elsewhere(self, service: str, now_seconds: float) -> dict[str, int]:
         counts: Counter[str] = Counter()
         for view in self._peers.live(now_seconds):
-            if now_seconds - view.heard_at_seconds > WAITING_BELIEVED_SECONDS:
+            if now_seconds - view.last_seen_seconds > WAITING_BELIEVED_SECONDS:
                 continue
             for waiting in view.summary.waiting:
                 if waiting.service == service:
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -110,4 +110,4 @@
     reading_hall = hall if hall in halls else _rendezvous.rank(key, halls)[0]
     if reading_hall != own.hall:
         return False
-    return _rendezvous.rank(key, near.staying | {own.name})[0] == own.name
+    return _rendezvous.rank(key, near.not_draining | {own.name})[0] == own.name
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -33,7 +33,7 @@
     version: int = ABSENT
     record: LeaseRecord | None = None
     #: Last time at which its holder was heard of, whatever the version.
-    heard_at_seconds: float = 0.0
+    last_seen_seconds: float = 0.0
     #: Version of this process's own last write.
     _written_version: int = ABSENT
     #: When another host's lease, of which a read showed no object, is over.
@@ -48,7 +48,7 @@
         """Note what a read showed; an older version changes nothing."""
         if version <= self.version:
             return
-        self.heard_at_seconds = now_seconds
+        self.last_seen_seconds = now_seconds
         self.version = version
         self.record = record
         self._seen_at_seconds = now_seconds
@@ -68,7 +68,7 @@
         self, holder: str, version: int, now_seconds: float
     ) -> None:
         """Note what a peer says of the lease that it holds."""
-        self.heard_at_seconds = now_seconds
+        self.last_seen_seconds = now_seconds
         record = LeaseRecord(holder, "", self.duration_seconds)
         self.observe(record, version, now_seconds)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_membership.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_membership.py
@@ -20,7 +20,7 @@
     hall: str
     incarnation: int
     summary: Summary
-    heard_at_seconds: float
+    last_seen_seconds: float
 
 
 @attrs.frozen(repr=False)
@@ -58,7 +58,7 @@
         order = (incarnation, summary.sequence)
         if known and order <= (known.incarnation, known.summary.sequence):
             is_unresponsive = (
-                now_seconds - known.heard_at_seconds >= self._dead_after_seconds
+                now_seconds - known.last_seen_seconds >= self._dead_after_seconds
             )
             # Another relay may take over the reports of a hall; its summaries count
             # once the previous relay is unresponsive.
@@ -80,7 +80,7 @@
     def live(self, now_seconds: float) -> Iterator[PeerView]:
         """Yield the peers that sent a summary recently."""
         for view in self._views.values():
-            if now_seconds - view.heard_at_seconds < self._dead_after_seconds:
+            if now_seconds - view.last_seen_seconds < self._dead_after_seconds:
                 yield view
 
     def expire(self, now_seconds: float) -> list[PeerView]:
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -185,7 +185,7 @@
     def expire_peers(self, now_seconds: float) -> None:
         """Drop peers that have been silent for too long."""
         for view in self.peers.expire(now_seconds):
-            silent_seconds = now_seconds - view.heard_at_seconds
+            silent_seconds = now_seconds - view.last_seen_seconds
             self.state_changes.forget(
                 "peer", view.name, f"silent for {silent_seconds:.1f} s"
             )
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -35,7 +35,7 @@
     summary: Summary
     #: Time at which this host sent the summary that the sum includes; ages in the
     #: message are relative to it. None if the sum does not include this host yet.
-    asked_at_seconds: float | None
+    own_sent_at_seconds: float | None
 
 
 class RelayListener:
@@ -104,8 +104,8 @@
         oldest_seconds = now_seconds - HOST_ALIVE_SECONDS
         beats = [
             beat
-            for beat, heard_at_seconds in self._beats.values()
-            if heard_at_seconds > oldest_seconds and beat.host != self._own.name
+            for beat, listed_at_seconds in self._beats.values()
+            if listed_at_seconds > oldest_seconds and beat.host != self._own.name
         ]
         return LivePeers(
             frozenset(beat.host for beat in beats),
--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -55,9 +55,9 @@
     """Live hosts of the own hall, by name, and live halls."""
 
     #: Live hosts of the own hall.
-    heard: frozenset[str] = frozenset()
+    alive: frozenset[str] = frozenset()
     #: Those of them that are not draining.
-    staying: frozenset[str] = frozenset()
+    not_draining: frozenset[str] = frozenset()
     halls: frozenset[str] = frozenset()
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
@@ -84,7 +84,9 @@
     peers = local_view.live_peers
     halls = _rendezvous.rank(key, peers.halls | {local_view.hall})[:senders_count]
     hosts_per_hall = max(1, senders_count // len(halls))
-    hosts = _rendezvous.rank(key, peers.staying | {local_view.host})[:hosts_per_hall]
+    hosts = _rendezvous.rank(key, peers.not_draining | {local_view.host})[
+        :hosts_per_hall
+    ]
     if local_view.hall not in halls or local_view.host not in hosts:
         return 0.0
     return 1.0 / (len(halls) * len(hosts))
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -292,7 +292,7 @@
             "revision": view.summary.revision,
             "revision_era": view.summary.store_era,
             "is_leaving": view.summary.is_leaving,
-            "heard_seconds_ago": round(now_seconds - view.heard_at_seconds, 3),
+            "heard_seconds_ago": round(now_seconds - view.last_seen_seconds, 3),
         }
         for view in scheduler.peers.live(now_seconds)
     ]
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -92,7 +92,7 @@
         """Do nothing: an old tree only refuses what a newer one may allow."""
 
     def _is_watcher(self) -> bool:
-        return is_watcher(self._settings.host.name, self._list_neighbours().heard)
+        return is_watcher(self._settings.host.name, self._list_neighbours().alive)
 
     async def _load(self, task: ConfigurationTask) -> None:
         began_seconds = self._read_clock()
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_keeper.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_keeper.py
@@ -163,7 +163,7 @@
         from when the newest version was seen.
         """
         assert self._leases is not None
-        silent_seconds = now_seconds - self.lease.heard_at_seconds
+        silent_seconds = now_seconds - self.lease.last_seen_seconds
         is_known = self.lease.version in (0, self._read_version)
         if is_known or silent_seconds < SILENCE_SECONDS:
             return
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -287,13 +287,13 @@
         if word is None:
             return
         self._sync.compare(link, update.summary)
-        if word.asked_at_seconds is not None:
-            self._sync.take_ages(update, word.asked_at_seconds)
+        if word.own_sent_at_seconds is not None:
+            self._sync.take_ages(update, word.own_sent_at_seconds)
         if not self.roles.is_relay_candidate:
             # What the relay added up is as old as this host's own part of it.
             age_seconds = 0.0
-            if word.asked_at_seconds is not None:
-                age_seconds = now_seconds - word.asked_at_seconds
+            if word.own_sent_at_seconds is not None:
+                age_seconds = now_seconds - word.own_sent_at_seconds
             self._scheduler.post(
                 PeerSummaryReceived(
                     FLEET, "", own.incarnation, word.summary, age_seconds
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -66,7 +66,7 @@
         now_seconds = self._read_clock()
         if not self.table.is_large:
             return self._scheduler.live_names(now_seconds)
-        heard = self.live_peers().heard
+        heard = self.live_peers().alive
         relays = self.table.relays(self.table.own.hall, now_seconds)
         names = heard | {member.name for member in relays}
         return {
@@ -80,7 +80,7 @@
         """Names of those of them that are not leaving."""
         if self.table.is_large:
             near = self.live_peers()
-            return self.live_names - (near.heard - near.staying)
+            return self.live_names - (near.alive - near.not_draining)
         views = self._scheduler.peer_views(self._read_clock())
         return {view.name for view in views if not view.summary.is_leaving}
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -97,7 +97,7 @@
         said = [
             without_limits(view.summary)
             if view.hall != own.hall
-            and now_seconds - view.heard_at_seconds > LATE_HALL_SECONDS
+            and now_seconds - view.last_seen_seconds > LATE_HALL_SECONDS
             else view.summary
             for view in views
         ]
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -92,16 +92,16 @@
         self.listener.note_published(summary(1), 10.0)
         self.listener.note_published(summary(2), 10.2)
         news = told(summary(5), own_sequence=1)
-        self.assertEqual(10.0, self.take("first", news, 10.3).asked_at_seconds)
+        self.assertEqual(10.0, self.take("first", news, 10.3).own_sent_at_seconds)
 
     def test_without_a_word_of_its_own_a_host_takes_no_ages(self):
         news = told(summary(5), names=("mate",))
-        self.assertIsNone(self.take("first", news, 10.3).asked_at_seconds)
+        self.assertIsNone(self.take("first", news, 10.3).own_sent_at_seconds)
         other_life = attrs.evolve(OWN, incarnation=6)
         listener = RelayListener(other_life)
         listener.note_published(summary(1), 10.0)
         word = listener.take("first", told(summary(5)), RELAYS, 10.3)
-        self.assertIsNone(word.asked_at_seconds)
+        self.assertIsNone(word.own_sent_at_seconds)
 
     def test_of_two_that_speak_one_is_listened_to(self):
         self.assertIsNotNone(self.take("first", told(summary(1)), 10.0))
@@ -119,10 +119,10 @@
     def test_hosts_that_were_named_count_for_a_while(self):
         self.take("first", told(summary(1), leaving=("mate",)), 10.0)
         near = self.listener.live_peers(11.0)
-        self.assertEqual({"mate"}, near.heard)
-        self.assertEqual(frozenset(), near.staying)
+        self.assertEqual({"mate"}, near.alive)
+        self.assertEqual(frozenset(), near.not_draining)
         self.assertEqual({"h", "k"}, near.halls)
-        self.assertEqual(frozenset(), self.listener.live_peers(13.5).heard)
+        self.assertEqual(frozenset(), self.listener.live_peers(13.5).alive)
 
     def test_a_relay_that_should_speak_is_silent_after_a_second(self):
         self.assertFalse(self.listener.is_relay_unresponsive(RELAYS, 10.0))
