--- a/packages/rampwick-policy/src/rampwick_policy/_configuration.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_configuration.py
@@ -1,9 +1,9 @@
-"""Following the accepted configuration: only forward, from any source.
+"""Tracks the accepted configuration from several sources, without going back.
 
-Changes come from the platform's watch, from peers and from a fallback file, late,
-twice and out of order. Whatever the order, the version in force never falls: of two
-revisions the higher one is newer, but where the store was restored from an older copy
-in between. Revisions are given out again then, and the one of the later era is newer.
+Changes arrive from the watch of the platform, from peers and from a fallback file, and
+may be late, duplicated or out of order. The version in force never goes back: the
+higher of two revisions is newer, unless the store was restored from an older copy in
+between. Revision numbers are then reused, and the one of the later era is newer.
 """
 
 from collections.abc import Iterable
@@ -15,19 +15,19 @@
 from ._errors import TreeError
 from ._tree import TreeView, apply_change, empty_tree
 
-#: Changes kept for peers that ask; one too far behind gets the whole tree.
+#: Recent changes retained for peers; a peer further behind gets the full tree.
 MAX_RECENT_CHANGES = 256
 
-#: Changes kept that wait for an earlier one.
+#: Maximum number of changes that wait for an earlier one.
 MAX_PENDING = 4096
 
 
 @attrs.frozen(repr=False)
 class TreeVersion(Shown):
-    """Place of a tree in the order of all trees."""
+    """Version of a tree, ordered by store era and revision."""
 
     revision: int
-    #: Era of the store in which the revision was written, where that is known.
+    #: Era of the store in which the revision was written, if known.
     store_era: int | None = None
 
     def is_newer_than(self, other: "TreeVersion") -> bool:
@@ -42,7 +42,7 @@
         return is_known and self.store_era != other.store_era
 
     def is_same(self, other: "TreeVersion") -> bool:
-        """Return whether both stand for one tree."""
+        """Return whether both identify the same tree."""
         return self.revision == other.revision and not self.is_of_another_era(other)
 
 
@@ -56,9 +56,9 @@
     """The tree in force at this host and the changes that led to it."""
 
     view: TreeView = attrs.field(factory=lambda: TreeView(empty_tree()))
-    #: Where the revision in force came from: platform, peer, file or none.
+    #: Source of the revision in force: platform, peer, file or none.
     source: str = "none"
-    #: Why the newest accepted revision is not in force, or nothing.
+    #: Why the newest accepted revision is not in force; empty if it is.
     problem: str = ""
     _head: Tree = attrs.field(factory=empty_tree)
     _pending: dict[int, Change] = attrs.field(factory=dict)
@@ -71,7 +71,7 @@
 
     @property
     def head_revision(self) -> int:
-        """Newest revision known; above the one in force only if it is invalid."""
+        """Newest known revision; higher than the one in force only if it is invalid."""
         return self._head.revision
 
     @property
@@ -81,26 +81,26 @@
 
     @property
     def head(self) -> Tree:
-        """Newest tree known, also if it could not be put in force."""
+        """Newest known tree, even if it is invalid and not in force."""
         return self._head
 
     @property
     def head_version(self) -> TreeVersion:
-        """Newest version known."""
+        """Newest known version."""
         return tree_version(self._head)
 
     @property
     def is_newest_in_force(self) -> bool:
-        """Whether the newest version known could be put in force."""
+        """Whether the newest known version is in force."""
         return self.version == self.head_version
 
     @property
     def has_gap(self) -> bool:
-        """Whether later changes wait for one that has not come."""
+        """Whether changes wait for an earlier one that is missing."""
         return bool(self._pending)
 
     def offer_tree(self, tree: Tree, source: str) -> bool:
-        """Take a whole tree if it is newer; return whether it is now in force."""
+        """Apply a full tree if it is newer; return whether it is now in force."""
         version = tree_version(tree)
         if not version.is_newer_than(self.head_version):
             return False
@@ -113,7 +113,7 @@
         return self._put_in_force([tree, *self._apply_pending()], source)
 
     def offer_fallback(self, tree: Tree) -> bool:
-        """Take the settings' own tree if nothing else is known."""
+        """Apply the tree of the settings file if no other is known."""
         if self.revision or self.source != "none":
             return False
         self.view = TreeView(tree)
@@ -123,9 +123,10 @@
     def offer_changes(
         self, changes: Iterable[Change], source: str, store_era: int | None = None
     ) -> bool:
-        """Take changes in any order; return whether the revision rose.
+        """Apply changes in any order; return whether the revision has increased.
 
-        Those of another era than the newest known tree's have another base.
+        Changes of another era than the newest known tree are ignored, since they are
+        based on another tree.
         """
         if TreeVersion(0, store_era).is_of_another_era(self.head_version):
             return False
@@ -138,7 +139,7 @@
         return self._put_in_force(trees, source)
 
     def changes_after(self, known: TreeVersion) -> list[Change] | None:
-        """Return the changes after a version, or none if they are not kept."""
+        """Return the changes after a version; ``None`` if they are not retained."""
         if not self.head_version.is_newer_than(known):
             return []
         if known.is_of_another_era(self.head_version):
@@ -166,8 +167,8 @@
             try:
                 self.view = TreeView(tree)
             except TreeError as error:
-                # Only a foreign writer gets here: the last valid tree stays in
-                # force until a later revision is valid again.
+                # Only other writers store invalid trees. The last valid tree stays in
+                # force until a later revision is valid.
                 problem = problem or f"revision {tree.revision}: {error.message}"
                 continue
             self.source = source
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -1,13 +1,13 @@
-"""A lease on the platform: who may give orders, and for how long.
+"""A lease on the platform, which grants one host the right to send orders.
 
-The lease object's version is the fencing number: each write raises it, so a later
-holder's number is always higher, also after the store was restored from an older copy.
-Nobody compares clocks of two hosts: a holder counts from before its write, a candidate
-from after it first saw the write.
+The version of the lease object is the fencing number. Each write increases it, so a
+later holder always has a higher number, even after the store was restored from an older
+copy. Clocks of different hosts are never compared: a holder measures from before its
+write, and a candidate from after it first observed the write.
 
-A restored store has an older record of the lease, or none. Whoever held it before goes
-on until its own time is over, and all others wait for a whole lease from when they
-first see a version of the new era.
+A restored store has an older lease record, or none. The previous holder continues until
+its own lease time is over, and all other hosts wait for a full lease duration from when
+they first observe a version of the new era.
 """
 
 import math
@@ -16,27 +16,27 @@
 
 from rampwick_schema import LeaseRecord, Shown, era_of
 
-#: Version of a lease that is not there.
+#: Version of a lease object that does not exist.
 ABSENT = 0
 
 
 @attrs.define(repr=False)
 class LeaseWatcher(Shown):
-    """One host's knowledge of the lease; times are its own monotonic seconds."""
+    """State of the lease as observed by one host, in its own monotonic time."""
 
     host: str
     duration_seconds: float
-    #: Time after its own write in which a holder may give orders; the rest of the
-    #: lease keeps the next holder's orders apart from its last one.
+    #: Time after its write in which a holder may send orders. The rest of the lease
+    #: separates its last order from those of the next holder.
     order_window_seconds: float = math.inf
-    #: Version under which the record was last seen; 0 if there is none.
+    #: Last observed version of the record; 0 if there is none.
     version: int = ABSENT
     record: LeaseRecord | None = None
-    #: Last time at which its holder was heard of, whatever the version.
+    #: Last time at which a sign of the holder was observed, of any version.
     last_seen_seconds: float = 0.0
-    #: Version of this process's own last write.
+    #: Version of the last write of this process.
     _written_version: int = ABSENT
-    #: When another host's lease, of which a read showed no object, is over.
+    #: End of another host's lease after a read found no lease object.
     _free_at_seconds: float = -math.inf
     _seen_at_seconds: float = 0.0
     _held_until_seconds: float = -math.inf
@@ -45,7 +45,7 @@
     def observe(
         self, record: LeaseRecord | None, version: int, now_seconds: float
     ) -> None:
-        """Note what a read showed; an older version changes nothing."""
+        """Record the result of a read; older versions are ignored."""
         if version <= self.version:
             return
         self.last_seen_seconds = now_seconds
@@ -56,7 +56,7 @@
             self.give_up()
 
     def observe_absence(self, now_seconds: float) -> None:
-        """Note that a read found no lease: a restored copy may be older than it."""
+        """Record that a read found no lease; a restored copy may predate it."""
         if self.version == ABSENT:
             return
         self._free_at_seconds = now_seconds + self.duration_seconds
@@ -67,13 +67,13 @@
     def observe_announcement(
         self, holder: str, version: int, now_seconds: float
     ) -> None:
-        """Note what a peer says of the lease that it holds."""
+        """Record a peer's announcement of the lease that it holds."""
         self.last_seen_seconds = now_seconds
         record = LeaseRecord(holder, "", self.duration_seconds)
         self.observe(record, version, now_seconds)
 
     def may_take(self, now_seconds: float) -> bool:
-        """Return whether a conditional write for the lease may be tried."""
+        """Return whether this host may attempt a conditional write of the lease."""
         if self.record is None:
             return now_seconds >= self._free_at_seconds
         if self._is_own(now_seconds):
@@ -83,7 +83,8 @@
     def _is_own(self, now_seconds: float) -> bool:
         """Return whether no other host can have taken the lease since it was written.
 
-        In a restored store this host's record may be one that another has replaced.
+        In a restored store, a record of this host may be older than one that another
+        host wrote.
         """
         if self.record is None or self.record.holder != self.host:
             return False
@@ -94,7 +95,7 @@
     def note_written(
         self, record: LeaseRecord, version: int, write_began_seconds: float
     ) -> None:
-        """Note that one's own write took effect; it counts from its beginning."""
+        """Record a successful write; the lease starts when the write began."""
         self.version = self._written_version = version
         self.record = record
         self._seen_at_seconds = write_began_seconds
@@ -104,23 +105,23 @@
         )
 
     def give_up(self) -> None:
-        """Hold the lease no more and stop giving orders at once."""
+        """Give up the lease and stop sending orders immediately."""
         self._held_until_seconds = self._may_order_until_seconds = -math.inf
 
     def is_held(self, now_seconds: float) -> bool:
         """Return whether no other host can have taken the lease yet.
 
-        Orders may need it to be renewed first.
+        Sending orders may require a renewal first.
         """
         return now_seconds < self._held_until_seconds
 
     def fencing_number(
         self, now_seconds: float, needed_seconds: float = 0.0
     ) -> int | None:
-        """Return the number for an order that takes ``needed_seconds``, or none.
+        """Return the fencing number for an order that takes ``needed_seconds``.
 
-        None means that the lease would not outlive the order: an upstream that
-        ignores fencing could then obey two holders.
+        ``None`` means that the lease would end before the order does. An upstream that
+        ignores fencing could then execute orders of two holders.
         """
         if now_seconds + needed_seconds >= self._may_order_until_seconds:
             return None
--- a/packages/rampwick-policy/src/rampwick_policy/_orders.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_orders.py
@@ -1,9 +1,10 @@
-"""Which runner is told to load weights next.
+"""Plans which runners load weights next.
 
-The steward wants every runner of a model at the target version. It moves at most
-two at a time, since the weight store is rate-limited, and never takes a runner while
-the others could not carry the load. Orders are target states: telling one again
-changes nothing, and a new steward starts from what the runners report.
+The rollout controller brings every runner of a model to the target version. At most two
+runners load at a time, since the weight store is rate-limited, and no runner is taken
+out of service while the others lack the capacity to replace it. Orders are target
+states: repeating one has no effect, and a new controller starts from the reports of the
+runners.
 """
 
 from collections.abc import Sequence
@@ -12,22 +13,22 @@
 
 from rampwick_schema import Order, Shown, WeightsTarget
 
-#: Loads under way at once in one region.
+#: Maximum number of concurrent loads in one region.
 MAX_LOADS = 2
 
-#: Share of a model's runners that must go on serving while others load.
+#: Minimum ratio of the runners of a model that serve while others load.
 MIN_SERVING_RATIO = 0.5
 
 
 @attrs.frozen(repr=False)
 class RunnerState(Shown):
-    """What the steward knows of one runner, from its own report."""
+    """State of one runner, according to its own report."""
 
     name: str
     model: str
     weights_version: int
     is_serving: bool
-    #: Whether an order was sent that its report does not show fulfilled yet.
+    #: Whether an order was sent that the report does not show as completed yet.
     is_loading: bool
     running_count: int = 0
     address: str = ""
@@ -35,7 +36,7 @@
 
 @attrs.frozen(repr=False)
 class PlannedOrder(Shown):
-    """An order and whom it is for."""
+    """An order and its recipient."""
 
     runner: str
     order: Order
@@ -45,7 +46,7 @@
 def count_outdated(
     runners: Sequence[RunnerState], targets: Sequence[WeightsTarget]
 ) -> int:
-    """Return the number of runners whose weights are older than their target."""
+    """Return the number of runners with weights older than their target."""
     wanted = {target.model: target.weights_version for target in targets}
     return sum(
         runner.weights_version < wanted.get(runner.model, 0) for runner in runners
@@ -58,7 +59,7 @@
     fencing_number: int,
     max_loads: int = MAX_LOADS,
 ) -> list[PlannedOrder]:
-    """Return the orders to send now; the idlest runner goes first."""
+    """Return the orders to send now, for the least loaded runners first."""
     loading = sum(runner.is_loading for runner in runners)
     planned: list[PlannedOrder] = []
     for target in targets:
@@ -74,7 +75,7 @@
             if loading >= max_loads:
                 break
             if not _can_take_out(runner, model_runners, planned):
-                # Others behind it may serve nothing, so that nothing is lost by them.
+                # Later runners may not be serving, and loading them costs nothing.
                 continue
             order = Order(
                 fencing_number=fencing_number, weights_version=target.weights_version
@@ -90,12 +91,12 @@
     planned: Sequence[PlannedOrder],
 ) -> bool:
     if not runner.is_serving:
-        # It serves nothing as it is, so nothing is lost while it loads.
+        # The runner does not serve, so its load costs no capacity.
         return True
     taken = {item.runner for item in planned} | {runner.name}
     serving = sum(
         item.is_serving and not item.is_loading and item.name not in taken
         for item in model_runners
     )
-    # A lone runner has to be taken out, or it would never be renewed.
+    # A single runner is taken out of service as well, or it would never be updated.
     return len(model_runners) == 1 or serving >= MIN_SERVING_RATIO * len(model_runners)
--- a/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
@@ -1,35 +1,35 @@
-"""When a tree of a restored store replaces a higher revision that is in force.
+"""Decides when a tree from a restored store replaces a higher revision in force.
 
-A store that was restored from a copy shows an older tree until operators have written
-again what was lost. Putting it in force would give back keys that were taken away;
-never doing so would leave a host with a tree that nobody else has.
+A store that was restored from a copy returns an older tree until operators have written
+the lost changes again. Applying the older tree at once would reactivate revoked keys;
+never applying it would leave a host with a tree that differs from all others.
 """
 
 import attrs
 
 from rampwick_schema import Shown, Tree, era_of
 
-#: Time for which the tree of a copy is not taken over a higher revision.
+#: Time for which the tree of a copy does not replace a higher revision.
 COPY_HOLD_SECONDS = 20.0
 
-#: The same for one that was written after the restore: lost revisions may be written
-#: again one after another, and the last of them is the one to take.
+#: The same for a tree that was written after the restore. Lost revisions may be written
+#: again one by one, and only the last of them should be applied.
 REWRITE_HOLD_SECONDS = 1.0
 
 
 @attrs.frozen(repr=False)
 class ReadTree(Shown):
-    """A tree as a store shows it."""
+    """A tree as read from a store."""
 
     tree: Tree
-    #: Version of the object that holds it, and of the store.
+    #: Versions of the object that contains the tree, and of the store.
     version: int
     store_version: int
 
 
 @attrs.frozen(repr=False)
 class TreeOffer(Shown):
-    """A tree with the era in which it was written, and when it may be taken."""
+    """A tree with its store era, and the time from which it may be applied."""
 
     tree: Tree
     due_at_seconds: float
@@ -37,7 +37,7 @@
 
 @attrs.define(repr=False)
 class RestoredTrees(Shown):
-    """Places the trees that a store shows in the order of all trees."""
+    """Assigns eras to the trees read from a store, which may have been restored."""
 
     _era: int = 0
     #: Version of the store as it was first read in this era.
@@ -45,13 +45,13 @@
     _began_at_seconds: float = 0.0
     _version: int = 0
     _version_since_seconds: float = 0.0
-    #: The last two that were found to be equal, since comparing whole trees is slow.
+    #: The last pair found to be equal; a cache, since comparing full trees is slow.
     _equal: tuple[int, Tree] | None = None
 
     def place(self, read: ReadTree, known: Tree, now_seconds: float) -> TreeOffer:
-        """Return a tree as it is to be offered, and from when on.
+        """Return a read tree with its era, and the time from which it applies.
 
-        ``known`` is the newest one that this host knows.
+        ``known`` is the newest tree that this host has.
         """
         self._record_read(read, now_seconds)
         if not self._era:
--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -23,8 +23,8 @@
 #: from every other, so the cost per host grows with the number of hosts.
 MESH_LIMIT_COUNT = 16
 
-#: Hosts of a group that read the platform. A small fleet is a single group and its calls
-#: are cheap, so it has enough readers that two may fail at once.
+#: Hosts of a group that read the platform. A small fleet is a single group and its
+#: calls are cheap, so it has enough readers that two may fail at once.
 READERS_COUNT = 3
 LARGE_READERS_COUNT = 1
 
--- a/packages/rampwick-policy/src/rampwick_policy/_rollout.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_rollout.py
@@ -1,9 +1,9 @@
-"""A rollout of weights: which runner is asked or told what, and when again.
+"""Rollout of weights: which runner to poll or send an order to, and when to retry.
 
-An order may go unanswered and still be carried out, even seconds later and after a
-newer one. So each order names the number of orders that the runner has taken so far:
-once another was taken, the late one is refused. A runner is told only after it has
-just reported that number.
+An order without an answer may still be executed, even seconds later and after a newer
+one. So each order includes the number of orders that the runner has accepted so far,
+and a runner that has accepted another one since refuses the late order. An order is
+sent only right after the runner has reported that number.
 """
 
 import enum
@@ -17,49 +17,49 @@
 from ._orders import PlannedOrder, RunnerState, plan_orders
 from ._upstreams import SERVING_ROLE
 
-#: Age up to which a report is good enough to order by.
+#: Maximum age of the report on which an order is based.
 FRESH_REPORT_SECONDS = 0.4
 
-#: Time after an order before the first look at what came of it, and between looks.
-#: Loads take about 0.8 s on today's engines, so the first look comes a little before.
+#: Delay of the first poll after an order, and interval between polls. Loads take about
+#: 0.8 s on current engines, and the first poll is slightly earlier.
 FIRST_POLL_SECONDS = 0.6
 POLL_INTERVAL_SECONDS = 0.15
 
-#: Time after which an order that no report shows is sent again; reports lag by 0.2 s.
+#: Time after which an order without effect in reports is resent; reports lag by 0.2 s.
 RESEND_SECONDS = 1.0
 
-#: Time that an ordered load is expected to take at the most, as peers are told.
+#: Expected maximum duration of a load, as published to peers.
 LOAD_SECONDS = 2.5
 
-#: Time for which a runner that reports a load under way is left alone at least.
+#: Minimum remaining time of a load that a runner reports as in progress.
 STILL_LOADING_SECONDS = 0.5
 
-#: Time for which a runner that did not report is left out of the plan.
+#: Time for which an unresponsive runner is excluded from the plan.
 UNRESPONSIVE_SECONDS = 1.0
 
-#: Time after which a report that did not come is asked for again.
+#: Time after which a missing report is requested again.
 REPORT_RETRY_SECONDS = 0.3
 
 
 class OrderResult(enum.Enum):
-    """What a runner said to an order."""
+    """The result of an order to a runner."""
 
     TAKEN = "taken"
-    #: The runner is as ordered already.
+    #: The runner is already in the ordered state.
     HOLDS = "holds"
-    #: Another order is under way, or was taken since the last report.
+    #: Another order is in progress, or was accepted since the last report.
     CONFLICT = "conflict"
-    #: A later holder has given orders.
+    #: A later lease holder has sent orders.
     FENCED = "fenced"
-    #: The runner can't do what was ordered.
+    #: The runner is unable to execute the order.
     REFUSED = "refused"
-    #: No answer came; it may be carried out now, later or never.
+    #: No answer arrived; the order may be executed now, later or never.
     LOST = "lost"
 
 
 @attrs.frozen(repr=False)
 class FetchReport(Shown):
-    """A runner is to be asked for its report."""
+    """Request for the report of a runner."""
 
     runner: str
     address: str
@@ -70,26 +70,26 @@
 
 @attrs.define(repr=False)
 class RunnerRecord(Shown):
-    """What the steward knows of its dealings with one runner."""
+    """State of one runner at the rollout controller."""
 
     report: LoadReport | None = None
     reported_at_seconds: float = 0.0
     requested_at_seconds: float = -1e9
-    #: Until when a runner that did not report is left out.
+    #: Time until which an unresponsive runner is excluded.
     unresponsive_until_seconds: float = -1e9
-    #: The last order, while it is not known to be over.
+    #: Version in the last order, until the order is known to be completed.
     ordered_version: int | None = None
     ordered_at_seconds: float = 0.0
-    #: When the load is expected to be over at the latest.
+    #: Latest expected end of the load.
     until_seconds: float = 0.0
 
     def is_pending(self) -> bool:
-        """Return whether an order may still be under way."""
+        """Return whether an order may still be in progress."""
         return self.ordered_version is not None
 
 
 class Rollout:
-    """State machine of one steward's orders; it forgets all with its lease."""
+    """State machine of a rollout controller; its state ends with its lease."""
 
     def __init__(self, max_loads: int, max_loads_ratio: float = 0.0) -> None:
         self._max_loads = max_loads
@@ -97,11 +97,11 @@
         self._records: dict[str, RunnerRecord] = {}
 
     def reset(self) -> None:
-        """Start anew, as a holder that knows nothing of earlier orders."""
+        """Discard all state, as for a new lease holder."""
         self._records.clear()
 
     def loads(self) -> dict[str, tuple[int, float]]:
-        """Return version and latest end of each load under way, by runner."""
+        """Return version and latest expected end of each running load, by runner."""
         return {
             name: (record.ordered_version, record.until_seconds)
             for name, record in self._records.items()
@@ -114,7 +114,7 @@
         targets: Sequence[WeightsTarget],
         now_seconds: float,
     ) -> list[RolloutStep]:
-        """Return what is to be asked and ordered now."""
+        """Return the report requests and orders to send now."""
         names = {runner.name for runner in runners}
         for name in self._records.keys() - names:
             del self._records[name]
@@ -124,7 +124,7 @@
             if now_seconds >= self._record(runner.name).unresponsive_until_seconds
         ]
         steps: list[RolloutStep] = []
-        # Rounded up: with a runner gone the others load as fast as before.
+        # Rounded up, so that the loss of one runner does not slow the rollout.
         by_ratio = math.ceil(len(states) * self._max_loads_ratio)
         max_loads = max(self._max_loads, by_ratio)
         for planned in plan_orders(states, targets, 0, max_loads):
@@ -137,7 +137,7 @@
     def note_report(
         self, runner: str, report: LoadReport, requested_at_seconds: float
     ) -> None:
-        """Take a report that was asked for at the given time."""
+        """Record a report that was requested at the given time."""
         record = self._record(runner)
         record.report = report
         record.reported_at_seconds = requested_at_seconds
@@ -158,21 +158,21 @@
             )
 
     def note_unresponsive(self, runner: str, now_seconds: float) -> None:
-        """Note that a runner did not report; others go before it for a while."""
+        """Record that a runner sent no report; it is excluded for a while."""
         record = self._record(runner)
         record.unresponsive_until_seconds = now_seconds + UNRESPONSIVE_SECONDS
 
     def note_sent(self, runner: str, version: int, now_seconds: float) -> None:
-        """Note that an order is about to be sent."""
+        """Record that an order is about to be sent."""
         record = self._record(runner)
         record.ordered_version = version
         record.ordered_at_seconds = now_seconds
         record.until_seconds = now_seconds + LOAD_SECONDS
 
     def note_result(self, runner: str, result: OrderResult) -> None:
-        """Take a runner's answer to the last order."""
+        """Record the result of the last order to a runner."""
         record = self._record(runner)
-        # What was reported before the order says nothing any more.
+        # A report from before the order is outdated.
         record.report = None
         if result not in (OrderResult.TAKEN, OrderResult.LOST):
             record.ordered_version = None
@@ -197,7 +197,7 @@
         if report is None or age_seconds > FRESH_REPORT_SECONDS:
             return self._fetch_report(planned.runner, planned.address, now_seconds)
         if report.role != SERVING_ROLE:
-            # Somebody's order is under way; look again before telling it more.
+            # Another order is in progress; get a new report before the next order.
             record.report = None
             return []
         order = attrs.evolve(planned.order, expected_orders_count=report.orders_count)
--- a/packages/rampwick-policy/src/rampwick_policy/_targets.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_targets.py
@@ -1,4 +1,4 @@
-"""The weights that runners shall have, and for how long others have been outdated."""
+"""Target weights of runners, and the time since older versions became outdated."""
 
 import math
 from collections.abc import Iterable
@@ -7,33 +7,34 @@
 
 from rampwick_schema import NamedWeights, Shown, WeightsTarget
 
-#: Versions of one model whose time of naming is remembered, and how many of the newest
-#: are told to peers: more are seldom named within the time that any may be used.
+#: Number of versions per model with a recorded target time, and number of the newest
+#: that are published to peers. More versions seldom become targets within the time for
+#: which an outdated version may be used.
 MAX_VERSIONS_PER_MODEL = 64
 MAX_PUBLISHED_VERSIONS = 4
 
 
-#: Age of a host's own reading up to which it was reading all the time: a watch of 3 s
-#: and the way of its answer. What a peer tells it knows as late as that.
+#: Age of a host's last reading up to which its reading counts as continuous: a watch of
+#: 3 s plus the transfer of its answer. Values from peers may be late by the same time.
 MAX_READING_AGE_SECONDS = 4.0
 
 
 @attrs.define(repr=False)
 class TargetWeights(Shown):
-    """Target versions by model, with the time at which each was named.
+    """Target versions by model, with the time at which each became the target.
 
-    A host has seen a naming if it was reading all the time. Else its time is guessed:
-    so long ago, but not before a newer version would have been told or read here.
-    Guesses are not told to peers and give way to the word of one who saw.
+    A host observes this time if it reads continuously. Otherwise it assumes an age, but
+    no time before the last one at which no newer version was known. Such estimates are
+    not published to peers, and an observed time from a peer replaces them.
     """
 
-    #: Age of a version that was named while nobody told this host of it.
+    #: Assumed age of a target that was set while this host had no information.
     assumed_age_seconds: float = 0.0
-    #: Steady time up to which no newer version was known to readers or to this host.
+    #: Monotonic time up to which no newer version was known to readers or this host.
     unchanged_until_seconds: float = -math.inf
-    #: Steady time at which this host's own reading was surely the newest.
+    #: Monotonic time at which this host's own reading was certainly current.
     read_at_seconds: float = -math.inf
-    _named_at: dict[str, dict[int, float]] = attrs.field(factory=dict)
+    _target_since: dict[str, dict[int, float]] = attrs.field(factory=dict)
     _estimated: set[tuple[str, int]] = attrs.field(factory=set)
 
     def apply(
@@ -41,7 +42,7 @@
         targets: Iterable[WeightsTarget],
         now_seconds: float,
     ) -> None:
-        """Take the targets that were told; older versions change nothing."""
+        """Apply targets from a peer; older versions are ignored."""
         for target in targets:
             if self._is_new(target):
                 self._note_estimated(target, now_seconds)
@@ -54,10 +55,10 @@
         now_seconds: float,
         is_after_failure: bool = False,
     ) -> None:
-        """Take what this host has read, and the time at which it was newest.
+        """Apply targets that this host has read, current at ``read_at_seconds``.
 
-        A version that was not there a moment ago was named in between; after a failure
-        or a pause nobody here knows when.
+        A version that was missing from a recent reading became the target in between.
+        After a failure or a pause, the time is unknown.
         """
         age_seconds = now_seconds - self.read_at_seconds
         was_observed = age_seconds <= MAX_READING_AGE_SECONDS and not is_after_failure
@@ -74,7 +75,7 @@
         self._note_unchanged(read_at_seconds)
 
     def _is_new(self, target: WeightsTarget) -> bool:
-        known = self._named_at.get(target.model, {})
+        known = self._target_since.get(target.model, {})
         return target.weights_version > max(known, default=-1)
 
     def _note_estimated(self, target: WeightsTarget, now_seconds: float) -> None:
@@ -87,18 +88,18 @@
         self.unchanged_until_seconds = max(self.unchanged_until_seconds, at_seconds)
 
     def learn(self, named: Iterable[NamedWeights], now_seconds: float) -> None:
-        """Take a peer's word on when versions were named; the earliest time holds."""
+        """Merge target times observed by a peer; the earliest time applies."""
         for item in named:
             model, version = item.model, item.weights_version
             at_seconds = now_seconds - item.age_seconds
-            known_seconds = self._named_at.get(model, {}).get(version, math.inf)
+            known_seconds = self._target_since.get(model, {}).get(version, math.inf)
             if (model, version) in self._estimated or at_seconds < known_seconds:
                 self._note(model, version, at_seconds, is_estimate=False)
 
     def _note(
         self, model: str, version: int, at_seconds: float, is_estimate: bool
     ) -> None:
-        named = self._named_at.setdefault(model, {})
+        named = self._target_since.setdefault(model, {})
         named[version] = at_seconds
         self._estimated.discard((model, version))
         if is_estimate:
@@ -109,33 +110,34 @@
             self._estimated.discard((model, oldest))
 
     def read_age_seconds(self, now_seconds: float) -> float:
-        """Return the age of this host's own reading; infinite if there is none."""
+        """Return the age of the last own reading; infinite if there is none."""
         return now_seconds - self.read_at_seconds
 
     def newest(self, model: str) -> int:
         """Return the target version of a model; 0 if none is known."""
-        return max(self._named_at.get(model, {}), default=0)
+        return max(self._target_since.get(model, {}), default=0)
 
     def all_newest(self) -> list[WeightsTarget]:
         """Return the newest target of each model."""
         return [
-            WeightsTarget(model, max(named)) for model, named in self._named_at.items()
+            WeightsTarget(model, max(named))
+            for model, named in self._target_since.items()
         ]
 
     def ages(self, now_seconds: float) -> list[NamedWeights]:
-        """Return how long ago the newest versions were named, where that is known."""
+        """Return the ages of the newest targets with an observed time."""
         return [
             NamedWeights(model, version, max(0.0, now_seconds - named[version]))
-            for model, named in self._named_at.items()
+            for model, named in self._target_since.items()
             for version in sorted(named)[-MAX_PUBLISHED_VERSIONS:]
             if (model, version) not in self._estimated
         ]
 
     def outdated_seconds(self, model: str, version: int, now_seconds: float) -> float:
-        """Return the time since a newer version was named; 0 if none was."""
+        """Return the time since a newer version became the target; 0 if none did."""
         newer = [
             at_seconds
-            for named, at_seconds in self._named_at.get(model, {}).items()
+            for named, at_seconds in self._target_since.get(model, {}).items()
             if named > version
         ]
         return now_seconds - min(newer) if newer else 0.0
--- a/packages/rampwick-policy/src/rampwick_policy/_tree.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_tree.py
@@ -1,7 +1,7 @@
 """The tree of workspaces: paths, inheritance, validation and changes.
 
-Everything here is pure. A ``TreeView`` is built once for each revision and
-answers look-ups from precomputed maps.
+All functions are pure. A ``TreeView`` is built once per revision and answers look-ups
+from precomputed maps.
 """
 
 import hashlib
@@ -18,19 +18,19 @@
 
 ROOT = "/"
 
-#: One path component: letters, digits, dash, underscore, dot.
+#: A path component: letters, digits, dash, underscore and dot.
 _COMPONENT = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,62}\Z")
 _KEY_HASH = re.compile(r"[0-9a-f]{64}\Z")
 
-#: Values that a node takes from the nearest ancestor that sets them.
+#: Values that a node inherits from the nearest ancestor that sets them.
 INHERITED = ("deadline_seconds", "priority_class", "miss_price", "models")
 
 DEFAULT_CLASS = "interactive"
 
-#: Largest depth of a path; keeps share vectors short.
+#: Maximum depth of a path, which bounds the length of share vectors.
 MAX_DEPTH = 8
 
-#: Nodes that a tree may hold, so that its snapshot stays under a megabyte.
+#: Maximum number of nodes, so that the snapshot of a tree stays under 1 MB.
 MAX_NODES = 2000
 
 STEP = "validate tree"
@@ -38,12 +38,12 @@
 
 @attrs.frozen(repr=False)
 class LimitedNode(Shown):
-    """A node on a workspace's path that sets a limit of its own."""
+    """A node on the path of a workspace that sets a limit."""
 
     path: str
     tokens_per_second: float | None
     burst_tokens: float
-    #: What a request counts that names no tokens.
+    #: Tokens charged for a request that does not specify a count.
     plain_tokens: float
     #: Whether each request counts as one token.
     counts_requests: bool
@@ -53,7 +53,7 @@
 
 @attrs.frozen(repr=False)
 class Workspace(Shown):
-    """A workspace with everything that it inherits resolved."""
+    """A workspace with its inherited values resolved."""
 
     path: str
     #: Weight of each node on the path, from below the root to the workspace.
@@ -63,14 +63,14 @@
     priority_class: str = DEFAULT_CLASS
     miss_price: float | None = None
     models: frozenset[str] | None = None
-    #: Rank of its requests on routes; none leaves it to the route.
+    #: Rank of its requests on routes; ``None`` uses the default of the route.
     priority_rank: int | None = None
-    #: Whose cached prompts its requests may use, on routes.
+    #: Isolation domain of the prompt cache on routes.
     cache_domain: str = ""
 
     @property
     def lineage(self) -> tuple[str, ...]:
-        """Paths from below the root down to the workspace itself."""
+        """Paths from below the root to the workspace, inclusive."""
         return lineage(self.path)[1:]
 
     def allows_model(self, model: str) -> bool:
@@ -94,7 +94,7 @@
             for path, node in tree.nodes.items()
             if node.is_workspace
         }
-        #: Stands for whoever uses a public route.
+        #: Workspace of all callers of public routes.
         self.public_workspace = Workspace(ROOT, (), (), cache_domain=shared_domain)
         self._by_key_hash = {
             key_hash: path
@@ -113,13 +113,13 @@
         return self._workspaces
 
     def find_workspace(self, key_hash: str) -> Workspace | None:
-        """Return the workspace whose bearer key has this SHA-256, if any."""
+        """Return the workspace with this SHA-256 of a bearer key, if any."""
         path = self._by_key_hash.get(key_hash)
         return self._workspaces[path] if path else None
 
 
 def empty_tree() -> Tree:
-    """Return the tree of revision 0, before anyone has written one."""
+    """Return the tree of revision 0, before the first change."""
     return Tree(revision=0, nodes={ROOT: Node()})
 
 
@@ -156,10 +156,10 @@
 
 
 def _shared_cache_domain(tree: Tree) -> str:
-    """Return the name under which workspaces that are not isolated share a cache.
+    """Return the cache domain of all workspaces that are not isolated.
 
-    It changes with the set of isolated workspaces, since one that becomes isolated
-    has left entries under the old name.
+    It changes with the set of isolated workspaces, since a workspace that becomes
+    isolated has entries in the old domain.
     """
     isolated = sorted(path for path, node in tree.nodes.items() if node.is_isolated)
     digest = hashlib.blake2b("\0".join(isolated).encode(), digest_size=8)
@@ -167,8 +167,8 @@
 
 
 def _limits_of(nodes: list[tuple[str, Node]]) -> Iterator[LimitedNode]:
-    # A child without a limit of its own is held by its ancestor's, which counts
-    # the whole subtree; so only nodes that set a value need a check.
+    # A child without a limit is subject to the limit of its ancestor, which counts the
+    # whole subtree. So only nodes that set a value are checked.
     for path, node in nodes:
         limits = (node.tokens_per_second, node.max_running_count)
         if (*limits, node.max_waiting_count) == (None, None, None):
@@ -185,7 +185,7 @@
 
 
 def validate_tree(tree: Tree) -> None:
-    """Raise a TreeError that names every problem of the tree."""
+    """Raise a TreeError that lists all problems of the tree."""
     problems = list(_problems(tree))
     if problems:
         raise TreeError("; ".join(problems), step=STEP)
@@ -223,7 +223,7 @@
 
 
 def apply_change(tree: Tree, change: Change) -> Tree:
-    """Return the tree after the change, which must make the next revision."""
+    """Return the tree after a change, which must be the next revision."""
     if change.revision != tree.revision + 1:
         message = f"change makes revision {change.revision}, tree is {tree.revision}"
         raise ConflictError(message, step="apply change")
@@ -237,7 +237,7 @@
 
 
 def moved(tree: Tree, source: str, target: str) -> list[NodeEdit]:
-    """Return the edits that move a subtree; keys and values go with it."""
+    """Return the edits that move a subtree with its keys and values."""
     if source not in tree.nodes:
         raise TreeError(f"{source}: no such node", step="move node")
     if target in tree.nodes:
