--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere within seconds and never reverts."""
+"""An accepted configuration is applied by all hosts within seconds, without reverts."""
 
 from unittest import mock
 
@@ -34,7 +34,7 @@
 
 
 def set_weight(path, weight):
-    """Return an edit maker that gives a node a weight."""
+    """Return a function whose edits set the weight of a node."""
 
     def edits(tree):
         return [NodeEdit(path, Node(weight=weight))]
@@ -51,20 +51,20 @@
 
         return anyio.run(run)
 
-    def test_answer_lost_after_the_write_took_effect_is_an_acceptance(self):
+    def test_lost_answer_of_an_effective_write_counts_as_accepted(self):
         api = FakeApi()
         api.lose_answers = 1
         change = self.propose(api, set_weight("/a", 2.0))
         self.assertEqual(1, change.revision)
         self.assertEqual(1, len(api.store.log))
 
-    def test_write_that_never_came_is_tried_again_once_it_is_known(self):
+    def test_lost_write_is_retried_once_the_loss_is_confirmed(self):
         api = FakeApi()
         api.lose_writes = 2
         self.assertEqual(1, self.propose(api, set_weight("/a", 2.0)).revision)
         self.assertEqual(1, len(api.store.log))
 
-    def test_of_two_operators_that_race_one_is_told_what_the_other_changed(self):
+    def test_concurrent_edit_conflict_names_the_other_change(self):
         api = FakeApi()
 
         async def other_writes():
@@ -83,7 +83,7 @@
         tree = anyio.run(TreeStore(api).load).tree
         self.assertEqual({"/", "/b"}, set(tree.nodes))
 
-    def test_store_without_conditions_is_caught(self):
+    def test_store_that_ignores_conditions_is_detected(self):
         api = FakeApi()
 
         put = ObjectStore.put
@@ -120,14 +120,14 @@
         self.assertRaises(TreeError, self.propose, api, set_weight("/a/b", 1.0))
         self.assertEqual([], api.store.log)
 
-    def test_deletion_comes_back_from_the_platform(self):
+    def test_deletion_is_read_back_from_the_platform(self):
         api = FakeApi()
         self.propose(api, set_weight("/a", 2.0))
         self.propose(api, lambda tree: deleted(tree, "/a"))
         tree = anyio.run(TreeStore(api).load).tree
         self.assertEqual((2, {"/"}), (tree.revision, set(tree.nodes)))
 
-    def test_snapshot_saves_reading_the_log(self):
+    def test_snapshot_replaces_reading_the_log(self):
         api = FakeApi()
         for number in range(33):
             self.propose(api, set_weight("/a", number + 1.0))
@@ -137,7 +137,7 @@
 
 
 class InForceTest(ScenarioCase):
-    def test_change_is_in_force_on_every_host_and_reaches_one_cut_off(self):
+    def test_change_reaches_all_hosts_including_one_cut_off(self):
         async def scenario(bench):
             async with (
                 bench.run_host("entry-1") as one,
@@ -147,9 +147,9 @@
                 hosts = [one, two, three]
                 for host in hosts:
                     await until(lambda host=host: host.daemon.follower.revision == 1)
-                # The third hears the platform no more, only its peers.
+                # The third host is cut off from the platform, but not from its peers.
                 third = three.daemon._configuration
-                await until(lambda: len(third_peers(three)) == 2)
+                await until(lambda: len(live_peers_of(three)) == 2)
                 with mock.patch.object(third.source, "_store", CutOffStore()):
                     await until(lambda: third.problem)
                     await bench.edit(set_weight("/new", 2.0))
@@ -161,7 +161,7 @@
 
         self.assertEqual("peer", self.run_scenario(scenario))
 
-    def test_platform_down_right_after_the_acceptance(self):
+    def test_change_reaches_all_hosts_if_the_platform_fails_after_accepting(self):
         async def scenario(bench):
             async with (
                 bench.run_host("entry-1") as one,
@@ -183,33 +183,33 @@
         self.run_scenario(scenario)
 
     def observe_stale(self):
-        """Return the revisions of a host while the platform answers old states."""
+        """Return the revisions of a host while the platform returns old states."""
 
         async def scenario(bench):
-            looks = []
+            observations = []
             async with bench.run_host("entry-1") as host:
                 follower = host.daemon.follower
                 await until(lambda: follower.revision == 1)
                 bench.platform.set_faults(PlatformFaults(is_stale=True))
-                await bench_edit_directly(bench)
+                await write_change_directly(bench)
                 bench.platform.set_faults(PlatformFaults())
                 await until(lambda: follower.revision == 2)
-                looks.append(Observed("entry-1", follower.revision))
-                # An old state answers now, again and again.
+                observations.append(Observed("entry-1", follower.revision))
+                # From here on, the platform returns an old state repeatedly.
                 bench.platform._stale_store = ObjectStore()
                 bench.platform.faults = PlatformFaults(is_stale=True)
                 for _ in range(3):
                     task = host.daemon._configuration
                     await task.source._load(task)
-                    looks.append(Observed("entry-1", follower.revision))
-            return looks
+                    observations.append(Observed("entry-1", follower.revision))
+            return observations
 
         return self.run_scenario(scenario)
 
     def test_old_answer_after_a_newer_one_changes_nothing(self):
         self.assert_holds(check_revisions(self.observe_stale()))
 
-    def test_follower_that_takes_any_answer_is_caught(self):
+    def test_follower_that_applies_any_answer_is_detected(self):
         def offer_tree(self, tree, source):
             self.view = TreeView(tree)
             self._head = tree
@@ -227,25 +227,25 @@
             try:
                 found = check_revisions(self.observe_stale())
             except BaseException:
-                found = ["the host did not come to revision 2"]
+                found = ["the host did not reach revision 2"]
         self.assertNotEqual([], found)
 
 
-async def bench_edit_directly(bench):
-    """Accept a change while reads are stale, as a writer with a fresh view would."""
+async def write_change_directly(bench):
+    """Write a change while reads are stale, as a writer with current data does."""
     api = FakeApi(bench.platform.store)
     await TreeStore(api).propose(
         set_weight("/new", 2.0), author="a", base_revision=None, now_seconds=0.0
     )
 
 
-def third_peers(host):
-    """Return the peers that a host hears."""
+def live_peers_of(host):
+    """Return the peers that are alive for a host."""
     return list(host.daemon.scheduler._scheduler.peers._views)
 
 
 class CutOffStore:
-    """A tree store whose platform is out of reach."""
+    """A tree store whose platform is unreachable."""
 
     async def load(self, base=None):
         raise PlatformError("cut off", step="load")
@@ -255,7 +255,7 @@
 
 
 def make_changes(count):
-    """Return a log of changes, each giving one node a new weight."""
+    """Return a log of changes, each of which sets the weight of one node."""
     return [
         Change(
             number, f"w{number}", "a", 0.0, [NodeEdit("/a", Node(weight=float(number)))]
@@ -267,33 +267,33 @@
 class FollowerTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.data())
-    def test_any_order_of_news_ends_at_the_newest_and_never_falls(self, data):
+    def test_updates_in_any_order_end_at_the_newest_without_going_back(self, data):
         changes = make_changes(6)
         trees = [empty_tree()]
         for change in changes:
             trees.append(apply_change(trees[-1], change))
         follower = ConfigurationFollower()
-        looks = []
+        observations = []
         for _ in range(data.draw(st.integers(0, 12))):
             if data.draw(st.booleans()):
                 follower.offer_tree(data.draw(st.sampled_from(trees)), "peer")
             else:
                 some = data.draw(st.lists(st.sampled_from(changes), max_size=4))
                 follower.offer_changes(some, "peer")
-            looks.append(Observed("h", follower.revision))
-        self.assertEqual([], check_revisions(looks))
+            observations.append(Observed("h", follower.revision))
+        self.assertEqual([], check_revisions(observations))
         follower.offer_changes(changes, "peer")
         self.assertEqual(trees[-1], follower.view.tree)
 
     def test_invalid_revision_keeps_the_last_valid_one_in_force(self):
         changes = make_changes(2)
         orphan = Change(3, "w3", "a", 0.0, [NodeEdit("/x/y", Node())])
-        mended = Change(4, "w4", "a", 0.0, [NodeEdit("/x/y", None)])
+        repair = Change(4, "w4", "a", 0.0, [NodeEdit("/x/y", None)])
         follower = ConfigurationFollower()
         follower.offer_changes([*changes, orphan], "platform")
         self.assertEqual((2, 3), (follower.revision, follower.head_revision))
         self.assertIn("/x/y", follower.problem)
-        follower.offer_changes([mended], "platform")
+        follower.offer_changes([repair], "platform")
         self.assertEqual((4, ""), (follower.revision, follower.problem))
 
     def test_peer_too_far_behind_gets_no_changes(self):
@@ -309,7 +309,7 @@
 
 @st.composite
 def trees(draw):
-    """Draw a valid tree with deadlines and classes here and there."""
+    """Generate a valid tree in which some nodes set deadlines and classes."""
     nodes = {"/": Node()}
     for path in draw(st.lists(PATHS, max_size=6)):
         for step in lineage(path):
@@ -328,7 +328,7 @@
 class TreeTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(trees())
-    def test_a_value_is_the_nearest_ancestors(self, tree):
+    def test_a_value_is_inherited_from_the_nearest_ancestor(self, tree):
         for path, workspace in TreeView(tree).workspaces.items():
             expected = None
             for step in lineage(path):
@@ -344,13 +344,15 @@
         if not paths:
             return
         path = data.draw(st.sampled_from(paths))
-        gone = apply_change(tree, Change(2, "w", "a", 0.0, deleted(tree, path)))
-        TreeView(gone)
-        away = apply_change(tree, Change(2, "w", "a", 0.0, moved(tree, path, "/z")))
-        TreeView(away)
-        self.assertEqual(len(tree.nodes), len(away.nodes))
+        after_delete = apply_change(tree, Change(2, "w", "a", 0.0, deleted(tree, path)))
+        TreeView(after_delete)
+        after_move = apply_change(
+            tree, Change(2, "w", "a", 0.0, moved(tree, path, "/z"))
+        )
+        TreeView(after_move)
+        self.assertEqual(len(tree.nodes), len(after_move.nodes))
 
-    def test_problems_are_named_together(self):
+    def test_all_problems_are_reported_together(self):
         key = "0" * 64
         nodes = {
             "/": Node(),
@@ -369,8 +371,8 @@
         self.assertRaises(TreeError, deleted, tree, "/")
 
 
-class UnusedApiTest(TestCase):
-    def test_unreachable_platform_is_told_from_a_lost_answer(self):
+class UnreachablePlatformTest(TestCase):
+    def test_unreachable_platform_is_distinguished_from_a_lost_answer(self):
         async def run():
             async with HttpObjectApi(
                 "http://127.0.0.1:1", call_timeout_seconds=0.2, calls_per_second=10.0
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to runners: one steward, fenced, at most two loads, capacity kept."""
+"""Orders to runners: one fenced controller, at most two loads, enough capacity."""
 
 from unittest import mock
 
@@ -23,16 +23,16 @@
 
 
 class PlanTest(TestCase):
-    def test_idlest_runners_go_first_two_at_a_time(self):
+    def test_least_loaded_runners_go_first_two_at_a_time(self):
         runners = [runner(f"r{number}", running=number) for number in range(5)]
         planned = plan_orders(runners, TARGET, 7)
         self.assertEqual(["r0", "r1"], [item.runner for item in planned])
         self.assertEqual({7}, {item.order.fencing_number for item in planned})
 
-    def test_lone_runner_is_renewed_all_the_same(self):
+    def test_a_single_runner_is_updated(self):
         self.assertEqual(1, len(plan_orders([runner("r")], TARGET, 1)))
 
-    def test_half_must_go_on_serving(self):
+    def test_half_of_the_runners_keep_serving(self):
         runners = [runner("a"), runner("b"), runner("c", serving=False)]
         self.assertEqual([], plan_orders(runners[:1] + runners[2:], TARGET, 1)[1:])
 
@@ -48,10 +48,10 @@
         loading = sum(item.is_loading for item in runners)
         planned = plan_orders(runners, TARGET, 1)
         self.assertLessEqual(len(planned), max(0, 2 - loading))
-        behind = {item.name for item in runners if item.weights_version < 2}
-        self.assertLessEqual({item.runner for item in planned}, behind)
+        outdated = {item.name for item in runners if item.weights_version < 2}
+        self.assertLessEqual({item.runner for item in planned}, outdated)
 
-    def test_what_is_at_its_target_gets_no_order(self):
+    def test_a_runner_at_its_target_gets_no_order(self):
         self.assertEqual([], plan_orders([runner("r", version=2)], TARGET, 1))
 
 
@@ -67,7 +67,7 @@
         store = LeaseStore(self.api, "leases/x")
         return anyio.run(store.try_take, watcher, lambda: self.now_seconds)
 
-    def test_second_host_waits_out_the_first(self):
+    def test_second_host_waits_for_the_lease_of_the_first(self):
         self.assertTrue(self.try_take(self.one))
         self.assertFalse(self.try_take(self.two))
         self.now_seconds = 9.0
@@ -76,7 +76,7 @@
         self.assertIsNone(self.one.fencing_number(self.now_seconds))
         self.assertTrue(self.try_take(self.two))
 
-    def test_renewal_keeps_the_second_out(self):
+    def test_renewal_prevents_a_takeover(self):
         self.try_take(self.one)
         self.try_take(self.two)
         self.now_seconds = 8.0
@@ -84,7 +84,7 @@
         self.now_seconds = 12.0
         self.assertFalse(self.try_take(self.two))
 
-    def test_fencing_numbers_rise_with_each_holder(self):
+    def test_fencing_numbers_increase_with_each_holder(self):
         self.try_take(self.one)
         first = self.one.fencing_number(self.now_seconds)
         self.try_take(self.two)
@@ -92,12 +92,12 @@
         self.try_take(self.two)
         self.assertGreater(self.two.fencing_number(self.now_seconds), first)
 
-    def test_paused_holder_finds_its_lease_gone(self):
+    def test_suspended_holder_has_lost_its_lease(self):
         self.try_take(self.one)
         self.try_take(self.two)
         self.now_seconds = 11.0
         self.try_take(self.two)
-        # The first wakes: it neither orders nor takes the lease back.
+        # The first holder resumes and neither sends orders nor regains the lease.
         self.assertIsNone(self.one.fencing_number(self.now_seconds))
         self.assertFalse(self.try_take(self.one))
 
@@ -106,11 +106,11 @@
         self.assertIsNotNone(self.one.fencing_number(8.0, needed_seconds=1.0))
         self.assertIsNone(self.one.fencing_number(9.5, needed_seconds=1.0))
 
-    def test_lost_answer_of_the_taking_write_still_takes(self):
+    def test_lost_answer_of_an_effective_write_still_takes_the_lease(self):
         self.api.lose_answers = 1
         self.assertTrue(self.try_take(self.one))
 
-    def test_two_that_race_have_one_winner(self):
+    def test_a_race_of_two_hosts_has_one_winner(self):
         async def two_takes():
             store = LeaseStore(self.api, "leases/x")
             await store.try_take(self.two, lambda: self.now_seconds)
@@ -125,26 +125,26 @@
 
 
 class RolloutTest(ScenarioCase):
-    def test_rollout_brings_all_runners_to_the_target_two_at_a_time(self):
+    def test_all_runners_reach_the_target_two_at_a_time(self):
         async def scenario(bench):
             names = [f"lektor-{number}" for number in range(4)]
             for name in names:
                 bench.add_runner(name, load_seconds=0.2, checks_fencing=True)
             engines = [bench.runners[name].engine for name in names]
-            most = 0
+            max_loading = 0
             async with bench.run_host(extra=STEWARD) as host:
                 await host.until_ready(*names)
                 async with bench.open_api() as api:
                     await WeightsStore(api).set_target(TARGET[0])
                 while any(engine.weights_version < 2 for engine in engines):
                     loading = [engine.role == "loading" for engine in engines]
-                    most = max(most, sum(loading))
+                    max_loading = max(max_loading, sum(loading))
                     await anyio.sleep(0.005)
                 saw = await host.stream("after the rollout")
-            return most, saw, [engine.loads_count for engine in engines]
+            return max_loading, saw, [engine.loads_count for engine in engines]
 
-        most, saw, loads = self.run_scenario(scenario)
-        self.assertLessEqual(most, 2)
+        max_loading, saw, loads = self.run_scenario(scenario)
+        self.assertLessEqual(max_loading, 2)
         self.assertTrue(saw.is_whole)
         self.assertEqual([1, 1, 1, 1], loads)
 
@@ -161,7 +161,7 @@
 
         self.assertEqual([], self.run_scenario(scenario))
 
-    def test_old_holders_order_is_refused_by_a_runner_that_checks(self):
+    def test_order_of_an_old_holder_is_refused_by_a_runner_with_fencing(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", checks_fencing=True)
             async with bench.run_host(extra=STEWARD) as host:
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""Hearing a large fleet through a hall's relay."""
+"""Receiving fleet summaries through the relay of a hall."""
 
 import attrs
 from hypothesis import given, strategies as st
@@ -29,14 +29,14 @@
     return Summary(sequence, 3, 4, False, **{**plain, **fields})
 
 
-def told(total, own_sequence=1, names=("own", "mate"), leaving=()):
+def fleet_summary(total, own_sequence=1, names=("own", "peer"), leaving=()):
     beats = [Beat(name, 7, own_sequence, name in leaving) for name in names]
     return FleetSummary(1, total, beats, ["h", "k"], 0.5, 0.25, [])
 
 
 @st.composite
-def words(draw):
-    """Return the summary of some host, with a row for each thing at most."""
+def summaries(draw):
+    """Generate the summary of a host, with at most one row per key."""
     used = draw(st.dictionaries(NAMES, COUNTS))
     loads = draw(st.dictionaries(NAMES, st.tuples(COUNTS, COUNTS)))
     waits = draw(st.dictionaries(st.tuples(NAMES, NAMES), COUNTS))
@@ -47,25 +47,30 @@
     )
 
 
-def facts(word):
-    """Return what a summary says, without rows that say nothing."""
+def nonzero_rows(report):
+    """Return the rows of a summary, without rows of zeros."""
     rows = [
-        *((item.workspace, item.used_tokens) for item in word.workspaces),
+        *((item.workspace, item.used_tokens) for item in report.workspaces),
         *(
             (item.upstream, item.running_count, item.waiting_tokens)
-            for item in word.upstreams
+            for item in report.upstreams
+        ),
+        *(
+            (item.workspace, item.service, item.requests_count)
+            for item in report.waiting
         ),
-        *((item.workspace, item.service, item.requests_count) for item in word.waiting),
     ]
     return {row for row in rows if any(isinstance(part, int) and part for part in row)}
 
 
 class WithoutTest(TestCase):
-    @given(words(), words())
-    def test_a_sum_without_a_part_is_what_the_others_say(self, own, others):
+    @given(summaries(), summaries())
+    def test_a_sum_minus_one_summary_is_the_sum_of_the_others(self, own, others):
         total = SummaryAggregator().merge([own, others], 9)
         rest = subtract_summary(total, own)
-        self.assertEqual(facts(SummaryAggregator().merge([others], 9)), facts(rest))
+        self.assertEqual(
+            nonzero_rows(SummaryAggregator().merge([others], 9)), nonzero_rows(rest)
+        )
         self.assertEqual(1, rest.hosts_count)
 
 
@@ -74,69 +79,71 @@
         super().setUp()
         self.listener = RelayListener(OWN)
 
-    def take(self, relay, news, at):
-        return self.listener.take(relay, news, RELAYS, at)
+    def take(self, relay, message, at):
+        return self.listener.take(relay, message, RELAYS, at)
 
-    def test_own_work_is_not_heard_as_the_others(self):
+    def test_own_load_is_not_counted_as_load_of_peers(self):
         self.listener.note_published(summary(1, running=3), 10.0)
-        word = self.take("first", told(summary(5, running=8)), 10.2)
-        self.assertEqual(5, word.summary.upstreams[0].running_count)
+        report = self.take("first", fleet_summary(summary(5, running=8)), 10.2)
+        self.assertEqual(5, report.summary.upstreams[0].running_count)
 
-    def test_the_word_that_the_relay_had_heard_is_taken_out_not_a_newer_one(self):
+    def test_the_subtracted_summary_is_the_one_that_the_relay_received(self):
         self.listener.note_published(summary(1, running=3), 10.0)
         self.listener.note_published(summary(2, running=7), 10.2)
-        word = self.take("first", told(summary(5, running=8), own_sequence=1), 10.3)
-        self.assertEqual(5, word.summary.upstreams[0].running_count)
+        report = self.take(
+            "first", fleet_summary(summary(5, running=8), own_sequence=1), 10.3
+        )
+        self.assertEqual(5, report.summary.upstreams[0].running_count)
 
-    def test_ages_count_from_when_that_word_was_sent(self):
+    def test_ages_are_relative_to_the_sending_of_that_summary(self):
         self.listener.note_published(summary(1), 10.0)
         self.listener.note_published(summary(2), 10.2)
-        news = told(summary(5), own_sequence=1)
-        self.assertEqual(10.0, self.take("first", news, 10.3).own_sent_at_seconds)
-
-    def test_without_a_word_of_its_own_a_host_takes_no_ages(self):
-        news = told(summary(5), names=("mate",))
-        self.assertIsNone(self.take("first", news, 10.3).own_sent_at_seconds)
-        other_life = attrs.evolve(OWN, incarnation=6)
-        listener = RelayListener(other_life)
+        message = fleet_summary(summary(5), own_sequence=1)
+        self.assertEqual(10.0, self.take("first", message, 10.3).own_sent_at_seconds)
+
+    def test_without_an_own_summary_in_the_sum_ages_are_ignored(self):
+        message = fleet_summary(summary(5), names=("peer",))
+        self.assertIsNone(self.take("first", message, 10.3).own_sent_at_seconds)
+        other_incarnation = attrs.evolve(OWN, incarnation=6)
+        listener = RelayListener(other_incarnation)
         listener.note_published(summary(1), 10.0)
-        word = listener.take("first", told(summary(5)), RELAYS, 10.3)
-        self.assertIsNone(word.own_sent_at_seconds)
-
-    def test_of_two_that_speak_one_is_listened_to(self):
-        self.assertIsNotNone(self.take("first", told(summary(1)), 10.0))
-        self.assertIsNone(self.take("second", told(summary(1)), 10.1))
-        # Once the first is silent, the second is.
-        self.assertIsNotNone(self.take("second", told(summary(2)), 11.2))
-        # The first one comes first again as soon as it speaks.
-        self.assertIsNotNone(self.take("first", told(summary(9)), 11.3))
-
-    def test_each_word_that_is_taken_is_newer_than_the_last(self):
-        one = self.take("first", told(summary(9)), 10.0)
-        two = self.take("second", told(summary(1)), 11.2)
+        report = listener.take("first", fleet_summary(summary(5)), RELAYS, 10.3)
+        self.assertIsNone(report.own_sent_at_seconds)
+
+    def test_only_one_of_two_relays_is_active(self):
+        self.assertIsNotNone(self.take("first", fleet_summary(summary(1)), 10.0))
+        self.assertIsNone(self.take("second", fleet_summary(summary(1)), 10.1))
+        # The second relay becomes active once the first is unresponsive.
+        self.assertIsNotNone(self.take("second", fleet_summary(summary(2)), 11.2))
+        # The first relay is active again with its next message.
+        self.assertIsNotNone(self.take("first", fleet_summary(summary(9)), 11.3))
+
+    def test_accepted_summaries_have_increasing_sequences(self):
+        one = self.take("first", fleet_summary(summary(9)), 10.0)
+        two = self.take("second", fleet_summary(summary(1)), 11.2)
         self.assertGreater(two.summary.sequence, one.summary.sequence)
 
-    def test_hosts_that_were_named_count_for_a_while(self):
-        self.take("first", told(summary(1), leaving=("mate",)), 10.0)
-        near = self.listener.live_peers(11.0)
-        self.assertEqual({"mate"}, near.alive)
-        self.assertEqual(frozenset(), near.not_draining)
-        self.assertEqual({"h", "k"}, near.halls)
+    def test_listed_hosts_count_as_alive_for_a_while(self):
+        self.take("first", fleet_summary(summary(1), leaving=("peer",)), 10.0)
+        live_peers = self.listener.live_peers(11.0)
+        self.assertEqual({"peer"}, live_peers.alive)
+        self.assertEqual(frozenset(), live_peers.not_draining)
+        self.assertEqual({"h", "k"}, live_peers.halls)
         self.assertEqual(frozenset(), self.listener.live_peers(13.5).alive)
 
-    def test_a_relay_that_should_speak_is_silent_after_a_second(self):
+    def test_a_relay_without_messages_is_unresponsive_after_a_second(self):
         self.assertFalse(self.listener.is_relay_unresponsive(RELAYS, 10.0))
         self.assertFalse(self.listener.is_relay_unresponsive(RELAYS, 10.9))
         self.assertTrue(self.listener.is_relay_unresponsive(RELAYS, 11.1))
         self.listener.note_message("first", 11.1)
         self.assertFalse(self.listener.is_relay_unresponsive(RELAYS, 11.2))
 
-    def test_the_next_relay_has_its_own_time_to_speak(self):
+    def test_the_next_relay_has_its_own_timeout(self):
         self.listener.is_relay_unresponsive(RELAYS, 10.0)
         self.assertTrue(self.listener.is_relay_unresponsive(RELAYS, 11.5))
         self.assertFalse(self.listener.is_relay_unresponsive([SECOND], 11.5))
         self.assertTrue(self.listener.is_relay_unresponsive([SECOND], 12.6))
 
-    def test_a_relay_does_not_wait_for_itself(self):
+    def test_a_relay_does_not_monitor_itself(self):
         self.assertFalse(self.listener.is_relay_unresponsive([OWN, FIRST], 10.0))
         self.assertFalse(self.listener.is_relay_unresponsive([OWN, FIRST], 99.0))
--- a/tests/test_restored_trees.py
+++ b/tests/test_restored_trees.py
@@ -1,4 +1,4 @@
-"""The configuration in force where the store comes back with an older one."""
+"""The configuration in force after the store was restored from an older copy."""
 
 import random
 from types import SimpleNamespace
@@ -50,7 +50,7 @@
 
 
 class Host:
-    """A host that reads the configuration of a store which a test writes."""
+    """A host that reads its configuration from a store controlled by the test."""
 
     def __init__(self, clock=None):
         self.clock = clock or SimpleNamespace(now=100.0)
@@ -68,7 +68,7 @@
         )
 
     def read(self, era, written, store, tree):
-        """Have the source read a tree that was written at a revision of the store."""
+        """Make the source read a tree that was written at a revision of the store."""
         self.reader.tree = tree
         state = KindState(
             {},
@@ -78,7 +78,7 @@
         )
         self.source._take(state)
 
-    def pass_held(self):
+    def offer_held(self):
         self.source._take(self.source._last_state)
 
     @property
@@ -98,35 +98,35 @@
     def revision(self):
         return self.host.follower.revision
 
-    def test_an_older_one_is_neither_taken_nor_does_it_confirm(self):
-        """A key that was taken away would be back, or seem never to have been."""
+    def test_an_older_tree_is_neither_applied_nor_a_confirmation(self):
+        """Otherwise the revocation of a key would be undone or go unnoticed."""
         self.host.read(1, 30, 45, make_tree(18))
         self.assertEqual((22, 10.0), (self.revision, self.host.age_seconds))
 
-    def test_an_older_one_is_taken_once_nobody_writes_a_newer_one_again(self):
+    def test_an_older_tree_is_applied_if_no_newer_one_is_written(self):
         self.host.read(1, 30, 45, make_tree(18))
         self.clock.now += COPY_HOLD_SECONDS - 0.1
         self.host.read(1, 30, 45, make_tree(18))
         self.assertEqual(22, self.revision)
         self.clock.now += 0.1
-        self.host.pass_held()
+        self.host.offer_held()
         self.assertEqual((18, 1), (self.revision, self.host.follower.version.store_era))
 
-    def test_a_copy_that_has_the_one_in_force_confirms_it(self):
+    def test_a_copy_with_the_tree_in_force_confirms_it(self):
         self.host.read(1, 40, 45, make_tree(22))
         self.assertEqual((22, 0.0), (self.revision, self.host.age_seconds))
 
-    def test_a_newer_one_is_taken_at_once(self):
+    def test_a_newer_tree_is_applied_at_once(self):
         for written, store, revision in ((30, 45, 18), (46, 46, 25)):
             self.host.read(1, written, store, make_tree(revision))
         self.assertEqual((25, 0.0), (self.revision, self.host.age_seconds))
-        # Also where the host hears of the restore by it, or the copy has it.
+        # Also if this read is the first after the restore, or the copy contains it.
         other = Host()
         other.read(0, 30, 31, make_tree(20))
         other.read(1, 40, 45, make_tree(22))
         self.assertEqual(22, other.follower.revision)
 
-    def test_lost_revisions_that_are_written_one_after_another_are_no_way_back(self):
+    def test_lost_revisions_written_again_one_by_one_cause_no_rollback(self):
         self.host.read(1, 30, 45, make_tree(18))
         for written, revision in ((46, 20), (47, 22), (48, 25)):
             self.clock.now += REWRITE_HOLD_SECONDS / 2
@@ -134,20 +134,20 @@
             self.assertGreaterEqual(self.revision, 22)
         self.assertEqual(25, self.revision)
 
-    def test_a_lower_one_that_stays_is_the_operators_will(self):
+    def test_a_lower_revision_that_persists_is_applied(self):
         self.host.read(1, 30, 45, make_tree(18))
         self.host.read(1, 46, 46, make_tree(20))
         self.clock.now += REWRITE_HOLD_SECONDS
-        self.host.pass_held()
+        self.host.offer_held()
         self.assertEqual(20, self.revision)
         self.assertLess(REWRITE_HOLD_SECONDS, 2.0)
 
-    def test_one_number_may_stand_for_another_tree(self):
+    def test_the_same_revision_may_be_another_tree(self):
         self.host.read(1, 30, 45, make_tree(18))
         self.host.read(1, 46, 46, make_tree(22, nodes=MARKED))
         self.assertEqual(10.0, self.host.age_seconds)
         self.clock.now += REWRITE_HOLD_SECONDS
-        self.host.pass_held()
+        self.host.offer_held()
         self.assertIn("/other", self.host.follower.view.tree.nodes)
         self.assertEqual(1, self.host.follower.version.store_era)
 
@@ -156,17 +156,17 @@
         self.clock.now += 1.0
         self.host.read(4, 20, 35, make_tree(12))
         self.clock.now += COPY_HOLD_SECONDS - 0.5
-        self.host.pass_held()
+        self.host.offer_held()
         self.assertEqual(22, self.revision)
         self.host.read(4, 36, 36, make_tree(23))
         self.assertEqual((23, 4), (self.revision, self.host.follower.version.store_era))
 
-    def test_a_store_without_a_configuration_confirms_none(self):
+    def test_a_store_without_a_configuration_is_no_confirmation(self):
         self.host.read(1, 0, 5, None)
         self.assertEqual((22, 10.0), (self.revision, self.host.age_seconds))
 
-    def test_an_invalid_one_ends_the_wait_for_a_held_one(self):
-        """The wait was over at once, again and again, and took the whole processor."""
+    def test_an_invalid_tree_ends_the_wait_for_a_held_tree(self):
+        """The wait returned immediately in a loop and used a full CPU core."""
         self.host.read(1, 30, 45, make_tree(18))
 
         def refuse(state):
@@ -177,13 +177,13 @@
         self.assertEqual(float("inf"), self.host.source._due_at_seconds)
         self.assertEqual(22, self.revision)
 
-    def test_a_tree_of_the_settings_holds_nothing_back(self):
+    def test_a_fallback_tree_does_not_delay_a_tree_of_the_store(self):
         host = Host()
         host.follower.offer_fallback(make_tree(30))
         host.read(1, 30, 45, make_tree(18))
         self.assertEqual(18, host.follower.revision)
 
-    def test_the_wait_for_a_held_one_ends_by_itself(self):
+    def test_the_wait_for_a_held_tree_ends_by_timeout(self):
         async def main():
             host = Host(SimpleNamespace(now=0.0))
             host.read(0, 40, 50, make_tree(22))
@@ -202,29 +202,29 @@
 
 
 class TreeOrderTest(TestCase):
-    def test_a_later_era_goes_before_a_higher_revision(self):
+    def test_a_later_era_takes_precedence_over_a_higher_revision(self):
         self.assertTrue(TreeVersion(20, 1).is_newer_than(TreeVersion(24, 0)))
         self.assertFalse(TreeVersion(24, 0).is_newer_than(TreeVersion(20, 1)))
 
-    def test_where_an_era_is_not_known_the_revision_decides(self):
+    def test_without_a_known_era_the_revision_decides(self):
         self.assertTrue(TreeVersion(24).is_newer_than(TreeVersion(20, 1)))
         self.assertFalse(TreeVersion(20, 1).is_newer_than(TreeVersion(24)))
 
-    def test_one_revision_of_two_eras_is_two_trees(self):
+    def test_the_same_revision_of_two_eras_is_two_trees(self):
         self.assertFalse(TreeVersion(22, 0).is_same(TreeVersion(22, 1)))
         self.assertTrue(TreeVersion(22).is_same(TreeVersion(22, 1)))
 
-    def test_a_relay_tells_the_newest_of_its_hosts(self):
-        def tell(revision, store_era):
+    def test_a_relay_reports_the_newest_version_of_its_hosts(self):
+        def make_summary(revision, store_era):
             return Summary(1, revision, 1, False, [], [], [], store_era=store_era)
 
-        summaries = [tell(22, 0), tell(20, 1), tell(21, 0)]
+        summaries = [make_summary(22, 0), make_summary(20, 1), make_summary(21, 0)]
         merged = SummaryAggregator().merge(summaries, 1)
         self.assertEqual((20, 1), (merged.revision, merged.store_era))
 
 
 class Link:
-    """A link whose messages go to the other host at once."""
+    """A link that delivers messages to the other host immediately."""
 
     def __init__(self, own, other):
         self._own, self._other = own, other
@@ -236,7 +236,7 @@
 
 
 class RestoredPeersTest(TestCase):
-    """Hosts of which some have read the restored store, and others have not."""
+    """Hosts of which only some have read the restored store."""
 
     def setUp(self):
         super().setUp()
@@ -246,7 +246,7 @@
         self.gossip()
 
     def gossip(self):
-        """Have both compare what they know, as summaries do."""
+        """Make both hosts compare their versions, as summaries do."""
         for host, peer in ((self.one, self.other), (self.other, self.one)):
             version = peer.follower.version
             summary = Summary(
@@ -254,41 +254,41 @@
             )
             host.sync.compare(Link(host, peer), summary)
 
-    def ask(self):
+    def request_ages(self):
         self.other.sync.ask_ages(Link(self.other, self.one))
 
     @property
     def revisions(self):
         return self.one.follower.revision, self.other.follower.revision
 
-    def test_a_later_era_wins_against_a_peer_that_insists(self):
+    def test_a_later_era_prevails_over_repeated_offers_of_a_peer(self):
         self.one.read(1, 30, 45, make_tree(18))
         self.one.read(1, 46, 46, make_tree(20))
         self.clock.now += REWRITE_HOLD_SECONDS
-        self.one.pass_held()
+        self.one.offer_held()
         for _ in range(3):
             self.gossip()
         self.assertEqual((20, 20), self.revisions)
-        # As old as the reading that the other host has it from.
-        self.ask()
+        # The age is that of the reading at the other host.
+        self.request_ages()
         self.assertEqual(REWRITE_HOLD_SECONDS, self.other.age_seconds)
 
-    def test_who_starts_meanwhile_takes_what_others_have_and_gives_nothing_back(self):
+    def test_a_starting_host_takes_the_newer_tree_of_its_peers(self):
         started = Host(self.clock)
         started.read(1, 30, 45, make_tree(18))
         self.assertEqual(18, started.follower.revision)
         self.other = started
         self.gossip()
         self.assertEqual((22, 22), self.revisions)
-        # The copy does not confirm it here either.
+        # The copy does not confirm the revision at this host either.
         started.read(1, 30, 45, make_tree(18))
         self.assertEqual(22, started.follower.revision)
 
-    def test_one_revision_of_two_eras_is_not_confirmed_by_the_other(self):
+    def test_the_same_revision_of_another_era_is_no_confirmation(self):
         self.clock.now += 5.0
         self.one.read(1, 46, 45, make_tree(22, nodes=MARKED))
         self.clock.now += REWRITE_HOLD_SECONDS
-        self.one.pass_held()
+        self.one.offer_held()
         sent = []
         link = SimpleNamespace(put=sent.append)
         self.one.sync.take(link, ConfirmRequest(1))
@@ -299,7 +299,7 @@
         self.one.sync.take(link, sent[1])
         self.assertIsInstance(sent[2], TreeReply)
 
-    def test_changes_of_another_era_have_another_base(self):
+    def test_changes_of_another_era_are_ignored(self):
         follower = ConfigurationFollower()
         follower.offer_tree(attrs.evolve(make_tree(10), store_era=1), "peer")
         change = Change(11, "w", "a", 0.0, [])
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""Groups, readers and relays: every host finds its role without asking anybody."""
+"""Groups, readers and relays: every host computes its role locally."""
 
 import math
 
@@ -27,15 +27,15 @@
 )
 
 
-def fleet(halls=4, per_hall=18, strong=2):
-    """Return the members of a fleet with a few strong hosts in each hall."""
+def fleet(halls=4, per_hall=18, fast=2):
+    """Return the members of a fleet with a few fast hosts in each hall."""
     return [
         Member(
             f"host-{hall}-{number}",
             f"hall-{hall}",
             f"10.{hall}.0.{number}:1",
             incarnation=1,
-            link_megabits_per_second=200.0 if number < strong else 10.0,
+            link_megabits_per_second=200.0 if number < fast else 10.0,
         )
         for hall in range(halls)
         for number in range(per_hall)
@@ -58,20 +58,20 @@
         super().setUp()
         self.members = fleet(halls=4, per_hall=2)
 
-    def test_all_hosts_are_one_group_and_none_relays(self):
+    def test_all_hosts_are_one_group_without_relays(self):
         for member in self.members:
             table = table_of(member, self.members)
             live = {item.name for item in self.members} - {member.name}
             self.assertEqual(7, len(table.wanted_links(0.0)))
             self.assertFalse(table.is_relay(live))
 
-    def test_three_hosts_read_and_others_when_those_are_silent(self):
+    def test_three_hosts_read_and_others_replace_failed_ones(self):
         live = {member.name for member in self.members}
         readers = self.readers(live)
         self.assertEqual(3, len(readers))
-        heirs = self.readers(live - readers)
-        self.assertEqual(3, len(heirs))
-        self.assertFalse(readers & heirs)
+        successors = self.readers(live - readers)
+        self.assertEqual(3, len(successors))
+        self.assertFalse(readers & successors)
 
     def readers(self, live):
         return {
@@ -81,7 +81,7 @@
             and table_of(member, self.members).is_reader(live - {member.name})
         }
 
-    def test_who_hears_nobody_reads(self):
+    def test_a_host_without_live_peers_reads(self):
         self.assertTrue(table_of(self.members[0], self.members).is_reader(set()))
 
 
@@ -94,13 +94,13 @@
     def tables(self):
         return [table_of(member, self.members) for member in self.members]
 
-    def test_each_hall_has_one_reader_and_it_is_a_strong_host(self):
+    def test_each_hall_has_one_reader_with_a_fast_link(self):
         readers = [item.own for item in self.tables() if item.is_reader(self.live)]
         self.assertEqual(4, len({member.hall for member in readers}))
         self.assertEqual(4, len(readers))
         self.assertEqual({200.0}, {item.link_megabits_per_second for item in readers})
 
-    def test_a_host_links_to_its_relays_and_these_to_each_other(self):
+    def test_hosts_link_to_their_relays_and_relays_to_each_other(self):
         for table in self.tables():
             links = len(table.wanted_links(0.0))
             expected = 1 + 2 * 3 if table.is_relay_candidate(0.0) else 2
@@ -118,20 +118,20 @@
         self.assertEqual(2 * 4 * 2 * 3, len(wanted))
         self.assertEqual(wanted, {(b, a) for a, b in wanted})
 
-    def test_a_relay_that_falls_silent_is_followed_by_one_that_has_its_links(self):
+    def test_an_unresponsive_relay_is_replaced_by_a_standby_with_its_links(self):
         relays = [item.own for item in self.tables() if item.is_relay(self.live)]
         self.assertEqual(4, len(relays))
         live = self.live - {member.name for member in relays}
-        heirs = [
+        successors = [
             item
             for item in self.tables()
             if item.own.name in live and item.is_relay(live)
         ]
-        self.assertEqual(4, len(heirs))
-        for table in heirs:
+        self.assertEqual(4, len(successors))
+        for table in successors:
             self.assertEqual(1 + 2 * 3, len(table.wanted_links(0.0)))
 
-    def test_a_candidate_out_of_reach_is_passed_over_for_a_while(self):
+    def test_an_unreachable_candidate_is_skipped_for_a_while(self):
         table = next(item for item in self.tables() if item.is_relay(self.live))
         other = next(
             member
@@ -144,7 +144,7 @@
 
 
 class MemberTableTest(TestCase):
-    def test_a_newer_life_replaces_an_older_one_and_never_the_other_way(self):
+    def test_only_a_newer_incarnation_replaces_a_member(self):
         old, other = fleet(halls=1, per_hall=2)
         table = MemberTable(other)
         new = attrs.evolve(old, incarnation=2, address="10.9.9.9:1")
@@ -152,15 +152,15 @@
         self.assertEqual([], table.learn([old]))
         self.assertEqual(new, table.get(old.name))
 
-    def test_nobody_tells_a_host_about_itself(self):
+    def test_a_host_ignores_reports_about_itself(self):
         own, _ = fleet(halls=1, per_hall=2)
         table = MemberTable(own)
         self.assertEqual([], table.learn([attrs.evolve(own, incarnation=9)]))
         self.assertEqual(own, table.get(own.name))
 
 
-class HallNewsTest(TestCase):
-    def test_a_hall_says_the_sum_of_what_its_hosts_say(self):
+class HallSummaryTest(TestCase):
+    def test_a_hall_summary_is_the_sum_over_its_hosts(self):
         one = summary(
             upstreams=[UpstreamUsage("r", "one/1", 2, 100)],
             workspaces=[WorkspaceUsage("/a", 50)],
@@ -194,21 +194,21 @@
             (["x", "y"], 2, 7), (merged.down, merged.hosts_count, merged.sequence)
         )
 
-    def test_placements_are_told_once_and_bounded(self):
-        news = SummaryAggregator()
+    def test_placements_are_published_once_and_bounded(self):
+        aggregator = SummaryAggregator()
         placed = [PlacedPrefix("r", "one/1", [b"12345678"], [5])]
         for number in range(1000):
-            news.take(summary(number, placed=placed))
-        first = news.merge([], 1)
+            aggregator.take(summary(number, placed=placed))
+        first = aggregator.merge([], 1)
         self.assertLessEqual(len(first.placed), 512)
-        self.assertEqual([], news.merge([], 2).placed)
+        self.assertEqual([], aggregator.merge([], 2).placed)
 
-    def test_a_hall_counts_all_its_hosts_and_one_relay_follows_another(self):
+    def test_a_hall_counts_all_hosts_and_one_relay_at_a_time(self):
         peers = Membership(dead_after_seconds=3.0)
         hall = summary(hosts_count=17, upstreams=[UpstreamUsage("r", "one/1", 9, 0)])
         self.assertTrue(peers.receive_summary("hall b", "b", 5, hall, 1.0))
         self.assertEqual(18, peers.known_hosts_count)
-        # A second relay is not taken beside the first.
+        # Summaries of a second relay are ignored while the first is alive.
         later = attrs.evolve(hall, sequence=1)
         self.assertFalse(peers.receive_summary("hall b", "b", 4, later, 2.0))
         self.assertTrue(peers.receive_summary("hall b", "b", 4, later, 4.5))
@@ -232,7 +232,7 @@
 class HostListChangesTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.lists(ENTRIES), st.lists(ENTRIES))
-    def test_a_difference_makes_the_newer_list(self, before, after):
+    def test_a_difference_produces_the_newer_list(self, before, after):
         base, current = host_list(1, before), host_list(2, after)
         patched = patch_hosts(base, diff_hosts(base, current))
 
@@ -249,67 +249,67 @@
 class TimerGridTest(TestCase):
     """Timers of one process fire together.
 
-    A dozen tasks, each by its own time, woke a host without requests 23 times a second.
+    A dozen tasks with independent timers woke an idle host 23 times per second.
     """
 
-    def wakes(self, periods, length_seconds):
-        """Return the moments at which sleepers of these periods wake."""
-        moments = set()
+    def wake_times(self, periods, length_seconds):
+        """Return the times at which timers with these periods fire."""
+        times = set()
         for offset, period_seconds in enumerate(periods):
             now_seconds = 1000.0 + 0.013 * offset
             while now_seconds < 1000.0 + length_seconds:
                 now_seconds += on_grid(period_seconds, now_seconds)
-                moments.add(round(now_seconds, 6))
-        return moments
+                times.add(round(now_seconds, 6))
+        return times
 
-    def test_many_sleepers_wake_a_host_as_often_as_the_grid_has_points(self):
+    def test_many_timers_wake_a_host_only_at_grid_points(self):
         periods = [0.25, 0.5, 0.5, 0.5, 0.5, 0.6, 0.75, 1.0, 1.0, 1.0, 1.0, 2.0]
-        self.assertLessEqual(len(self.wakes(periods, 10.0)), 4 * 10 + 8)
+        self.assertLessEqual(len(self.wake_times(periods, 10.0)), 4 * 10 + 8)
 
-    def test_each_sleeps_about_as_long_as_it_asked_for(self):
+    def test_each_timer_fires_about_once_per_period(self):
         for period_seconds in (0.25, 0.5, 0.6, 1.0, 1.5, 10.0):
-            count = len(self.wakes([period_seconds], 60.0))
+            count = len(self.wake_times([period_seconds], 60.0))
             self.assertAlmostEqual(60.0 / period_seconds, count, delta=count / 4)
 
-    def test_short_and_endless_waits_stay_as_they_are(self):
+    def test_short_and_infinite_waits_are_unchanged(self):
         self.assertEqual(0.05, on_grid(0.05, 7.0))
         self.assertEqual(math.inf, on_grid(math.inf, 7.0))
 
 
 class MemberUpdatesTest(TestCase):
-    """A fleet that starts makes few messages of its members."""
+    """The start of a fleet causes few messages about members."""
 
-    def links_told(self, hosts_count, links_count):
-        """Have one host learn of all others, each from another peer."""
-        told = []
+    def messages_sent(self, hosts_count, links_count):
+        """Add all members to one host, each from another peer; count its messages."""
+        sent = []
 
         class Links:
             def broadcast(self, message, is_for):
-                told.extend(message for peer in members[:links_count] if is_for(peer))
+                sent.extend(message for peer in members[:links_count] if is_for(peer))
 
         members = [
             Member(f"h{number}", "hall", f"h{number}:1")
             for number in range(hosts_count)
         ]
-        news = MemberUpdates(Links())
+        updates = MemberUpdates(Links())
         for member in members:
-            news.add([member], member.name)
-        news.tell()
-        return len(told)
+            updates.add([member], member.name)
+        updates.tell()
+        return len(sent)
 
     def test_messages_grow_with_links_and_not_with_links_times_hosts(self):
-        self.assertEqual(3, self.links_told(20, 3))
-        self.assertEqual(3, self.links_told(200, 3))
+        self.assertEqual(3, self.messages_sent(20, 3))
+        self.assertEqual(3, self.messages_sent(200, 3))
 
-    def test_who_told_it_is_not_told_again(self):
-        told = []
+    def test_the_sender_of_a_member_is_not_notified_of_it(self):
+        sent = []
 
         class Links:
             def broadcast(self, message, is_for):
-                told.extend(name for name in ("a", "b") if is_for(Member(name, "", "")))
+                sent.extend(name for name in ("a", "b") if is_for(Member(name, "", "")))
 
-        news = MemberUpdates(Links())
-        news.add([Member("c", "hall", "c:1")], "a")
-        news.tell()
-        news.tell()
-        self.assertEqual(["b"], told)
+        updates = MemberUpdates(Links())
+        updates.add([Member("c", "hall", "c:1")], "a")
+        updates.tell()
+        updates.tell()
+        self.assertEqual(["b"], sent)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts of weights: what is asked, ordered, waited for, and by whom."""
+"""Rollouts of weights: report requests, orders, retries and the lease."""
 
 import attrs
 from hypothesis import given, settings, strategies as st
@@ -39,15 +39,15 @@
     return LoadReport("one", "m", version, 8, 0, 0, 8000.0, 60_000, role, 0, orders)
 
 
-class Steward:
-    """Carries out a rollout's steps against runners that obey at once."""
+class Controller:
+    """Executes the steps of a rollout on runners that obey immediately."""
 
     def __init__(self, names, max_loads=1, ratio=0.4):
         self.rollout = Rollout(max_loads, ratio)
         self.versions = dict.fromkeys(names, 1)
         self.orders = dict.fromkeys(names, 0)
         self.busy_until = dict.fromkeys(names, 0.0)
-        self.most_loading = 0
+        self.max_loading = 0
 
     def step(self, now):
         runners = [state(name, version) for name, version in self.versions.items()]
@@ -57,7 +57,7 @@
             else:
                 self.take(step, now)
         loading = sum(now < until for until in self.busy_until.values())
-        self.most_loading = max(self.most_loading, loading)
+        self.max_loading = max(self.max_loading, loading)
 
     def answer(self, name, now):
         is_busy = now < self.busy_until[name]
@@ -79,7 +79,7 @@
 
 
 class RolloutPlanTest(TestCase):
-    def test_a_runner_is_asked_before_it_is_told(self):
+    def test_a_report_is_requested_before_an_order(self):
         rollout = Rollout(1)
         (ask,) = rollout.plan([state("r")], TARGETS, 1.0)
         self.assertEqual(FetchReport("r", "r:1"), ask)
@@ -88,50 +88,50 @@
         self.assertEqual(3, planned.order.expected_orders_count)
         self.assertEqual(2, planned.order.weights_version)
 
-    def test_an_old_report_is_not_ordered_by(self):
+    def test_no_order_is_based_on_an_old_report(self):
         rollout = Rollout(1)
         rollout.plan([state("r")], TARGETS, 1.0)
         rollout.note_report("r", report(orders=3), 1.01)
         (again,) = rollout.plan([state("r")], TARGETS, 2.0)
         self.assertIsInstance(again, FetchReport)
 
-    def test_all_runners_come_to_the_target_two_of_five_at_a_time(self):
-        steward = Steward([f"r{number}" for number in range(5)])
+    def test_all_runners_reach_the_target_two_of_five_at_a_time(self):
+        controller = Controller([f"r{number}" for number in range(5)])
         now = 1.0
-        while set(steward.versions.values()) != {2} and now < 20.0:
-            steward.step(now)
+        while set(controller.versions.values()) != {2} and now < 20.0:
+            controller.step(now)
             now += 0.05
-        self.assertEqual({2}, set(steward.versions.values()))
-        self.assertEqual({1}, set(steward.orders.values()))
-        self.assertEqual(2, steward.most_loading)
+        self.assertEqual({2}, set(controller.versions.values()))
+        self.assertEqual({1}, set(controller.orders.values()))
+        self.assertEqual(2, controller.max_loading)
         self.assertLess(now, 5.0)
 
-    def test_an_unanswered_order_that_was_never_taken_is_given_again(self):
+    def test_an_order_without_answer_or_effect_is_resent(self):
         rollout = Rollout(1)
         rollout.note_report("r", report(), 1.0)
         rollout.note_sent("r", 2, 1.0)
         rollout.note_result("r", OrderResult.LOST)
         self.assertEqual([], rollout.plan([state("r")], TARGETS, 1.1))
-        (look,) = rollout.plan([state("r")], TARGETS, 1.7)
-        self.assertIsInstance(look, FetchReport)
-        # Too early to tell: reports lag.
+        (poll,) = rollout.plan([state("r")], TARGETS, 1.7)
+        self.assertIsInstance(poll, FetchReport)
+        # Reports lag, so the result is not known yet.
         rollout.note_report("r", report(), 1.7)
         self.assertIn("r", rollout.loads())
         rollout.note_report("r", report(), 2.1)
         (again,) = rollout.plan([state("r")], TARGETS, 2.11)
         self.assertEqual(0, again.order.expected_orders_count)
 
-    def test_an_order_refused_for_another_is_followed_by_a_look(self):
+    def test_a_conflicting_order_is_followed_by_a_poll(self):
         rollout = Rollout(1)
         rollout.plan([state("r")], TARGETS, 1.0)
         rollout.note_report("r", report(), 1.0)
         rollout.note_sent("r", 2, 1.0)
         rollout.note_result("r", OrderResult.CONFLICT)
-        (look,) = rollout.plan([state("r")], TARGETS, 1.5)
-        self.assertIsInstance(look, FetchReport)
+        (poll,) = rollout.plan([state("r")], TARGETS, 1.5)
+        self.assertIsInstance(poll, FetchReport)
 
-    def test_runners_that_serve_nothing_are_loaded_all_the_same(self):
-        # All have outdated weights for too long to be given work.
+    def test_runners_that_do_not_serve_are_loaded(self):
+        # The weights of all runners are too old to serve.
         rollout = Rollout(1, 0.4)
         runners = [state(f"r{number}", serving=False) for number in range(5)]
         steps = rollout.plan(runners, TARGETS, 1.0)
@@ -139,7 +139,7 @@
 
     @settings(derandomize=True, deadline=None, max_examples=50)
     @given(st.lists(st.sampled_from(list(OrderResult)), max_size=12))
-    def test_never_more_loads_than_allowed_whatever_runners_say(self, results):
+    def test_the_maximum_of_loads_holds_for_any_results(self, results):
         rollout = Rollout(2)
         runners = [state(f"r{number}") for number in range(4)]
         now = 1.0
@@ -154,32 +154,32 @@
             now += 0.2
 
 
-class SpareTest(TestCase):
-    """Runners that serve nothing are loaded whatever those that serve can spare.
+class CapacityTest(TestCase):
+    """Runners that do not serve are loaded regardless of the capacity of the others.
 
-    Sequence: four of ten runners serve, and none may be spared; six have weights too
-    old to serve and requests that are still running. Cause: the plan went by running
-    requests and ended at the first runner that could not be spared.
+    Four of ten runners serve, and none of them can be taken out of service. Six have
+    weights too old to serve and still run requests. The plan was ordered by running
+    requests and stopped at the first runner that could not be taken out of service.
     """
 
-    def test_serving_runners_do_not_hold_up_those_that_serve_nothing(self):
+    def test_serving_runners_do_not_block_those_that_do_not_serve(self):
         serving = [
             RunnerState(f"a{number}", "m", 1, is_serving=True, is_loading=False)
             for number in range(4)
         ]
-        silent = [
+        not_serving = [
             RunnerState(
                 f"b{n}", "m", 1, is_serving=False, is_loading=False, running_count=5
             )
             for n in range(6)
         ]
         target = WeightsTarget("m", 2)
-        planned = plan_orders([*serving, *silent], [target], 1, max_loads=4)
+        planned = plan_orders([*serving, *not_serving], [target], 1, max_loads=4)
         self.assertEqual(["b0", "b1", "b2", "b3"], [item.runner for item in planned])
 
 
 class OutdatedTest(TestCase):
-    def test_runners_behind_their_own_models_target_are_counted(self):
+    def test_runners_older_than_the_target_of_their_model_are_counted(self):
         runners = [
             RunnerState("a", "m", 1, is_serving=True, is_loading=False),
             RunnerState("b", "m", 2, is_serving=True, is_loading=False),
@@ -190,7 +190,7 @@
 
 
 class RunnerViewTest(TestCase):
-    """What a host believes of a runner during a load."""
+    """State of a runner at a host during a load."""
 
     def setUp(self):
         super().setUp()
@@ -215,19 +215,19 @@
         upstream = self.scheduler.upstreams.get("r")
         return self.scheduler.upstreams.is_open(upstream, now)
 
-    def test_nothing_is_sent_from_the_announcement_until_the_weights_are_seen(self):
+    def test_no_requests_between_the_announcement_and_the_new_weights(self):
         self.assertTrue(self.is_open(1.0))
         self.scheduler.handle(LoadOrdered("r", "", 2, 4.0), 1.0)
         self.assertFalse(self.is_open(1.1))
         self.scheduler.handle(WeightsSeen("r", "one", 2, is_own_report=False), 1.8)
         self.assertTrue(self.is_open(1.9))
 
-    def test_an_announced_load_that_never_shows_ends_by_time(self):
+    def test_an_announced_load_without_effect_times_out(self):
         self.scheduler.handle(LoadOrdered("r", "", 2, 4.0), 1.0)
         self.assertTrue(self.is_open(4.1))
 
-    def test_a_reported_load_is_over_once_the_list_shows_its_weights(self):
-        # Found on the first whole day: the role "loading" of the last report stayed.
+    def test_a_reported_load_ends_once_the_host_list_has_its_weights(self):
+        # The role "loading" from the last report persisted after the load.
         loading = report(role="loading")
         self.scheduler.handle(LoadReported("r", loading), 1.0)
         self.assertFalse(self.is_open(1.1))
@@ -240,7 +240,7 @@
         upstream = self.scheduler.upstreams.get("r")
         self.assertEqual(3, upstream.life.weights_version)
 
-    def test_only_the_runners_own_word_lowers_the_weights(self):
+    def test_only_a_report_of_the_runner_lowers_the_weights(self):
         self.scheduler.handle(WeightsSeen("r", "one", 3), 1.0)
         self.scheduler.handle(WeightsSeen("r", "one", 2, is_own_report=False), 1.1)
         upstream = self.scheduler.upstreams.get("r")
@@ -248,7 +248,7 @@
         self.scheduler.handle(WeightsSeen("r", "one", 2), 1.2)
         self.assertEqual(2, upstream.life.weights_version)
 
-    def test_weights_count_as_outdated_from_the_first_newer_naming(self):
+    def test_weights_are_outdated_from_the_first_newer_target(self):
         self.scheduler.handle(TargetsRead((WeightsTarget("m", 2),)), 10.0)
         self.scheduler.handle(TargetsRead((WeightsTarget("m", 3),)), 14.0)
         upstream = self.scheduler.upstreams.get("r")
@@ -257,9 +257,9 @@
 
 
 class LeaseTakeOverTest(TestCase):
-    """Orders of two holders lie apart, and a silent holder is replaced soon."""
+    """Orders of two holders are separated, and an unresponsive holder is replaced."""
 
-    def test_a_holder_orders_only_within_its_window(self):
+    def test_a_holder_sends_orders_only_within_its_window(self):
         lease = LeaseWatcher("one", 3.8, 0.8)
         lease.note_written(LeaseRecord("one", "", 3.8), 5, 10.0)
         self.assertEqual(5, lease.fencing_number(10.3, needed_seconds=0.4))
@@ -267,17 +267,17 @@
         self.assertTrue(lease.is_held(13.7))
         self.assertFalse(lease.is_held(13.8))
 
-    def test_the_next_holder_waits_from_when_it_heard_of_the_last_renewal(self):
+    def test_the_next_holder_waits_from_the_last_announced_renewal(self):
         lease = LeaseWatcher("two", 3.8, 0.8)
         lease.observe_announcement("one", 5, 10.2)
         # The same version again is no renewal.
         lease.observe_announcement("one", 5, 12.0)
         self.assertFalse(lease.may_take(13.9))
         self.assertTrue(lease.may_take(14.0))
-        # The last order of the first could arrive at 10.0 + 0.8 at the latest.
+        # The last order of the first holder arrives at 10.0 + 0.8 at the latest.
         self.assertGreaterEqual(14.0 - 10.8, 3.0)
 
-    def test_a_lease_that_was_given_up_is_free_after_the_time_it_names(self):
+    def test_a_released_lease_is_free_after_its_recorded_duration(self):
         lease = LeaseWatcher("two", 3.8, 0.8)
         lease.observe(LeaseRecord("", "", 0.0), 6, 10.0)
         self.assertTrue(lease.may_take(10.0))
