--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -44,14 +44,14 @@
 #: Shortest window over which demand is measured after a start.
 MIN_DEMAND_WINDOW_SECONDS = 0.125
 
-#: Time whose worth of a limit's rate a fleet that has just started may use at once,
+#: A fleet that has just started may at once use the rate of a limit over this time,
 #: since a single request does not indicate a workspace over its limit.
 START_BURST_SECONDS = 0.5
 
 #: Time for which the first requests are held after a simultaneous start of the fleet,
 #: until the demand of other halls has arrived through two relays. Requests that built
 #: up during the outage arrive all at once, and each host would admit all of its own
-#: before it knew the demand elsewhere.
+#: before it received the demand of the others.
 HOLD_SECONDS = 1.0
 
 #: Fraction of a limit up to which a request is negligible: neither held nor sampled.
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -12,7 +12,7 @@
 from ._fleet_limit import FleetLimit, LimitParameters, OverLimit, allowed_tokens
 from ._tree import LimitedNode, Workspace
 
-#: Time after the start of a fleet in which its first requests are held until the
+#: Age of the usage data of a fleet up to which its first requests are held until the
 #: demand at the other hosts is known.
 WARM_UP_SECONDS = 3.0
 
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -47,7 +47,7 @@
         self._active_relay = ""
         self._relayed_at_seconds = -math.inf
         self._last_seen: dict[str, float] = {}
-        self._expected: tuple[str, float] = ("", 0.0)
+        self._monitored_relay: tuple[str, float] = ("", 0.0)
         self._beats: dict[str, tuple[Beat, float]] = {}
         self._halls: frozenset[str] = frozenset()
         self._sequence = 0
@@ -67,9 +67,11 @@
         first = relays[0].name if relays else ""
         if first in ("", self._own.name):
             return False
-        if first != self._expected[0]:
-            self._expected = (first, now_seconds)
-        since_seconds = max(self._expected[1], self._last_seen.get(first, -math.inf))
+        if first != self._monitored_relay[0]:
+            self._monitored_relay = (first, now_seconds)
+        since_seconds = max(
+            self._monitored_relay[1], self._last_seen.get(first, -math.inf)
+        )
         return now_seconds - since_seconds > RELAY_TIMEOUT_SECONDS
 
     def take(
--- a/packages/rampwick-policy/src/rampwick_policy/_tree.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_tree.py
@@ -195,7 +195,7 @@
     if ROOT not in tree.nodes:
         yield "the root / is missing"
     if len(tree.nodes) > MAX_NODES:
-        yield f"{len(tree.nodes)} nodes, allowed are {MAX_NODES}"
+        yield f"{len(tree.nodes)} nodes exceed the maximum of {MAX_NODES}"
     owners: dict[str, str] = {}
     for path, node in tree.nodes.items():
         yield from _path_problems(tree, path)
@@ -225,7 +225,7 @@
 def apply_change(tree: Tree, change: Change) -> Tree:
     """Return the tree after a change, which must be the next revision."""
     if change.revision != tree.revision + 1:
-        message = f"change makes revision {change.revision}, tree is {tree.revision}"
+        message = f"change has revision {change.revision}, tree has {tree.revision}"
         raise ConflictError(message, step="apply change")
     nodes = dict(tree.nodes)
     for edit in change.edits:
@@ -241,9 +241,9 @@
     if source not in tree.nodes:
         raise TreeError(f"{source}: no such node", step="move node")
     if target in tree.nodes:
-        raise TreeError(f"{target}: exists already", step="move node")
+        raise TreeError(f"{target}: already exists", step="move node")
     if target == source or target.startswith(source + "/"):
-        raise TreeError(f"{target}: lies within {source}", step="move node")
+        raise TreeError(f"{target}: is within {source}", step="move node")
     subtree = [path for path in tree.nodes if _is_within(path, source)]
     removed = [NodeEdit(path=path, node=None) for path in subtree]
     added = [
