--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -146,8 +146,8 @@
 
     def is_reader(self, live: Collection[str]) -> bool:
         """Return whether this host reads the platform for its group."""
-        most = LARGE_READERS_COUNT if self.is_large else READERS_COUNT
-        return self.rank(live) < most
+        max_readers = LARGE_READERS_COUNT if self.is_large else READERS_COUNT
+        return self.rank(live) < max_readers
 
     def is_relay(self, live: Collection[str]) -> bool:
         """Return whether this host relays the summary of its group to other groups."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -27,7 +27,7 @@
 LATER_SECONDS = 20.0
 
 
-class SentWindowTest(TestCase):
+class SlidingWindowTest(TestCase):
     def test_tokens_count_for_the_whole_window(self):
         window = SlidingWindow(8.0)
         window.add(100.0, 1.0)
@@ -54,7 +54,7 @@
         self.assertEqual(50.0, window.total(9.0))
 
 
-class CountingTest(TestCase):
+class ChargeTest(TestCase):
     def session(self, **limit):
         session = Session(runners=2, slots=64)
         limit = {"tokens_per_second": 1000.0, "burst_tokens": 2000.0, **limit}
@@ -179,11 +179,11 @@
 class ShareTest(TestCase):
     """Share of a limit that hosts with live peers may use."""
 
-    def share(self, *heard):
+    def share(self, *hosts_counts):
         """Return the share after each of these host counts lasted for one second."""
         tracker = LimitTracker(QuotaSettings(), "h")
         at_seconds = 0.0
-        for count in heard:
+        for count in hosts_counts:
             for _ in range(10):
                 at_seconds += 0.1
                 tracker.note_time(count, at_seconds)
@@ -243,8 +243,8 @@
         self.assertEqual((0.0, 0.0), self.hold(0.2, tokens_per_second=1e6))
 
     def test_no_request_is_held_once_a_host_has_usage_data(self):
-        terms = {"known_seconds": 60.0, "tokens_per_second": 1000.0}
-        self.assertEqual((0.0, 0.0), self.hold(0.2, **terms))
+        options = {"known_seconds": 60.0, "tokens_per_second": 1000.0}
+        self.assertEqual((0.0, 0.0), self.hold(0.2, **options))
         self.assertEqual((0.0, 0.0), self.hold(5.0, tokens_per_second=1000.0))
 
     def test_no_request_is_held_without_a_limit(self):
