--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -13,7 +13,7 @@
 
 from rampwick_policy import Dispatch, LimitState, Scheduler, Suspicion, TurnState
 
-from ._life import Life
+from ._lifecycle import Life
 from ._logs import PartLogger
 from ._profile import MAX_PROFILE_SECONDS, Profiler
 from ._scheduler_task import Decision
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -12,9 +12,9 @@
 
 from ._admin import AdminApp
 from ._integration import Integration
-from ._life import Life
+from ._lifecycle import Life
 from ._metrics import Metrics
-from ._own_dialect import OWN_DIALECTS
+from ._native_dialect import OWN_DIALECTS
 from ._scheduler_task import SchedulerTask
 from .control import (
     ConfigurationTask,
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -1,7 +1,7 @@
 """What a daemon needs of the protocols around it.
 
 The daemon decides and forwards; a dialect translates. Rampwick's own dialect is in
-``_own_dialect``; a deployment with other names brings one of its own.
+``_native_dialect``; a deployment with other names brings one of its own.
 """
 
 import re
--- a/packages/rampwick-router/src/rampwick_router/entry/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/__init__.py
@@ -8,9 +8,9 @@
 
 from ._call import bad_request as bad_request
 from ._claims import ClaimTask as ClaimTask
-from ._entry import EntryApp as EntryApp
-from ._parts import (
+from ._context import (
     Parts as Parts,
     RequestIds as RequestIds,
 )
+from ._entry import EntryApp as EntryApp
 from ._stream_tokens import StreamTokens as StreamTokens
--- a/packages/rampwick-router/src/rampwick_router/entry/_parts.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -16,7 +16,7 @@
 from rampwick_schema import Settings, Shown
 
 from .._dialects import Dialects, RoutedCall
-from .._life import Life
+from .._lifecycle import Life
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask
--- a/packages/rampwick-router/src/rampwick_router/entry/_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_entry.py
@@ -15,8 +15,8 @@
     read_model_call,
     read_terms,
 )
+from ._context import Parts
 from ._model_exchange import CHAT_PATH, TEXT_PATH, ModelExchange
-from ._parts import Parts
 from ._relay import relay_resumed
 from ._responder import (
     EVENT_STREAM,
--- a/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
@@ -25,7 +25,7 @@
 from .._logs import PartLogger, milliseconds
 from ._call import CallTerms
 from ._claims import WonClaim
-from ._parts import Parts
+from ._context import Parts
 from ._responder import Receive, Responder, wait_disconnect
 
 log = PartLogger("entry")
--- a/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
@@ -11,8 +11,8 @@
 )
 
 from ._call import ENGINE_PRIORITIES, ModelCall
+from ._context import Parts
 from ._exchange import Exchange
-from ._parts import Parts
 from ._relay import Relay, RelayTarget
 from ._responder import Receive, Responder
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -15,7 +15,7 @@
 from .._headers import LEAVING, REQUEST_RATE
 from ..upstream import DONE, OrderKeeper, StreamEvent, UpstreamStream, format_event
 from ._call import ModelCall
-from ._parts import Parts
+from ._context import Parts
 from ._rates import note_rate
 from ._responder import EVENT_STREAM, Responder
 from ._signals import check_still_wanted, note_signals
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -22,7 +22,7 @@
 from .._headers import AnswerHead
 from .._logs import PartLogger
 from ..upstream import Channel, Listening
-from ._parts import Parts
+from ._context import Parts
 from ._rates import note_rate
 from ._routed_request import RoutedRequest
 from ._signals import check_still_wanted, note_signals
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
@@ -8,7 +8,7 @@
 from .._dialects import RawCall, RoutedCall
 from .._errors import OTHER_HOST_SECONDS, CallerError, denial
 from .._logs import PartLogger, milliseconds
-from ._parts import Parts
+from ._context import Parts
 from ._responder import Message, Receive, Responder, read_body
 from ._routed_exchange import RoutedExchange
 from ._routed_request import RoutedRequest
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -20,12 +20,12 @@
 from .._headers import AnswerHead
 from .._logs import PartLogger
 from ._call import CallTerms
+from ._context import Parts
+from ._event_framing import WholeEvents
 from ._exchange import Exchange
-from ._parts import Parts
 from ._responder import Receive, Responder
 from ._routed_attempt import RoutedAttempt, is_success
 from ._routed_request import RoutedRequest
-from ._whole_events import WholeEvents
 
 #: Answers up to this size are read whole before any of it goes to the caller, so that
 #: one that breaks off can still be replaced.
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -20,8 +20,8 @@
 from .._headers import LEAVING, REQUEST_RATE
 from ..upstream import UpstreamAnswer
 from ._call import CallTerms
+from ._context import Parts
 from ._exchange import Exchange
-from ._parts import Parts
 from ._rates import note_rate
 from ._responder import Receive, Responder
 from ._signals import check_still_wanted, note_signals
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -20,7 +20,7 @@
 )
 from rampwick_platform._records import decode_record, encode_record
 from rampwick_router import Integration, run_daemon
-from rampwick_router._own_dialect import OWN_DIALECTS
+from rampwick_router._native_dialect import OWN_DIALECTS
 from rampwick_schema import (
     HostEntry,
     Node,
