--- a/packages/rampwick-router/src/rampwick_router/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/__init__.py
@@ -24,9 +24,9 @@
 from ._headers import (
     AnswerHead as AnswerHead,
     Header as Header,
-    asks_to_close as asks_to_close,
-    end_to_end as end_to_end,
+    end_to_end_headers as end_to_end_headers,
     find as find,
+    has_connection_close as has_connection_close,
     keep_alive_seconds as keep_alive_seconds,
 )
 from ._integration import Integration as Integration
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -13,15 +13,15 @@
 
 from rampwick_policy import Dispatch, LimitState, Scheduler, Suspicion, TurnState
 
-from ._lifecycle import Life
-from ._logs import PartLogger
+from ._lifecycle import Lifecycle
+from ._logs import ComponentLogger
 from ._profile import MAX_PROFILE_SECONDS, Profiler
 from ._scheduler_task import Decision
 from .control import ConfigurationTask, HostListTask, StewardTask
-from .entry import Parts
+from .entry import EntryContext
 from .peers import RolesView
 
-log = PartLogger("admin")
+log = ComponentLogger("admin")
 
 
 class AdminApp:
@@ -29,8 +29,8 @@
 
     def __init__(
         self,
-        parts: Parts,
-        life: Life,
+        context: EntryContext,
+        life: Lifecycle,
         configuration: ConfigurationTask,
         hosts: HostListTask,
         steward: StewardTask,
@@ -39,7 +39,7 @@
         read_roles: Callable[[], RolesView],
         needs_configuration: bool,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._needs_configuration = needs_configuration
         self._life = life
         self._configuration = configuration
@@ -80,34 +80,34 @@
     def _waits_for_configuration(self) -> bool:
         # Without routes of its own a host can still answer what rampwick's own
         # paths ask; where all requests hang on routes it could only refuse them.
-        return self._needs_configuration and not self._parts.follower.revision
+        return self._needs_configuration and not self._context.follower.revision
 
     async def _metrics(self, request: Request) -> Response:
-        metrics = self._parts.metrics
-        used = self._parts.scheduler.look(_read_use)
+        metrics = self._context.metrics
+        used = self._context.scheduler.run_query(_read_use)
         for path, tokens in used.items():
             metrics.used_tokens.labels(path).set(tokens)
-        for state in self._parts.scheduler.look(_read_limits):
+        for state in self._context.scheduler.run_query(_read_limits):
             metrics.limit_used.labels(state.path).set(state.used_tokens)
             metrics.limit_allowed.labels(state.path).set(state.allowed_tokens)
         metrics.request_rate.clear()
         metrics.own_request_rate.clear()
-        for turn in self._parts.scheduler.look(_read_turns):
+        for turn in self._context.scheduler.run_query(_read_turns):
             metrics.request_rate.labels(turn.upstream).set(turn.requests_per_second)
             own_rate = turn.own_requests_per_second
             metrics.own_request_rate.labels(turn.upstream).set(own_rate)
-        for state, count in self._parts.scheduler.look(_count_suspects).items():
+        for state, count in self._context.scheduler.run_query(_count_suspects).items():
             metrics.suspects.labels(state).set(count)
-        open_count, waiting_count = self._parts.scheduler.look(_read_counts)
+        open_count, waiting_count = self._context.scheduler.run_query(_read_counts)
         metrics.open_requests.set(open_count)
         metrics.waiting_requests.set(waiting_count)
-        metrics.revision.set(self._parts.follower.revision)
+        metrics.revision.set(self._context.follower.revision)
         metrics.store_era.set(self._read_store_era())
-        metrics.targets_age.set(self._parts.scheduler.targets_age_seconds())
+        metrics.targets_age.set(self._context.scheduler.targets_age_seconds())
         metrics.outdated_runners.set(self._steward.outdated_count())
         for purpose, count in self._read_platform_calls().items():
             metrics.platform_calls.labels(purpose).set(count)
-        for reason, count in self._parts.channels.opened_counts().items():
+        for reason, count in self._context.channels.opened_counts().items():
             metrics.connections_opened.labels(reason).set(count)
         roles = self._read_roles()
         metrics.roles.labels("relay").set(roles.is_relay)
@@ -119,18 +119,18 @@
         return Response(body, media_type=CONTENT_TYPE_LATEST)
 
     async def _status(self, request: Request) -> Response:
-        status = self._parts.scheduler.look(_read_status)
-        host = self._parts.settings.host
+        status = self._context.scheduler.run_query(_read_status)
+        host = self._context.settings.host
         status["host"] = attrs.asdict(host)
         status["is_ready"] = self._life.is_ready
-        status["revision"] = self._parts.follower.revision
-        status["revision_era"] = self._parts.follower.version.store_era
-        status["revision_source"] = self._parts.follower.source
+        status["revision"] = self._context.follower.revision
+        status["revision_era"] = self._context.follower.version.store_era
+        status["revision_source"] = self._context.follower.source
         status["store_era"] = self._read_store_era()
         status["lease"] = self._describe_lease()
         status["roles"] = attrs.asdict(self._read_roles())
         status["platform_calls"] = dict(self._read_platform_calls())
-        status["connections_opened"] = self._parts.channels.opened_counts()
+        status["connections_opened"] = self._context.channels.opened_counts()
         status["degraded"] = self._problems(status)
         return JSONResponse(status)
 
@@ -146,29 +146,29 @@
         found = []
         if self._configuration.problem:
             found.append(f"configuration: {self._configuration.problem}")
-        if self._parts.follower.problem:
-            found.append(f"configuration: {self._parts.follower.problem}")
+        if self._context.follower.problem:
+            found.append(f"configuration: {self._context.follower.problem}")
         if self._hosts.problem:
             found.append(f"host list: {self._hosts.problem}")
-        claims_seconds = self._parts.claims.incomplete_seconds
+        claims_seconds = self._context.claims.recovery_remaining_seconds
         if claims_seconds > 0.0:
             found.append(
                 f"claims: the store was restored, no key for {claims_seconds:.1f} s"
             )
-        if self._parts.follower.revision == 0:
+        if self._context.follower.revision == 0:
             found.append("configuration: no tree is known; callers are refused")
         found += [
             f"upstream {item['name']}: {item['health']}: {item['last_error']}"
             for item in status["upstreams"]
             if item["health"] != "up"
         ]
-        if self._parts.settings.peers.secret and not status["peers"]:
+        if self._context.settings.peers.secret and not status["peers"]:
             found.append("peers: none is heard; this host keeps to its part")
         return found
 
     async def _explain(self, request: Request) -> Response:
         request_id = request.path_params["request_id"]
-        decisions = self._parts.scheduler.decisions(request_id)
+        decisions = self._context.scheduler.decisions(request_id)
         if not decisions:
             return JSONResponse({"error": "no such request of late"}, status_code=404)
         return JSONResponse([_describe_decision(item) for item in decisions])
@@ -178,7 +178,7 @@
         return Response(status_code=202)
 
     async def _list_suspects(self, request: Request) -> Response:
-        return JSONResponse(self._parts.scheduler.look(_read_suspects))
+        return JSONResponse(self._context.scheduler.run_query(_read_suspects))
 
     async def _forget(self, request: Request) -> Response:
         """Let a request go that upstreams ended under, here and at all peers."""
@@ -191,7 +191,7 @@
             reason = "an operator says so"
             return scheduler.suspects.clear(fingerprint, now_seconds, reason)
 
-        if not self._parts.scheduler.look(forget):
+        if not self._context.scheduler.run_query(forget):
             error = {"error": "nothing is held against such a request"}
             return JSONResponse(error, status_code=404)
         return Response(status_code=204)
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -12,9 +12,9 @@
 
 from ._admin import AdminApp
 from ._integration import Integration
-from ._lifecycle import Life
+from ._lifecycle import Lifecycle
 from ._metrics import Metrics
-from ._native_dialect import OWN_DIALECTS
+from ._native_dialect import NATIVE_DIALECTS
 from ._scheduler_task import SchedulerTask
 from .control import (
     ConfigurationTask,
@@ -28,7 +28,7 @@
     WatchedTargets,
     WatchedTreeSource,
 )
-from .entry import ClaimTask, EntryApp, Parts, RequestIds, StreamTokens
+from .entry import ClaimTask, EntryApp, EntryContext, RequestIdGenerator, StreamTokens
 from .peers import GossipTask, PeerDirectory
 from .upstream import (
     CacheReaderTask,
@@ -69,7 +69,7 @@
         self.clocks = clocks
         self.channels = channels
         self._metrics = Metrics()
-        self.life = Life()
+        self.life = Lifecycle()
         self.follower = ConfigurationFollower()
         incarnation = time.time_ns()
         host = settings.host
@@ -82,7 +82,7 @@
         )
         read_clock = clocks.monotonic
         self.scheduler = SchedulerTask(Scheduler(settings), read_clock)
-        dialects = integration.dialects if integration else OWN_DIALECTS
+        dialects = integration.dialects if integration else NATIVE_DIALECTS
         control: UpstreamControl = upstreams
         if integration is not None:
             control = DialectControl(
@@ -109,8 +109,8 @@
             self.steward,
         )
         self.steward.notify_peers = self.gossip.broadcast_rollout
-        self.scheduler.note_long_prompt = self.gossip.early.note_load
-        self.scheduler.note_burst = self.gossip.early.note_burst
+        self.scheduler.on_long_prompt = self.gossip.early.note_load
+        self.scheduler.on_burst = self.gossip.early.note_burst
         self._connect(api, draw, integration)
         self.claims = ClaimTask(api, settings.claims, read_clock, clocks.wall)
         self.probes = ProbeTask(control, self.scheduler)
@@ -127,7 +127,7 @@
         )
         self.gossip.cache_outbox.list_read = self.cache_reader.read_names
         self.silences = SilenceWatch(read_clock)
-        self.parts = Parts(
+        self.context = EntryContext(
             settings=settings,
             scheduler=self.scheduler,
             follower=self.follower,
@@ -135,7 +135,7 @@
             claims=self.claims,
             metrics=self._metrics,
             tokens=StreamTokens(settings.peers.secret),
-            ids=RequestIds(host.name, incarnation),
+            ids=RequestIdGenerator(host.name, incarnation),
             life=self.life,
             read_clock=read_clock,
             configuration=self.configuration,
@@ -144,9 +144,9 @@
             salts=salts,
             silences=self.silences,
         )
-        self.entry = EntryApp(self.parts, serves_routes=integration is not None)
+        self.entry = EntryApp(self.context, serves_routes=integration is not None)
         self.admin = AdminApp(
-            self.parts,
+            self.context,
             self.life,
             self.configuration,
             self.hosts,
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -16,8 +16,8 @@
 from ._assembly import Assembly, Clocks as Clocks
 from ._fallback import read_fallback
 from ._integration import Integration
-from ._logs import PartLogger, milliseconds
-from ._servers import CLOSE_SECONDS, Addresses, Listeners, listen, serve_apps
+from ._logs import ComponentLogger, milliseconds
+from ._servers import CLOSE_TIMEOUT_SECONDS, Addresses, Listeners, listen, serve_apps
 from .upstream import (
     ChannelPool,
     UpstreamClient,
@@ -28,7 +28,7 @@
 
 #: Time before a stopping process would be killed at which it begins to close: what the
 #: HTTP library is given to close connections, and half as much again.
-STOP_MARGIN_SECONDS = 1.5 * CLOSE_SECONDS
+STOP_MARGIN_SECONDS = 1.5 * CLOSE_TIMEOUT_SECONDS
 
 #: Longest wait of a host that starts for what it decides by: a few calls to the store
 #: and to caches in calm times, a small part of what callers bear in others.
@@ -38,7 +38,7 @@
 #: Time between two lines that say how the host stands.
 STATE_INTERVAL_SECONDS = 10.0
 
-log = PartLogger("life")
+log = ComponentLogger("life")
 
 
 class Daemon:
@@ -53,7 +53,7 @@
         self._hosts = built.hosts
         self._configuration = built.configuration
         self._gossip = built.gossip
-        self._parts = built.parts
+        self._context = built.context
         self.life = built.life
         self.follower = built.follower
         self.scheduler = built.scheduler
@@ -103,7 +103,7 @@
         tasks.start_soon(self._gossip.run, listeners.peer)
         log.info("started", host=self._settings.host.name)
 
-    async def wait_informed(self) -> None:
+    async def wait_initial_state(self) -> None:
         """Wait, for a short while, until this host knows what it decides by.
 
         Callers' connections wait meanwhile. A host that serves before it knows the
@@ -160,14 +160,16 @@
         began_seconds = self._clocks.monotonic()
         stop_within_seconds = self._settings.life.stop_within_seconds
         if stop_within_seconds:
-            gone_by_seconds = began_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
-            self.life.gone_by_seconds = gone_by_seconds
+            exit_deadline_seconds = (
+                began_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
+            )
+            self.life.exit_deadline_seconds = exit_deadline_seconds
         log.info("not ready, waiting for the balancer")
         self._gossip.summaries.is_leaving = True
         await self.steward.give_up()
         self._gossip.summaries.publish_own()
         await self.life.pause(self._settings.life.balancer_delay_seconds)
-        self.life.has_balancer_turned = True
+        self.life.balancer_delay_elapsed = True
         self.entry.is_closed = self._settings.life.refuses_while_leaving
         log.info("closed, serving out", open_count=self.entry.open_count)
         with anyio.move_on_after(self._drain_seconds()):
@@ -183,9 +185,9 @@
     def _drain_seconds(self) -> float:
         """Return how long open requests are waited for at the most."""
         drain_seconds = self._settings.life.drain_timeout_seconds
-        if self.life.gone_by_seconds is None:
+        if self.life.exit_deadline_seconds is None:
             return drain_seconds
-        left_seconds = self.life.gone_by_seconds - self._clocks.monotonic()
+        left_seconds = self.life.exit_deadline_seconds - self._clocks.monotonic()
         return max(0.0, min(drain_seconds, left_seconds))
 
 
@@ -243,7 +245,7 @@
         stack.callback(tasks.cancel_scope.cancel)
         await daemon.start(tasks, listeners)
         if integration is not None:
-            await daemon.wait_informed()
+            await daemon.wait_initial_state()
         served = [
             (daemon.entry, listeners.entry),
             (daemon.admin.app, listeners.admin),
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -56,7 +56,7 @@
     #: Bearer key; none if the caller sent none.
     key: str | None
     #: Headers that go on to the upstream as they are.
-    passed_headers: Sequence[Header]
+    forwarded_headers: Sequence[Header]
     #: Time that the caller will wait; none if it does not say.
     timeout_seconds: float | None = None
     #: Model and parts of the prompt; none of them for plain services.
@@ -152,7 +152,7 @@
     #: Whether the answer is proved to be the upstream's own.
     is_signed: bool = False
     #: Whether it names another upstream, or another life, than was asked.
-    is_another: bool = False
+    is_other_incarnation: bool = False
     #: Weights of the upstream; none if it does not say.
     weights_version: int | None = None
     #: How long the connection may rest; none if it does not say.
--- a/packages/rampwick-router/src/rampwick_router/_errors.py
+++ b/packages/rampwick-router/src/rampwick_router/_errors.py
@@ -77,7 +77,7 @@
     status: int
     message: str
     #: Whether it holds for each try of the request, so that none is to come back.
-    is_lasting: bool = False
+    is_permanent: bool = False
 
 
 #: Refusals of the scheduler, by their reason.
@@ -99,14 +99,14 @@
     "no_retry_left": ErrorKind(503, "the retry budget is spent for now"),
     "upstream_failed": ErrorKind(502, "the upstream failed"),
     "ends_upstreams": ErrorKind(
-        502, "upstreams end when they run this request", is_lasting=True
+        502, "upstreams end when they run this request", is_permanent=True
     ),
 }
 
 
 #: How long a caller shall wait before it asks another host, where this one can't
 #: confirm its configuration: hosts fail apart, so the next one can serve at once.
-OTHER_HOST_SECONDS = 0.05
+OTHER_HOST_RETRY_SECONDS = 0.05
 
 #: Answers to requests that the configuration does not allow.
 DENIALS = {
@@ -118,7 +118,9 @@
 }
 
 
-def denial(verdict: Verdict, run_state: RunState = RunState.NOT_SENT) -> CallerError:
+def access_error(
+    verdict: Verdict, run_state: RunState = RunState.NOT_SENT
+) -> CallerError:
     """Return the error for a request that the configuration does not allow."""
     kind = DENIALS[verdict]
     is_elsewhere = kind.status == 503
@@ -129,5 +131,5 @@
         code=verdict.value,
         step="check access",
         run_state=run_state,
-        retry_after_seconds=OTHER_HOST_SECONDS if may_ask_again else None,
+        retry_after_seconds=OTHER_HOST_RETRY_SECONDS if may_ask_again else None,
     )
--- a/packages/rampwick-router/src/rampwick_router/_headers.py
+++ b/packages/rampwick-router/src/rampwick_router/_headers.py
@@ -44,7 +44,7 @@
     is_framed: bool
 
 
-def end_to_end(headers: Iterable[Header]) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header]) -> list[Header]:
     """Return the headers that go beyond one connection.
 
     What a Connection header names belongs to the connection as well.
@@ -85,7 +85,7 @@
     return None
 
 
-def asks_to_close(headers: Iterable[Header]) -> bool:
+def has_connection_close(headers: Iterable[Header]) -> bool:
     """Return whether a Connection header ends the connection after this message."""
     value = find(headers, b"connection")
     if value is None:
--- a/packages/rampwick-router/src/rampwick_router/_lifecycle.py
+++ b/packages/rampwick-router/src/rampwick_router/_lifecycle.py
@@ -5,7 +5,7 @@
 from rampwick_platform import move_on_at_grid
 
 
-class Life:
+class Lifecycle:
     """Steps of a planned stop; each is an event that tasks wait for.
 
     The first ``begin_stop`` starts a stop that cuts no request; the second one
@@ -16,9 +16,9 @@
         self._stopping = anyio.Event()
         self._hurrying = anyio.Event()
         #: Steady time by which a stopping host is gone; none while it has time.
-        self.gone_by_seconds: float | None = None
+        self.exit_deadline_seconds: float | None = None
         #: Whether the balancer has had the time to send callers elsewhere.
-        self.has_balancer_turned = False
+        self.balancer_delay_elapsed = False
 
     @property
     def is_ready(self) -> bool:
@@ -26,7 +26,7 @@
         return not self._stopping.is_set()
 
     @property
-    def is_hurried(self) -> bool:
+    def is_forced(self) -> bool:
         """Whether open requests are not waited for."""
         return self._hurrying.is_set()
 
--- a/packages/rampwick-router/src/rampwick_router/_logs.py
+++ b/packages/rampwick-router/src/rampwick_router/_logs.py
@@ -17,21 +17,21 @@
 #: serves some tens of requests a second, so that each leaves its lines; a storm of
 #: failures does not fill the disk of whoever collects them.
 LINES_PER_SECOND = 50.0
-SAVED_LINES = 200.0
+BURST_LINES = 200.0
 
 
 @attrs.define(repr=False)
-class LineBudget(Shown):
+class LineTokenBucket(Shown):
     """Token bucket of one sentence's lines."""
 
-    saved: float = SAVED_LINES
+    saved: float = BURST_LINES
     at_seconds: float = 0.0
     left_out_count: int = 0
 
     def spend(self, now_seconds: float) -> bool:
         """Take one line; return whether it may go out."""
         earned = (now_seconds - self.at_seconds) * LINES_PER_SECOND
-        self.saved = min(SAVED_LINES, self.saved + earned)
+        self.saved = min(BURST_LINES, self.saved + earned)
         self.at_seconds = now_seconds
         if self.saved < 1.0:
             self.left_out_count += 1
@@ -40,7 +40,7 @@
         return True
 
 
-class PartLogger:
+class ComponentLogger:
     """Logger of one part of the daemon.
 
     Call ``info`` for what operators may want to follow and ``problem`` for what
@@ -49,7 +49,7 @@
 
     def __init__(self, part: str) -> None:
         self._part = part
-        self._budgets: dict[str, LineBudget] = {}
+        self._budgets: dict[str, LineTokenBucket] = {}
 
     def info(self, sentence: str, **fields: Any) -> None:
         """Log something that went as it should."""
@@ -60,7 +60,7 @@
         self._write("problem", sentence, fields)
 
     def _write(self, level: str, sentence: str, fields: dict[str, Any]) -> None:
-        budget = self._budgets.setdefault(sentence, LineBudget())
+        budget = self._budgets.setdefault(sentence, LineTokenBucket())
         if not budget.spend(time.monotonic()):
             return
         if budget.left_out_count:
--- a/packages/rampwick-router/src/rampwick_router/_main.py
+++ b/packages/rampwick-router/src/rampwick_router/_main.py
@@ -17,9 +17,9 @@
 from ._fallback import read_fallback
 from ._integration import Integration
 from ._log_sink import open_log
-from ._logs import PartLogger
+from ._logs import ComponentLogger
 
-log = PartLogger("life")
+log = ComponentLogger("life")
 
 #: Signals that a daemon understands: stop, and read the settings again.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
--- a/packages/rampwick-router/src/rampwick_router/_native_dialect.py
+++ b/packages/rampwick-router/src/rampwick_router/_native_dialect.py
@@ -37,9 +37,9 @@
     LEAVING,
     REQUEST_RATE,
     AnswerHead,
-    asks_to_close,
-    end_to_end,
+    end_to_end_headers,
     find,
+    has_connection_close,
     keep_alive_seconds,
 )
 from .entry import bad_request
@@ -68,7 +68,7 @@
 JSON = (b"content-type", b"application/json")
 
 
-class OwnCallerDialect:
+class NativeCallerDialect:
     """How callers name what they want, in rampwick's own headers."""
 
     def read_call(self, raw: RawCall) -> RoutedCall:
@@ -83,9 +83,9 @@
             method=raw.method,
             target=raw.target,
             key=read_bearer_key(raw),
-            passed_headers=[
+            forwarded_headers=[
                 (name, value)
-                for name, value in end_to_end(raw.headers)
+                for name, value in end_to_end_headers(raw.headers)
                 if not name.startswith(PREFIX)
                 and name not in (b"authorization", LAST_EVENT_ID)
             ],
@@ -107,13 +107,13 @@
         return ErrorAnswer(error.status, headers, body)
 
 
-class OwnUpstreamDialect:
+class NativeUpstreamDialect:
     """How upstreams are told what they need, in rampwick's own headers."""
 
     def request_headers(self, call: RoutedCall, terms: AttemptTerms) -> list[Header]:
         """Return the headers of an attempt."""
         headers = [
-            *call.passed_headers,
+            *call.forwarded_headers,
             (REQUEST_ID, call.request_id.encode("latin-1")),
             (DEADLINE, f"{terms.remaining_seconds:.3f}".encode()),
             (INCARNATION, terms.incarnation.encode("latin-1")),
@@ -144,20 +144,20 @@
             was_refused=not_run is not None,
             is_misdirected=not_run == b"misdirected",
             is_signed=bool(named),
-            is_another=named not in ("", incarnation),
+            is_other_incarnation=named not in ("", incarnation),
             weights_version=int(weights) if weights and weights.isdigit() else None,
             max_rest_seconds=keep_alive_seconds(headers),
-            is_closing=asks_to_close(headers),
+            is_closing=has_connection_close(headers),
             request_rate=read_request_rate(head, REQUEST_RATE),
             signals=read_signals(head, LEAVING),
         )
 
     def answer_headers(self, head: AnswerHead) -> list[Header]:
         """Return the headers that the caller is sent."""
-        return end_to_end(head.headers)
+        return end_to_end_headers(head.headers)
 
 
-class OwnControlDialect:
+class NativeControlDialect:
     """How rampwick's own runners report and take orders."""
 
     def probe(self, entry: HostEntry, health_path: str) -> ControlRequest:
@@ -196,7 +196,7 @@
         return results.get(head.status, OrderResult.REFUSED)
 
 
-class OwnCacheDialect:
+class NativeCacheDialect:
     """How rampwick's own stand-ins tell what they cache."""
 
     def events(self, address: str, since: int, wait_seconds: float) -> ControlRequest:
@@ -225,8 +225,11 @@
             raise DataError(f"bad events: {error!r}", step=step) from None
 
 
-OWN_DIALECTS = Dialects(
-    OwnCallerDialect(), OwnUpstreamDialect(), OwnControlDialect(), OwnCacheDialect()
+NATIVE_DIALECTS = Dialects(
+    NativeCallerDialect(),
+    NativeUpstreamDialect(),
+    NativeControlDialect(),
+    NativeCacheDialect(),
 )
 
 
--- a/packages/rampwick-router/src/rampwick_router/_profile.py
+++ b/packages/rampwick-router/src/rampwick_router/_profile.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(repr=False)
-class CostRow(Shown):
+class ProfileEntry(Shown):
     """What one function or module cost while the profile was taken."""
 
     name: str
@@ -37,8 +37,8 @@
 
     elapsed_seconds: float
     processor_seconds: float
-    functions: list[CostRow]
-    modules: list[CostRow]
+    functions: list[ProfileEntry]
+    modules: list[ProfileEntry]
 
 
 class Profiler:
@@ -71,11 +71,11 @@
 def _make_report(
     entries: list[Any], elapsed_seconds: float, processor_seconds: float
 ) -> ProfileReport:
-    functions: list[CostRow] = []
-    modules: dict[str, CostRow] = {}
+    functions: list[ProfileEntry] = []
+    modules: dict[str, ProfileEntry] = {}
     for entry in entries:
         module, name = _name(entry.code)
-        row = CostRow(name, entry.callcount, entry.inlinetime, entry.totaltime)
+        row = ProfileEntry(name, entry.callcount, entry.inlinetime, entry.totaltime)
         functions.append(row)
         modules[module] = _add(modules.get(module), module, row)
     return ProfileReport(
@@ -86,14 +86,14 @@
     )
 
 
-def _add(known: CostRow | None, module: str, row: CostRow) -> CostRow:
+def _add(known: ProfileEntry | None, module: str, row: ProfileEntry) -> ProfileEntry:
     """Return a module's sum with one more function; its own time is all it has."""
     calls_count = row.calls_count + (known.calls_count if known else 0)
     own_seconds = row.own_seconds + (known.own_seconds if known else 0.0)
-    return CostRow(module, calls_count, own_seconds, own_seconds)
+    return ProfileEntry(module, calls_count, own_seconds, own_seconds)
 
 
-def _dearest(rows: list[CostRow]) -> list[CostRow]:
+def _dearest(rows: list[ProfileEntry]) -> list[ProfileEntry]:
     rows.sort(key=lambda row: row.own_seconds, reverse=True)
     return [
         attrs.evolve(
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -32,7 +32,7 @@
 )
 from rampwick_schema import NamedWeights, Shown, WeightsTarget
 
-from ._logs import PartLogger
+from ._logs import ComponentLogger
 
 #: Time between two looks at deadlines, and while no request is open.
 TICK_SECONDS = 0.1
@@ -47,7 +47,7 @@
 #: Attempts that wait to be cancelled at their upstreams.
 CANCELS_COUNT = 10_000
 
-log = PartLogger("beliefs")
+log = ComponentLogger("beliefs")
 
 
 @attrs.frozen(repr=False)
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen(repr=False)
-class Mailbox(Shown):
+class DecisionChannel(Shown):
     """Where the decisions about an open request go."""
 
     decisions: MemoryObjectSendStream[Dispatch | Refuse]
@@ -80,15 +80,15 @@
         self._cancels: MemoryObjectSendStream[CancelAttempt]
         self.cancels: MemoryObjectReceiveStream[CancelAttempt]
         self._cancels, self.cancels = anyio.create_memory_object_stream(CANCELS_COUNT)
-        self._mailboxes: dict[str, Mailbox] = {}
+        self._mailboxes: dict[str, DecisionChannel] = {}
         self._decisions: deque[Decision] = deque(maxlen=EXPLAINED_COUNT)
         self._has_work = anyio.Event()
         #: Set when an upstream is to be asked at once how it is, then replaced.
-        self.has_doubt = anyio.Event()
+        self.probe_requested = anyio.Event()
         #: Called when a prompt was sent that keeps a runner busy for a while.
-        self.note_long_prompt: Callable[[], None] = _do_nothing
+        self.on_long_prompt: Callable[[], None] = _do_nothing
         #: Called when a workspace near its limit asks this host for much more.
-        self.note_burst: Callable[[], None] = _do_nothing
+        self.on_burst: Callable[[], None] = _do_nothing
 
     @property
     def suspects(self) -> Suspects:
@@ -105,7 +105,7 @@
         """Upstreams that announced their shutdown."""
         return self._scheduler.upstreams.departures
 
-    def knows_rate(self, upstream: str) -> bool:
+    def has_request_rate(self, upstream: str) -> bool:
         """Return whether an upstream has named a rate of requests of late."""
         return self.rates.knows(upstream)
 
@@ -157,20 +157,22 @@
     ) -> MemoryObjectReceiveStream[Dispatch | Refuse]:
         """Send a request; its decisions come through the returned stream."""
         outgoing, mailbox = anyio.create_memory_object_stream[Dispatch | Refuse](8)
-        self._mailboxes[arrival.request_id] = Mailbox(outgoing, caller_request_id)
+        self._mailboxes[arrival.request_id] = DecisionChannel(
+            outgoing, caller_request_id
+        )
         self._has_work.set()
         self.post(arrival)
         return mailbox
 
-    def close_mailbox(self, request_id: str) -> None:
+    def close_decisions(self, request_id: str) -> None:
         """Stop taking decisions for a request that has its final answer."""
         mailbox = self._mailboxes.pop(request_id, None)
         if mailbox is not None:
             mailbox.decisions.close()
 
-    def look(self, question: Callable[[Scheduler, float], Any]) -> Any:
+    def run_query(self, query: Callable[[Scheduler, float], Any]) -> Any:
         """Return what a function of the scheduler and the present time returns."""
-        return question(self._scheduler, self._read_clock())
+        return query(self._scheduler, self._read_clock())
 
     def note_members(self, count: int) -> None:
         """Note how many hosts of the fleet are known, heard or not."""
@@ -197,11 +199,11 @@
 
     def _handle(self, event: Event, now_seconds: float) -> None:
         for action in self._scheduler.handle(event, now_seconds):
-            self._carry_out(action, now_seconds)
+            self._execute(action, now_seconds)
         if isinstance(event, RequestArrived) and self._scheduler.limits.has_surged(
             event.workspace, now_seconds
         ):
-            self.note_burst()
+            self.on_burst()
         for notice in self._scheduler.pool.notices.take():
             self._tell(notice)
 
@@ -214,10 +216,10 @@
             reason=notice.reason,
         )
         if notice.kind == "upstream":
-            self.has_doubt.set()
-            self.has_doubt = anyio.Event()
+            self.probe_requested.set()
+            self.probe_requested = anyio.Event()
 
-    def _carry_out(self, action: Action, now_seconds: float) -> None:
+    def _execute(self, action: Action, now_seconds: float) -> None:
         if isinstance(action, CancelAttempt):
             try:
                 self._cancels.send_nowait(action)
@@ -226,7 +228,7 @@
                 return
             return
         if isinstance(action, Dispatch) and _is_long(action):
-            self.note_long_prompt()
+            self.on_long_prompt()
         mailbox = self._mailboxes.get(action.request_id)
         caller_id = mailbox.caller_request_id if mailbox else ""
         self._decisions.append(Decision(now_seconds, action, caller_id))
@@ -235,7 +237,7 @@
         try:
             mailbox.decisions.send_nowait(action)
         except anyio.BrokenResourceError:
-            self.close_mailbox(action.request_id)
+            self.close_decisions(action.request_id)
 
 
 def _is_long(dispatch: Dispatch) -> bool:
--- a/packages/rampwick-router/src/rampwick_router/_servers.py
+++ b/packages/rampwick-router/src/rampwick_router/_servers.py
@@ -15,7 +15,7 @@
 from rampwick_start import bind
 
 #: Time that the HTTP library is given to close idle connections.
-CLOSE_SECONDS = 0.5
+CLOSE_TIMEOUT_SECONDS = 0.5
 
 #: Time for which a caller's idle connection is kept; longer than the usual balancers'
 #: minute, so that they close first.
@@ -95,7 +95,7 @@
 
 async def _close(closing: anyio.Event, ended: Sequence[anyio.Event]) -> None:
     closing.set()
-    with anyio.move_on_after(2 * CLOSE_SECONDS, shield=True):
+    with anyio.move_on_after(2 * CLOSE_TIMEOUT_SECONDS, shield=True):
         for has_ended in ended:
             await has_ended.wait()
 
@@ -104,7 +104,7 @@
     config = Config()
     config.bind = [f"fd://{listener.detach()}"]
     config.h11_max_incomplete_size = max_header_bytes
-    config.graceful_timeout = CLOSE_SECONDS
+    config.graceful_timeout = CLOSE_TIMEOUT_SECONDS
     config.keep_alive_timeout = KEEP_ALIVE_SECONDS
     config.include_server_header = False
     config.errorlog = None
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration.py
@@ -8,13 +8,13 @@
 
 from rampwick_policy import ConfigurationFollower, TreeInForce
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 
 #: Longest wait for a peer's confirmation before the platform itself is asked.
 PEER_ANSWER_SECONDS = 0.1
 
-log = PartLogger("configuration")
+log = ComponentLogger("configuration")
 
 
 class ConfigurationSource(Protocol):
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -25,7 +25,7 @@
 )
 from rampwick_schema import DataError, RampwickError, Settings, Tree, era_of
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from ._configuration import ConfigurationTask
 
 #: Wait after a failed call, and before a host without a watch looks by itself.
@@ -41,7 +41,7 @@
 REFRESH_INTERVAL_SECONDS = 0.2
 MAX_REFRESH_INTERVAL_SECONDS = 1.6
 
-log = PartLogger("configuration")
+log = ComponentLogger("configuration")
 
 
 class TreeStoreSource:
--- a/packages/rampwick-router/src/rampwick_router/control/_host_lists.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_lists.py
@@ -5,11 +5,11 @@
 from rampwick_policy import HostListRead
 from rampwick_schema import HostList
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ._host_sources import HostSource
 
-log = PartLogger("upstreams")
+log = ComponentLogger("upstreams")
 
 
 class HostListTask:
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -17,7 +17,7 @@
 from rampwick_policy import LapseGuard
 from rampwick_schema import DataError, HostEntry, HostList, RampwickError
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 
 #: Wait of one watch on the upstreams: its answers confirm the list to peers, which
 #: read for themselves once what they are told is older than FALLBACK_SECONDS. With 2 s
@@ -28,7 +28,7 @@
 #: all the time, and an entry that leaves may have new work for seconds yet.
 WATCH_PAUSE_SECONDS = 0.3
 
-log = PartLogger("upstreams")
+log = ComponentLogger("upstreams")
 
 
 class TakesHosts(Protocol):
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_keeper.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_keeper.py
@@ -9,7 +9,7 @@
 from rampwick_policy import LeaseWatcher
 from rampwick_schema import DataError
 
-from .._logs import PartLogger, milliseconds
+from .._logs import ComponentLogger, milliseconds
 
 #: Part of the lease after which it is renewed: two renewals may fail before another
 #: host takes it.
@@ -27,7 +27,7 @@
 #: others; they notice its silence and wait the old lease out within one and a half.
 ABSTAIN_LEASES = 2.0
 
-log = PartLogger("steward")
+log = ComponentLogger("steward")
 
 
 class LeaseKeeper:
--- a/packages/rampwick-router/src/rampwick_router/control/_steward.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_steward.py
@@ -35,7 +35,7 @@
 )
 
 from .._errors import AttemptError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ..upstream import CONTROL_TIMEOUT_SECONDS, UpstreamControl
 from ._lease_keeper import LeaseKeeper
@@ -56,7 +56,7 @@
 #: Time for which peers are told of weights that an own load brought.
 TOLD_SECONDS = 2.0
 
-log = PartLogger("steward")
+log = ComponentLogger("steward")
 
 
 @attrs.frozen(repr=False)
@@ -156,7 +156,7 @@
     def outdated_count(self) -> int:
         """Return the number of runners with older weights than are wanted here."""
         targets = self._scheduler.targets()
-        runners = self._scheduler.look(_read_runners)
+        runners = self._scheduler.run_query(_read_runners)
         return count_outdated(runners, targets)
 
     async def run(self) -> None:
@@ -215,10 +215,10 @@
         targets = self._scheduler.targets()
         if not targets:
             return False
-        runners = self._scheduler.look(_read_runners)
+        runners = self._scheduler.run_query(_read_runners)
         now_seconds = self._read_clock()
         steps = self._rollout.plan(runners, targets, now_seconds)
-        entries = self._scheduler.look(_read_entries)
+        entries = self._scheduler.run_query(_read_entries)
         planned = []
         for step in steps:
             entry = entries.get(step.runner)
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -17,7 +17,7 @@
 from rampwick_policy import TargetsRead
 from rampwick_schema import DataError, RampwickError, WeightsTarget
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 
 #: Longest wait of one watch on the targets. A watch whose connection has died hears of
@@ -31,7 +31,7 @@
 #: Who told this host of targets, as its log says it.
 PLATFORM_SOURCE = "the platform says so"
 
-log = PartLogger("steward")
+log = ComponentLogger("steward")
 
 
 class ReadsTargets(Protocol):
--- a/packages/rampwick-router/src/rampwick_router/entry/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/__init__.py
@@ -9,8 +9,8 @@
 from ._call import bad_request as bad_request
 from ._claims import ClaimTask as ClaimTask
 from ._context import (
-    Parts as Parts,
-    RequestIds as RequestIds,
+    EntryContext as EntryContext,
+    RequestIdGenerator as RequestIdGenerator,
 )
 from ._entry import EntryApp as EntryApp
 from ._stream_tokens import StreamTokens as StreamTokens
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -13,7 +13,7 @@
 from rampwick_schema import Claim, ClaimSettings, RampwickError, Shown
 
 from .._errors import CallerError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 
 STEP = "claim key"
 
@@ -34,11 +34,11 @@
 #: Why no key can be claimed after a restore.
 INCOMPLETE = "the store was restored, claims are being written again"
 
-log = PartLogger("claims")
+log = ComponentLogger("claims")
 
 
 @attrs.frozen(repr=False)
-class WonClaim(Shown):
+class AcquiredClaim(Shown):
     """A key that this arrival owns; only its holder may dispatch."""
 
     shard: int
@@ -82,13 +82,13 @@
         self._inbox: MemoryObjectSendStream[_Wanted]
         self._incoming: MemoryObjectReceiveStream[_Wanted]
         self._inbox, self._incoming = anyio.create_memory_object_stream(MAX_QUEUED)
-        self._withdrawals: MemoryObjectSendStream[WonClaim]
-        self._withdrawn: MemoryObjectReceiveStream[WonClaim]
+        self._withdrawals: MemoryObjectSendStream[AcquiredClaim]
+        self._withdrawn: MemoryObjectReceiveStream[AcquiredClaim]
         self._withdrawals, self._withdrawn = anyio.create_memory_object_stream(math.inf)
 
-    async def claim(self, workspace: str, key: str) -> WonClaim:
+    async def claim(self, workspace: str, key: str) -> AcquiredClaim:
         """Return the claim of a key, or raise a CallerError: it was not run."""
-        wait_seconds = self.incomplete_seconds
+        wait_seconds = self.recovery_remaining_seconds
         if wait_seconds > 0.0:
             raise _unavailable(INCOMPLETE, wait_seconds)
         hashed = key_hash(workspace, key)
@@ -110,7 +110,7 @@
         # Half the window is left for the answer of a later arrival to be right
         # even if this host is paused in between.
         usable_until = began_seconds + self._settings.window_seconds / 2
-        return WonClaim(shard, claim.write_id, usable_until)
+        return AcquiredClaim(shard, claim.write_id, usable_until)
 
     async def _decide(self, shard: int, claim: Claim) -> bool:
         outgoing, incoming = anyio.create_memory_object_stream[bool | RampwickError](1)
@@ -124,7 +124,7 @@
             raise _unavailable(str(answer))
         return answer
 
-    def withdraw(self, claim: WonClaim) -> None:
+    def withdraw(self, claim: AcquiredClaim) -> None:
         """Free the key of an arrival that surely did not run."""
         self._withdrawals.send_nowait(claim)
 
@@ -152,15 +152,15 @@
         try:
             if self._store is None:
                 raise RampwickError("no platform is set", step=STEP)
-            if self.incomplete_seconds > 0.0:
+            if self.recovery_remaining_seconds > 0.0:
                 raise RampwickError(INCOMPLETE, step=STEP)
             decision = await self._store.claim(
                 shard, [wanted.claim for wanted in batch], self._read_wall_clock()
             )
-            if self.incomplete_seconds > 0.0:
+            if self.recovery_remaining_seconds > 0.0:
                 # The store was restored before it answered.
                 for write_id in decision.won:
-                    self.withdraw(WonClaim(shard, write_id, -math.inf))
+                    self.withdraw(AcquiredClaim(shard, write_id, -math.inf))
                 raise RampwickError(INCOMPLETE, step=STEP)
             self._keep(shard, batch, decision.won)
         except RampwickError as error:
@@ -185,7 +185,7 @@
     # A store that was restored from a copy lacks claims whose requests have run.
 
     @property
-    def incomplete_seconds(self) -> float:
+    def recovery_remaining_seconds(self) -> float:
         """Time for which claims may still be missing from the store; 0 for none."""
         self._note_era()
         since_seconds = self._read_clock() - self._restored_at_seconds
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -16,7 +16,7 @@
 from rampwick_schema import Settings, Shown
 
 from .._dialects import Dialects, RoutedCall
-from .._lifecycle import Life
+from .._lifecycle import Lifecycle
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask
@@ -42,7 +42,7 @@
 
 
 @attrs.define(repr=False)
-class RequestIds(Shown):
+class RequestIdGenerator(Shown):
     """Ids that no other host and no other life of this one gives out."""
 
     host: str
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(repr=False)
-class Parts(Shown):
+class EntryContext(Shown):
     """The daemon's parts that a request passes through."""
 
     settings: Settings
@@ -66,8 +66,8 @@
     claims: ClaimTask
     metrics: Metrics
     tokens: StreamTokens
-    ids: RequestIds
-    life: Life
+    ids: RequestIdGenerator
+    life: Lifecycle
     read_clock: Callable[[], float]
     configuration: ConfigurationTask
     channels: ChannelPool
@@ -77,7 +77,7 @@
     #: How long answers take here, for when this host leaves.
     pace: AnswerPace = attrs.field(factory=AnswerPace)
 
-    def look_up(self, call: RoutedCall) -> Access:
+    def check_access(self, call: RoutedCall) -> Access:
         """Return what the configuration in force says of a request on a route."""
         platform = self.settings.platform
         return decide_access(
--- a/packages/rampwick-router/src/rampwick_router/entry/_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_entry.py
@@ -8,14 +8,14 @@
 from rampwick_schema import RampwickError
 
 from .._errors import AttemptError, CallerError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from ._call import (
     bad_request,
     find_workspace,
     read_model_call,
     read_terms,
 )
-from ._context import Parts
+from ._context import EntryContext
 from ._model_exchange import CHAT_PATH, TEXT_PATH, ModelExchange
 from ._relay import relay_resumed
 from ._responder import (
@@ -31,7 +31,7 @@
     REPEATABLE_METHODS,
     ServiceCall,
     ServiceExchange,
-    passes_through,
+    is_forwarded_header,
 )
 
 SERVICES_PREFIX = "/services/"
@@ -41,18 +41,18 @@
 #: Time between two looks for slow callers.
 WATCH_SECONDS = 0.5
 
-log = PartLogger("entry")
+log = ComponentLogger("entry")
 
 
 class EntryApp:
     """ASGI application towards callers."""
 
-    def __init__(self, parts: Parts, serves_routes: bool = False) -> None:
-        self._parts = parts
+    def __init__(self, context: EntryContext, serves_routes: bool = False) -> None:
+        self._context = context
         self._serves_routes = serves_routes
         #: Whether new requests are turned away because this host is leaving.
         self.is_closed = False
-        self._routed = RoutedEntry(parts)
+        self._routed = RoutedEntry(context)
         self._open: dict[Responder, anyio.CancelScope] = {}
         self._has_open = anyio.Event()
 
@@ -67,25 +67,25 @@
             if not self._open:
                 self._has_open = anyio.Event()
                 await self._has_open.wait()
-            await self._parts.life.pause(WATCH_SECONDS)
-            is_hurried = self._parts.life.is_hurried
-            oldest = self._parts.read_clock() - (
-                self._parts.settings.limits.write_timeout_seconds
+            await self._context.life.pause(WATCH_SECONDS)
+            is_forced = self._context.life.is_forced
+            oldest = self._context.read_clock() - (
+                self._context.settings.limits.write_timeout_seconds
             )
             for responder, scope in self._open.items():
                 since = responder.waiting_since_seconds
-                if is_hurried or (since is not None and since < oldest):
+                if is_forced or (since is not None and since < oldest):
                     scope.cancel()
-            if is_hurried:
+            if is_forced:
                 await anyio.sleep(WATCH_SECONDS)
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
         """Serve one request; whatever happens, it gets one final answer."""
         if scope["type"] != "http":
             return
-        life = self._parts.life
+        life = self._context.life
         responder = Responder(
-            send, self._parts.read_clock, is_leaving=lambda: not life.is_ready
+            send, self._context.read_clock, is_leaving=lambda: not life.is_ready
         )
         cancel_scope = anyio.CancelScope()
         self._open[responder] = cancel_scope
@@ -110,7 +110,7 @@
             await responder.send_error(_internal_error(error))
 
     async def _give_up(self, responder: Responder, path: str) -> None:
-        if not self._parts.life.is_hurried:
+        if not self._context.life.is_forced:
             log.problem("caller too slow, given up", path=path)
             return
         await responder.send_error(_hurried_error(responder.was_dispatched))
@@ -126,7 +126,7 @@
                 step="accept request",
                 retry_after_seconds=1.0,
             )
-        if self._serves_routes or len(self._parts.view.routes):
+        if self._serves_routes or len(self._context.view.routes):
             await self._routed.serve(scope, receive, responder)
             return
         headers = _read_headers(scope)
@@ -144,7 +144,7 @@
             raise _unknown_path(method, path)
 
     async def _read_body(self, receive: Receive) -> bytes:
-        limits = self._parts.settings.limits
+        limits = self._context.settings.limits
         return await read_body(
             receive,
             max_body_bytes=limits.max_body_bytes,
@@ -154,10 +154,10 @@
     async def _serve_model(
         self, path: str, headers: dict[str, str], receive: Receive, responder: Responder
     ) -> None:
-        arrived_at_seconds = self._parts.read_clock()
-        settings = self._parts.settings
+        arrived_at_seconds = self._context.read_clock()
+        settings = self._context.settings
         terms = read_terms(
-            find_workspace(self._parts.view, headers),
+            find_workspace(self._context.view, headers),
             headers,
             default_deadline_seconds=settings.queue.default_deadline_seconds,
             repeatable_by_default=True,
@@ -167,7 +167,7 @@
             raw, terms, settings.placement, is_chat=path == CHAT_PATH
         )
         await ModelExchange(
-            self._parts, call, receive, responder, arrived_at_seconds
+            self._context, call, receive, responder, arrived_at_seconds
         ).run()
 
     async def _serve_service(
@@ -177,12 +177,12 @@
         receive: Receive,
         responder: Responder,
     ) -> None:
-        arrived_at_seconds = self._parts.read_clock()
+        arrived_at_seconds = self._context.read_clock()
         method = scope["method"]
         terms = read_terms(
-            find_workspace(self._parts.view, headers),
+            find_workspace(self._context.view, headers),
             headers,
-            default_deadline_seconds=self._parts.settings.queue.default_deadline_seconds,
+            default_deadline_seconds=self._context.settings.queue.default_deadline_seconds,
             repeatable_by_default=method in REPEATABLE_METHODS,
         )
         service, target = _split_target(scope)
@@ -191,28 +191,28 @@
             service=service,
             method=method,
             target=target,
-            headers=[item for item in headers.items() if passes_through(item[0])],
+            headers=[item for item in headers.items() if is_forwarded_header(item[0])],
             body=await self._read_body(receive),
         )
         await ServiceExchange(
-            self._parts, call, receive, responder, arrived_at_seconds
+            self._context, call, receive, responder, arrived_at_seconds
         ).run()
 
     async def _serve_resumed(
         self, token: str, headers: dict[str, str], responder: Responder
     ) -> None:
-        workspace = find_workspace(self._parts.view, headers)
-        reference = self._parts.tokens.decode(token)
+        workspace = find_workspace(self._context.view, headers)
+        reference = self._context.tokens.decode(token)
         if reference is None or reference.workspace != workspace.path:
             raise _lost_stream("no such stream")
         position = _read_position(headers, token)
-        upstream = self._parts.scheduler.look(
+        upstream = self._context.scheduler.run_query(
             lambda scheduler, _: scheduler.upstreams.get(reference.upstream)
         )
         if upstream is None:
             raise _lost_stream("its upstream is gone")
         try:
-            async with self._parts.upstreams.resume_stream(
+            async with self._context.upstreams.resume_stream(
                 upstream.entry.address,
                 reference.upstream,
                 reference.attempt_id,
@@ -228,8 +228,8 @@
     async def _serve_models(
         self, headers: dict[str, str], responder: Responder
     ) -> None:
-        workspace = find_workspace(self._parts.view, headers)
-        names = self._parts.scheduler.look(
+        workspace = find_workspace(self._context.view, headers)
+        names = self._context.scheduler.run_query(
             lambda scheduler, _: {item.model for item in scheduler.upstreams}
         )
         models = [
--- a/packages/rampwick-router/src/rampwick_router/entry/_event_framing.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_event_framing.py
@@ -30,7 +30,7 @@
     last_id: str = ""
 
 
-class WholeEvents:
+class EventFramer:
     """Collects bytes and gives out whole events."""
 
     def __init__(self, max_event_bytes: int, peer: str, after_id: str = "") -> None:
--- a/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
@@ -22,13 +22,13 @@
 )
 
 from .._errors import REFUSALS, AttemptError, CallerError, ErrorKind
-from .._logs import PartLogger, milliseconds
+from .._logs import ComponentLogger, milliseconds
 from ._call import CallTerms
-from ._claims import WonClaim
-from ._context import Parts
+from ._claims import AcquiredClaim
+from ._context import EntryContext
 from ._responder import Receive, Responder, wait_disconnect
 
-log = PartLogger("entry")
+log = ComponentLogger("entry")
 
 #: Scores of other upstreams in the log line of a placement.
 MAX_LOGGED_CHOICES = 6
@@ -41,19 +41,19 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         terms: CallTerms,
         receive: Receive,
         responder: Responder,
         arrived_at_seconds: float,
     ) -> None:
-        self.parts = parts
+        self.context = context
         self.terms = terms
         self.responder = responder
         self.arrived_at_seconds = arrived_at_seconds
-        self.request_id = parts.ids.next()
+        self.request_id = context.ids.next()
         self._receive = receive
-        self._claim: WonClaim | None = None
+        self._claim: AcquiredClaim | None = None
         self._has_ended = False
         #: Whether an attempt ran or may have run.
         self.may_have_run = False
@@ -68,7 +68,7 @@
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
         """Make one attempt and answer the caller, or raise AttemptError."""
 
-    def check_still_allowed(self) -> None:
+    def recheck_access(self) -> None:
         """Raise a CallerError if the request may not run any more."""
         return
 
@@ -85,7 +85,7 @@
         """Serve the request; return when the caller has its final answer."""
         arrival = await self._hold(self.arrival())
         self._identity = arrival.identity
-        submitted = self.parts.scheduler.submit(arrival, self.caller_request_id)
+        submitted = self.context.scheduler.submit(arrival, self.caller_request_id)
         with submitted as decisions:
             try:
                 decision = _receive_now(decisions)
@@ -96,7 +96,7 @@
                 else:
                     await self._serve_watched(decision, decisions)
             finally:
-                self.parts.scheduler.close_mailbox(self.request_id)
+                self.context.scheduler.close_decisions(self.request_id)
                 if not self._has_ended:
                     self._note_cancelled()
 
@@ -105,13 +105,13 @@
     ) -> None:
         """Serve the request, and give it up if its caller leaves."""
         async with anyio.create_task_group() as task_group:
-            task_group.start_soon(self._watch_caller, task_group.cancel_scope)
+            task_group.start_soon(self._watch_disconnect, task_group.cancel_scope)
             await self._serve(first, decisions)
             task_group.cancel_scope.cancel()
 
     async def _hold(self, arrival: RequestArrived) -> RequestArrived:
         """Wait, in a fleet that has just come back, for what all hosts are asked."""
-        hold_seconds = self.parts.scheduler.look(
+        hold_seconds = self.context.scheduler.run_query(
             lambda scheduler, now_seconds: scheduler.limits.hold_seconds(
                 arrival, now_seconds
             )
@@ -124,8 +124,8 @@
     def _note_cancelled(self) -> None:
         """Note that nobody waits for the answer any more."""
         self._end("cancelled")
-        self.parts.scheduler.post(RequestCancelled(self.request_id))
-        after_seconds = self.parts.read_clock() - self.arrived_at_seconds
+        self.context.scheduler.post(RequestCancelled(self.request_id))
+        after_seconds = self.context.read_clock() - self.arrived_at_seconds
         log.info(
             "request cancelled",
             request=self.caller_request_id,
@@ -145,7 +145,7 @@
         except CallerError as error:
             if not self._has_ended:
                 # Nobody decided this for the scheduler, which has it open still.
-                self.parts.scheduler.post(RequestCancelled(self.request_id))
+                self.context.scheduler.post(RequestCancelled(self.request_id))
             await self._answer_error(error)
 
     async def _follow(
@@ -153,7 +153,7 @@
     ) -> Dispatch | Refuse | None:
         """Make an attempt; return what is decided next, or nothing at its end."""
         await self._own_key()
-        self.check_still_allowed()
+        self.recheck_access()
         self._note_dispatch()
         self._log_dispatch(dispatch)
         decision: Dispatch | Refuse | None = None
@@ -183,7 +183,7 @@
                 **self._fingerprint_field(error),
             )
             # The decision about it ends this task group.
-            self.parts.scheduler.post(
+            self.context.scheduler.post(
                 AttemptFailed(
                     request_id=self.request_id,
                     attempt_id=dispatch.attempt_id,
@@ -196,16 +196,16 @@
             return
         self._note_attempt(dispatch, "done")
         self._end("answered")
-        self.parts.scheduler.post(done)
+        self.context.scheduler.post(done)
         scope.cancel()
 
     async def _own_key(self) -> None:
         key = self.terms.idempotency_key
         if key and self._claim is None:
             path = self.terms.workspace.path
-            self._claim = await self.parts.claims.claim(path, key)
+            self._claim = await self.context.claims.claim(path, key)
         claim = self._claim
-        if claim and self.parts.read_clock() >= claim.usable_until_seconds:
+        if claim and self.context.read_clock() >= claim.usable_until_seconds:
             raise CallerError(
                 "the key was claimed too long ago",
                 status=503,
@@ -228,7 +228,7 @@
 
     async def _answer_error(self, error: CallerError) -> None:
         if self._claim and error.run_state <= RunState.REFUSED:
-            self.parts.claims.withdraw(self._claim)
+            self.context.claims.withdraw(self._claim)
         if not self._has_ended:
             self._end(error.code)
         log.info(
@@ -244,7 +244,7 @@
         )
         await self.answer_error(error)
 
-    async def _watch_caller(self, scope: anyio.CancelScope) -> None:
+    async def _watch_disconnect(self, scope: anyio.CancelScope) -> None:
         await wait_disconnect(self._receive)
         scope.cancel()
 
@@ -252,8 +252,8 @@
         if self.responder.was_dispatched:
             return
         self.responder.was_dispatched = True
-        waited = self.parts.read_clock() - self.arrived_at_seconds
-        self.parts.metrics.queue_wait.labels(*self.labels).observe(waited)
+        waited = self.context.read_clock() - self.arrived_at_seconds
+        self.context.metrics.queue_wait.labels(*self.labels).observe(waited)
 
     @property
     def caller_request_id(self) -> str:
@@ -276,7 +276,7 @@
                     for other in choice.considered[:MAX_LOGGED_CHOICES]
                 },
             }
-        waited = self.parts.read_clock() - self.arrived_at_seconds
+        waited = self.context.read_clock() - self.arrived_at_seconds
         log.info(
             "attempt sent",
             request=self.caller_request_id,
@@ -295,11 +295,11 @@
         return {"fingerprint": self._identity.shown}
 
     def _note_attempt(self, dispatch: Dispatch, outcome: str) -> None:
-        self.parts.metrics.attempts.labels(dispatch.upstream, outcome).inc()
+        self.context.metrics.attempts.labels(dispatch.upstream, outcome).inc()
 
     def _end(self, answer: str) -> None:
         self._has_ended = True
-        self.parts.metrics.requests.labels(*self.labels, answer).inc()
+        self.context.metrics.requests.labels(*self.labels, answer).inc()
 
 
 def _receive_now(decisions: Decisions) -> Dispatch | Refuse | None:
@@ -318,7 +318,7 @@
     same request ran.
     """
     status = kind.status
-    if kind.is_lasting:
+    if kind.is_permanent:
         return status
     if run_state > RunState.REFUSED and status in (429, 503):
         return 502
--- a/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
@@ -11,7 +11,7 @@
 )
 
 from ._call import ENGINE_PRIORITIES, ModelCall
-from ._context import Parts
+from ._context import EntryContext
 from ._exchange import Exchange
 from ._relay import Relay, RelayTarget
 from ._responder import Receive, Responder
@@ -25,18 +25,18 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         call: ModelCall,
         receive: Receive,
         responder: Responder,
         arrived_at_seconds: float,
     ) -> None:
-        super().__init__(parts, call.terms, receive, responder, arrived_at_seconds)
+        super().__init__(context, call.terms, receive, responder, arrived_at_seconds)
         self._call = call
         self._path = CHAT_PATH if call.is_chat else TEXT_PATH
         self._last_piece_seconds: float | None = None
         # Looked up once: finding a label costs more than observing it.
-        self._token_gap = parts.metrics.token_gap.labels(*self.labels)
+        self._token_gap = context.metrics.token_gap.labels(*self.labels)
 
     def arrival(self) -> RequestArrived:
         """Return what the scheduler is told."""
@@ -56,7 +56,7 @@
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
         """Make one attempt and relay its answer."""
         target = RelayTarget(
-            parts=self.parts,
+            context=self.context,
             call=self._call,
             path=self._path,
             request_id=self.request_id,
@@ -79,7 +79,9 @@
 
     def _engine_body(self, dispatch: Dispatch) -> bytes:
         salt = cache_salt(
-            self._call.scope, dispatch.weights_version, self.parts.settings.peers.secret
+            self._call.scope,
+            dispatch.weights_version,
+            self.context.settings.peers.secret,
         )
         return orjson.dumps(
             {
@@ -92,7 +94,7 @@
         )
 
     def _count_tokens(self, done: AttemptDone) -> None:
-        metrics = self.parts.metrics
+        metrics = self.context.metrics
         cached = min(done.cached_tokens, done.prompt_tokens)
         missing = done.prompt_tokens - cached
         metrics.prompt_tokens.labels(*self.labels, "cached").inc(cached)
@@ -101,10 +103,10 @@
 
     def _note_piece(self) -> None:
         """Note in the metrics that a piece of the answer is here."""
-        now_seconds = self.parts.read_clock()
+        now_seconds = self.context.read_clock()
         if self._last_piece_seconds is None:
             waited = now_seconds - self.arrived_at_seconds
-            self.parts.metrics.first_token.labels(*self.labels).observe(waited)
+            self.context.metrics.first_token.labels(*self.labels).observe(waited)
         else:
             self._token_gap.observe(now_seconds - self._last_piece_seconds)
         self._last_piece_seconds = now_seconds
--- a/packages/rampwick-router/src/rampwick_router/entry/_rates.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_rates.py
@@ -21,7 +21,7 @@
     """
     if not rate.is_readable:
         return
-    ends_one = is_proved and scheduler.knows_rate(dispatch.upstream)
+    ends_one = is_proved and scheduler.has_request_rate(dispatch.upstream)
     if rate.per_second is None and not ends_one:
         return
     scheduler.post(
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -15,10 +15,10 @@
 from .._headers import LEAVING, REQUEST_RATE
 from ..upstream import DONE, OrderKeeper, StreamEvent, UpstreamStream, format_event
 from ._call import ModelCall
-from ._context import Parts
+from ._context import EntryContext
 from ._rates import note_rate
 from ._responder import EVENT_STREAM, Responder
-from ._signals import check_still_wanted, note_signals
+from ._signals import check_not_withdrawn, note_signals
 from ._stream_tokens import StreamReference
 
 #: Times that one broken stream is taken up again before its attempt has failed.
@@ -42,7 +42,7 @@
 class RelayTarget(Shown):
     """The request that a relayed answer is for."""
 
-    parts: Parts
+    context: EntryContext
     call: ModelCall
     #: Path of the request at a runner.
     path: str
@@ -57,7 +57,7 @@
 
     def __init__(self, target: RelayTarget, dispatch: Dispatch) -> None:
         self._target = target
-        self._parts = target.parts
+        self._context = target.context
         self._dispatch = dispatch
         self._order = OrderKeeper(0, dispatch.upstream)
         self._has_delivered = False
@@ -70,7 +70,7 @@
             attempt_id=dispatch.attempt_id,
             is_chat=target.call.is_chat,
         )
-        self._token = self._parts.tokens.encode(reference)
+        self._token = self._context.tokens.encode(reference)
 
     async def run(self, content: bytes) -> None:
         """Relay the whole answer, resuming where its connection breaks."""
@@ -81,10 +81,10 @@
         await self._finish()
 
     async def _start(self, content: bytes) -> None:
-        client = self._parts.upstreams
+        client = self._context.upstreams
         path = self._target.path
-        check_still_wanted(self._parts.scheduler, self._dispatch)
-        asked_at_seconds = self._parts.read_clock()
+        check_not_withdrawn(self._context.scheduler, self._dispatch)
+        asked_at_seconds = self._context.read_clock()
         async with client.start_stream(self._dispatch, path, content) as stream:
             await self._take(stream, asked_at_seconds)
 
@@ -94,7 +94,7 @@
             if error.outcome is not Outcome.BROKEN or not self._order.next_position:
                 raise error
             await anyio.sleep(RESUME_PAUSE_SECONDS)
-            self._parts.metrics.resumes.inc()
+            self._context.metrics.resumes.inc()
             try:
                 await self._resume()
                 return
@@ -106,8 +106,8 @@
 
     async def _resume(self) -> None:
         dispatch = self._dispatch
-        asked_at_seconds = self._parts.read_clock()
-        async with self._parts.upstreams.resume_stream(
+        asked_at_seconds = self._context.read_clock()
+        async with self._context.upstreams.resume_stream(
             dispatch.address,
             dispatch.upstream,
             dispatch.attempt_id,
@@ -120,19 +120,19 @@
         dispatch = self._dispatch
         start = stream.check_start(dispatch.attempt_id, dispatch.incarnation)
         note_rate(
-            self._parts.scheduler,
+            self._context.scheduler,
             dispatch,
             read_request_rate(stream.head, REQUEST_RATE),
             asked_at_seconds=asked_at_seconds,
             is_proved=True,
         )
         note_signals(
-            self._parts.scheduler, dispatch, read_signals(stream.head, LEAVING)
+            self._context.scheduler, dispatch, read_signals(stream.head, LEAVING)
         )
         if start.weights_version != dispatch.weights_version:
             # The salt named other weights: what was cached may be older ones'.
             raise self._error(Outcome.STALE, "the engine has other weights now")
-        self._parts.scheduler.post(
+        self._context.scheduler.post(
             AttemptAccepted(self._target.request_id, dispatch.attempt_id)
         )
         async for events in stream.batches():
@@ -190,7 +190,7 @@
         if self._has_delivered:
             return
         self._has_delivered = True
-        self._parts.scheduler.post(
+        self._context.scheduler.post(
             AttemptDelivered(self._target.request_id, self._dispatch.attempt_id)
         )
         headers = [
@@ -224,8 +224,8 @@
     reason = choices[-1].get("finish_reason") if choices else "stop"
     choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
     if target.call.is_chat:
-        parts = (item.get("delta", {}).get("content") or "" for item in choices)
-        choice["message"] = {"role": "assistant", "content": "".join(parts)}
+        contents = (item.get("delta", {}).get("content") or "" for item in choices)
+        choice["message"] = {"role": "assistant", "content": "".join(contents)}
     else:
         choice["text"] = "".join(item.get("text") or "" for item in choices)
     kind = "chat.completion" if target.call.is_chat else "text_completion"
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -20,12 +20,12 @@
 from .._dialects import AnswerFacts, AttemptTerms
 from .._errors import AttemptError
 from .._headers import AnswerHead
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from ..upstream import Channel, Listening
-from ._context import Parts
+from ._context import EntryContext
 from ._rates import note_rate
 from ._routed_request import RoutedRequest
-from ._signals import check_still_wanted, note_signals
+from ._signals import check_not_withdrawn, note_signals
 
 #: Silence before an answer's head after which an upstream is suspected to be gone:
 #: well above what a busy engine takes, well below what callers bear.
@@ -33,7 +33,7 @@
 
 STEP = "forward request"
 
-log = PartLogger("route")
+log = ComponentLogger("route")
 
 
 class RoutedAttempt:
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         request: RoutedRequest,
         dispatch: Dispatch,
         request_id: str,
@@ -49,7 +49,7 @@
         *,
         is_resumed: bool,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._request = request
         self.dispatch = dispatch
         self._request_id = request_id
@@ -65,23 +65,23 @@
     async def open(self, remaining_seconds: float) -> AsyncIterator[AnswerHead]:
         """Send the request and yield the head of its answer, or raise AttemptError."""
         call, dispatch = self._request.call, self.dispatch
-        dialect = self._parts.dialects.upstream
+        dialect = self._context.dialects.upstream
         headers = dialect.request_headers(call, self._terms(remaining_seconds))
         body = self._request.body
         if body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             headers.append((b"content-length", str(len(body)).encode()))
-        async with self._parts.channels.borrow(
+        async with self._context.channels.borrow(
             dispatch.upstream, dispatch.address, self._max_connections()
         ) as self._channel:
-            check_still_wanted(self._parts.scheduler, dispatch)
-            asked_at_seconds = self._parts.read_clock()
+            check_not_withdrawn(self._context.scheduler, dispatch)
+            asked_at_seconds = self._context.read_clock()
             await self._channel.send(call.method, call.target, headers, body)
             head = await self._receive_head()
             facts = dialect.read_answer(head, self._asked_incarnation)
             self._note_channel(facts)
             self._note_upstream_state(facts, asked_at_seconds)
             self._check(head, facts)
-            with self._parts.silences.listen(self._silence_seconds()) as listening:
+            with self._context.silences.listen(self._silence_seconds()) as listening:
                 self._listening = listening
                 yield head
             if listening.is_silent:
@@ -91,12 +91,12 @@
     async def pieces(self) -> AsyncIterator[bytes]:
         """Yield the body as it comes."""
         listening = self._listening
-        self._parts.silences.note_waiting(listening)
+        self._context.silences.note_waiting(listening)
         async for piece in self._channel.receive_pieces():
             # Whoever takes the piece may be slow; that is not the upstream's silence.
             listening.waiting_since_seconds = None
             yield piece
-            self._parts.silences.note_waiting(listening)
+            self._context.silences.note_waiting(listening)
 
     def failed(
         self, outcome: Outcome, message: str, facts: AnswerFacts | None = None
@@ -119,7 +119,7 @@
         request, dispatch = self._request, self.dispatch
         salt = ""
         if request.scope is not None:
-            salt = self._parts.salts.salt(request.scope, dispatch.weights_version)
+            salt = self._context.salts.salt(request.scope, dispatch.weights_version)
         return AttemptTerms(
             incarnation=self._asked_incarnation,
             weights_version=dispatch.weights_version,
@@ -135,7 +135,7 @@
     def _max_connections(self) -> int:
         """Return this host's part of the connections that an upstream takes."""
         most = self._request.service.max_connections_count
-        return max(1, most // self._parts.count_hosts())
+        return max(1, most // self._context.count_hosts())
 
     async def _receive_head(self) -> AnswerHead:
         silence_seconds = self._silence_seconds()
@@ -155,7 +155,7 @@
             upstream=self.dispatch.upstream,
         )
         silent = AttemptSilent(self._request_id, self.dispatch.attempt_id)
-        self._parts.scheduler.post(silent)
+        self._context.scheduler.post(silent)
 
     def _silence_seconds(self) -> float:
         """Return how long an upstream may say nothing before another is tried.
@@ -164,7 +164,7 @@
         """
         if not self._request.is_repeatable:
             return float("inf")
-        return self._parts.settings.retry.silence_timeout_seconds
+        return self._context.settings.retry.silence_timeout_seconds
 
     def _note_channel(self, facts: AnswerFacts) -> None:
         if facts.is_closing:
@@ -188,17 +188,17 @@
         if self._is_resumed and not is_success(head):
             raise self.failed(Outcome.BROKEN, f"resumed with {status}")
         accepted = AttemptAccepted(self._request_id, self.dispatch.attempt_id)
-        self._parts.scheduler.post(accepted)
+        self._context.scheduler.post(accepted)
 
     def _note_upstream_state(self, facts: AnswerFacts, asked_at_seconds: float) -> None:
         """Note the rate and the signals of an answer, unless it is another's."""
-        if facts.is_misdirected or facts.is_another:
+        if facts.is_misdirected or facts.is_other_incarnation:
             return
         if facts.request_id != self._request.call.request_id:
             return
-        note_signals(self._parts.scheduler, self.dispatch, facts.signals)
+        note_signals(self._context.scheduler, self.dispatch, facts.signals)
         note_rate(
-            self._parts.scheduler,
+            self._context.scheduler,
             self.dispatch,
             facts.request_rate,
             asked_at_seconds=asked_at_seconds,
@@ -209,13 +209,13 @@
         dispatch = self.dispatch
         if facts.weights_version is None or not dispatch.weights_version:
             return
-        if facts.is_another:
+        if facts.is_other_incarnation:
             return
         if facts.weights_version != dispatch.weights_version:
             seen = WeightsSeen(
                 dispatch.upstream, dispatch.incarnation, facts.weights_version
             )
-            self._parts.scheduler.post(seen)
+            self._context.scheduler.post(seen)
 
 
 def is_success(head: AnswerHead) -> bool:
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
@@ -6,9 +6,9 @@
 from rampwick_schema import Route, Service
 
 from .._dialects import RawCall, RoutedCall
-from .._errors import OTHER_HOST_SECONDS, CallerError, denial
-from .._logs import PartLogger, milliseconds
-from ._context import Parts
+from .._errors import OTHER_HOST_RETRY_SECONDS, CallerError, access_error
+from .._logs import ComponentLogger, milliseconds
+from ._context import EntryContext
 from ._responder import Message, Receive, Responder, read_body
 from ._routed_exchange import RoutedExchange
 from ._routed_request import RoutedRequest
@@ -16,43 +16,43 @@
 #: Longest wait for a look at the platform before a route or key is called unknown.
 LOOK_TIMEOUT_SECONDS = 0.4
 
-log = PartLogger("route")
+log = ComponentLogger("route")
 
 
 class RoutedEntry:
     """Serves the requests that routes lead to services."""
 
-    def __init__(self, parts: Parts) -> None:
-        self._parts = parts
+    def __init__(self, context: EntryContext) -> None:
+        self._context = context
 
     async def serve(
         self, scope: Message, receive: Receive, responder: Responder
     ) -> None:
         """Serve one request; whatever happens, it gets one final answer."""
-        arrived_at_seconds = self._parts.read_clock()
+        arrived_at_seconds = self._context.read_clock()
         raw = _read_raw(scope)
         request_id = ""
         try:
-            call = self._parts.dialects.caller.read_call(raw)
+            call = self._context.dialects.caller.read_call(raw)
             request_id = call.request_id
             # The body is read first: closing a connection on unread bytes would
             # reset it, and the caller might lose its answer.
             body = await self._read_body(receive)
             request = await self._check(call, body, arrived_at_seconds)
-            await RoutedExchange(self._parts, request, receive, responder).run()
+            await RoutedExchange(self._context, request, receive, responder).run()
         except CallerError as error:
             self._log_denial(error, request_id)
             await self._send_error(error, request_id, responder)
 
     def _log_denial(self, error: CallerError, request_id: str) -> None:
-        configuration = self._parts.configuration
-        age_seconds = configuration.age_seconds(self._parts.read_clock())
+        configuration = self._context.configuration
+        age_seconds = configuration.age_seconds(self._context.read_clock())
         log.info(
             "request denied",
             request=request_id,
             status=error.status,
             code=error.code,
-            revision=self._parts.follower.revision,
+            revision=self._context.follower.revision,
             revision_age_ms=milliseconds(age_seconds),
             error=str(error),
         )
@@ -60,11 +60,11 @@
     async def _check(
         self, call: RoutedCall, body: bytes, arrived_at_seconds: float
     ) -> RoutedRequest:
-        access = self._parts.look_up(call)
+        access = self._context.check_access(call)
         if access.verdict in (Verdict.STALE, Verdict.NO_CONFIGURATION):
             access = await self._look_again(call)
         if access.verdict is not Verdict.ALLOWED:
-            raise denial(access.verdict)
+            raise access_error(access.verdict)
         assert access.route is not None and access.workspace is not None
         self._check_stop(access.route, call)
         return RoutedRequest(
@@ -78,16 +78,16 @@
 
     def _check_stop(self, route: Route, call: RoutedCall) -> None:
         """Raise if this host may be gone before the answer is whole."""
-        life, now_seconds = self._parts.life, self._parts.read_clock()
-        if life.gone_by_seconds is None:
+        life, now_seconds = self._context.life, self._context.read_clock()
+        if life.exit_deadline_seconds is None:
             return
         # While the balancer still sends callers here, few are turned away; those on
         # kept connections that come later go to another host as well.
         pace_ratio = 1.0
-        if life.has_balancer_turned:
-            pace_ratio = self._parts.pace.worst_ratio(now_seconds)
+        if life.balancer_delay_elapsed:
+            pace_ratio = self._context.pace.worst_ratio(now_seconds)
         if fits_before(
-            life.gone_by_seconds,
+            life.exit_deadline_seconds,
             latency_target_seconds=route.latency_target_seconds,
             max_answer_tokens=call.max_answer_tokens,
             now_seconds=now_seconds,
@@ -99,22 +99,22 @@
             status=503,
             code="leaving",
             step="accept request",
-            retry_after_seconds=OTHER_HOST_SECONDS,
+            retry_after_seconds=OTHER_HOST_RETRY_SECONDS,
         )
 
     async def _look_again(self, call: RoutedCall) -> Access:
         with anyio.move_on_after(LOOK_TIMEOUT_SECONDS):
-            await self._parts.configuration.refresh()
-        return self._parts.look_up(call)
+            await self._context.configuration.refresh()
+        return self._context.check_access(call)
 
     def _service(self, route: Route, call: RoutedCall) -> Service:
         name = choose_service(route, call.request_id)
-        service = self._parts.view.routes.service(name)
+        service = self._context.view.routes.service(name)
         assert service is not None, "the configuration was validated"
         return service
 
     async def _read_body(self, receive: Receive) -> bytes:
-        limits = self._parts.view.routes.routing.caller_limits
+        limits = self._context.view.routes.routing.caller_limits
         return await read_body(
             receive,
             max_body_bytes=limits.max_body_bytes,
@@ -126,7 +126,7 @@
     ) -> None:
         if responder.has_started:
             return
-        answer = self._parts.dialects.caller.write_error(error, request_id)
+        answer = self._context.dialects.caller.write_error(error, request_id)
         await responder.start(answer.status, answer.headers)
         await responder.end(answer.body)
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -16,12 +16,12 @@
     Verdict,
 )
 
-from .._errors import CallerError, denial
+from .._errors import CallerError, access_error
 from .._headers import AnswerHead
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from ._call import CallTerms
-from ._context import Parts
-from ._event_framing import WholeEvents
+from ._context import EntryContext
+from ._event_framing import EventFramer
 from ._exchange import Exchange
 from ._responder import Receive, Responder
 from ._routed_attempt import RoutedAttempt, is_success
@@ -34,7 +34,7 @@
 #: Time left under which an attempt is not worth sending.
 MIN_REMAINING_SECONDS = 0.005
 
-log = PartLogger("route")
+log = ComponentLogger("route")
 
 
 class RoutedExchange(Exchange):
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         request: RoutedRequest,
         receive: Receive,
         responder: Responder,
@@ -53,7 +53,7 @@
             deadline_seconds=request.deadline_seconds - request.arrived_at_seconds,
             is_repeatable=request.is_repeatable,
         )
-        super().__init__(parts, terms, receive, responder, request.arrived_at_seconds)
+        super().__init__(context, terms, receive, responder, request.arrived_at_seconds)
         self._request = request
         self._call = request.call
         self._chain = request.chain
@@ -90,14 +90,14 @@
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
         """Make one attempt and pass the upstream's answer on."""
         attempt = RoutedAttempt(
-            self.parts,
+            self.context,
             self._request,
             dispatch,
             self.request_id,
             self._resume_after,
             is_resumed=self.responder.has_started,
         )
-        remaining_seconds = self._request.deadline_seconds - self.parts.read_clock()
+        remaining_seconds = self._request.deadline_seconds - self.context.read_clock()
         if remaining_seconds < MIN_REMAINING_SECONDS:
             raise attempt.failed(Outcome.UNREACHABLE, "no time is left")
         with anyio.move_on_after(remaining_seconds):
@@ -115,8 +115,8 @@
 
     async def _pass_stream(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
         dispatch = attempt.dispatch
-        limits = self.parts.settings.limits
-        events = WholeEvents(
+        limits = self.context.settings.limits
+        events = EventFramer(
             limits.max_event_bytes, dispatch.upstream, self._resume_after
         )
         async for piece in attempt.pieces():
@@ -154,20 +154,22 @@
     ) -> None:
         if dispatch.attempt_id != self._delivered_attempt_id:
             self._delivered_attempt_id = dispatch.attempt_id
-            self.parts.scheduler.post(
+            self.context.scheduler.post(
                 AttemptDelivered(self.request_id, dispatch.attempt_id)
             )
         if self.responder.has_started:
             return
-        self._first_seconds = self.parts.read_clock() - self.arrived_at_seconds
-        self.parts.metrics.first_token.labels(*self.labels).observe(self._first_seconds)
-        headers = [*self.parts.dialects.upstream.answer_headers(head), *extra]
+        self._first_seconds = self.context.read_clock() - self.arrived_at_seconds
+        self.context.metrics.first_token.labels(*self.labels).observe(
+            self._first_seconds
+        )
+        headers = [*self.context.dialects.upstream.answer_headers(head), *extra]
         await self.responder.start(head.status, headers)
 
     def _log_answer(self, dispatch: Dispatch) -> None:
-        now_seconds = self.parts.read_clock()
+        now_seconds = self.context.read_clock()
         whole_seconds = now_seconds - self.arrived_at_seconds
-        self.parts.pace.note(
+        self.context.pace.note(
             whole_seconds,
             latency_target_seconds=self._request.route.latency_target_seconds,
             answer_tokens=self._call.max_answer_tokens,
@@ -203,13 +205,13 @@
         if self.responder.has_started:
             # Closing without an end is the only way to say that it is not whole.
             return
-        answer = self.parts.dialects.caller.write_error(error, self._call.request_id)
+        answer = self.context.dialects.caller.write_error(error, self._call.request_id)
         await self.responder.start(answer.status, answer.headers)
         await self.responder.end(answer.body)
 
-    def check_still_allowed(self) -> None:
+    def recheck_access(self) -> None:
         """Raise if the request's key may have been taken away meanwhile."""
-        access = self.parts.look_up(self._call)
+        access = self.context.check_access(self._call)
         if access.verdict is not Verdict.ALLOWED:
             run_state = RunState.MAYBE_RUN if self.may_have_run else RunState.NOT_SENT
-            raise denial(access.verdict, run_state)
+            raise access_error(access.verdict, run_state)
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -20,11 +20,11 @@
 from .._headers import LEAVING, REQUEST_RATE
 from ..upstream import UpstreamAnswer
 from ._call import CallTerms
-from ._context import Parts
+from ._context import EntryContext
 from ._exchange import Exchange
 from ._rates import note_rate
 from ._responder import Receive, Responder
-from ._signals import check_still_wanted, note_signals
+from ._signals import check_not_withdrawn, note_signals
 
 #: Methods that HTTP itself allows to repeat.
 REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
@@ -64,7 +64,7 @@
     body: bytes
 
 
-def passes_through(name: str) -> bool:
+def is_forwarded_header(name: str) -> bool:
     """Return whether a header goes on to the service or the caller."""
     return name not in OWN_HEADERS and not name.startswith(OWN_PREFIX)
 
@@ -74,13 +74,13 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         call: ServiceCall,
         receive: Receive,
         responder: Responder,
         arrived_at_seconds: float,
     ) -> None:
-        super().__init__(parts, call.terms, receive, responder, arrived_at_seconds)
+        super().__init__(context, call.terms, receive, responder, arrived_at_seconds)
         self._call = call
 
     def arrival(self) -> RequestArrived:
@@ -106,9 +106,9 @@
             for name, value in self._call.headers
         ]
         headers.append((b"x-request-id", dispatch.attempt_id.encode()))
-        check_still_wanted(self.parts.scheduler, dispatch)
-        asked_at_seconds = self.parts.read_clock()
-        async with self.parts.upstreams.request(
+        check_not_withdrawn(self.context.scheduler, dispatch)
+        asked_at_seconds = self.context.read_clock()
+        async with self.context.upstreams.request(
             self._call.method,
             dispatch.address,
             self._call.target,
@@ -118,14 +118,14 @@
             body=self._call.body,
         ) as answer:
             note_rate(
-                self.parts.scheduler,
+                self.context.scheduler,
                 dispatch,
                 read_request_rate(answer.head, REQUEST_RATE),
                 asked_at_seconds=asked_at_seconds,
                 is_proved=answer.status < HTTPStatus.INTERNAL_SERVER_ERROR,
             )
             signals = read_signals(answer.head, LEAVING)
-            note_signals(self.parts.scheduler, dispatch, signals)
+            note_signals(self.context.scheduler, dispatch, signals)
             if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
                 raise AttemptError(
                     "the service is busy",
@@ -133,7 +133,7 @@
                     step=STEP,
                     peer=dispatch.upstream,
                 )
-            self.parts.scheduler.post(
+            self.context.scheduler.post(
                 AttemptAccepted(self.request_id, dispatch.attempt_id)
             )
             await self._pass_on(dispatch, answer)
@@ -143,16 +143,16 @@
         headers = [
             (name, value)
             for name, value in answer.head.headers
-            if passes_through(name.decode("latin-1"))
+            if is_forwarded_header(name.decode("latin-1"))
         ]
         headers.append((b"rampwick-upstream", dispatch.upstream.encode()))
-        waited = self.parts.read_clock() - self.arrived_at_seconds
-        self.parts.metrics.first_token.labels(*self.labels).observe(waited)
+        waited = self.context.read_clock() - self.arrived_at_seconds
+        self.context.metrics.first_token.labels(*self.labels).observe(waited)
         # The first piece is awaited before anything goes to the caller, so that a
         # service that breaks off early can still be replaced.
         pieces = answer.pieces
         first = await anext(pieces, b"")
-        self.parts.scheduler.post(
+        self.context.scheduler.post(
             AttemptDelivered(self.request_id, dispatch.attempt_id)
         )
         await self.responder.start(answer.status, headers)
--- a/packages/rampwick-router/src/rampwick_router/entry/_signals.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_signals.py
@@ -24,7 +24,7 @@
     )
 
 
-def check_still_wanted(scheduler: SchedulerTask, dispatch: Dispatch) -> None:
+def check_not_withdrawn(scheduler: SchedulerTask, dispatch: Dispatch) -> None:
     """Raise unless the upstream still takes a request that is about to be sent."""
     obstacle = scheduler.withdrawal(dispatch.upstream, dispatch.incarnation)
     if obstacle is not None:
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -51,7 +51,7 @@
         names = self.list_read()
         if self._table.is_large or not names:
             return
-        seen = self._scheduler.look(
+        seen = self._scheduler.run_query(
             lambda scheduler, now_seconds: scheduler.pool.caches.contents(names)
         )
         if seen:
--- a/packages/rampwick-router/src/rampwick_router/peers/_directory.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_directory.py
@@ -16,7 +16,7 @@
 from rampwick_policy import Member
 from rampwick_schema import DataError, HostRecord
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 
 #: Prefix of the records.
 PEERS_PREFIX = "peers/"
@@ -24,7 +24,7 @@
 #: Time between two looks of a host that hears nobody at where others are.
 LONELY_LOOK_SECONDS = 2.0
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 class PeerDirectory:
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -36,7 +36,7 @@
 )
 
 from .._errors import PeerError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask, HostListTask, StewardTask
@@ -75,7 +75,7 @@
 #: Name under which the scheduler knows what a relay tells of all other hosts.
 FLEET = "fleet"
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 class GossipTask:
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -19,7 +19,7 @@
 from rampwick_schema import Members, PeerSettings, Shown, encode_message
 
 from .._errors import PeerError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._metrics import Metrics
 from ._stream import PeerStream
 
@@ -47,7 +47,7 @@
 #: Links accepted at once, peers and strangers together.
 MAX_ACCEPTED = 512
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 def _send_nothing(data: bytes) -> bool:
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -71,7 +71,7 @@
         ``has_surged`` has relays forward it at once.
         """
         self._sequence += 1
-        summary = self._scheduler.look(
+        summary = self._scheduler.run_query(
             lambda scheduler, now_seconds: scheduler.summary(
                 self._sequence,
                 self._follower.revision,
--- a/packages/rampwick-router/src/rampwick_router/peers/_sync.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_sync.py
@@ -33,7 +33,7 @@
     TreeReply,
 )
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask, HostListTask
 from ._links import Link
@@ -53,7 +53,7 @@
 #: Told instead of an age that is not known.
 LONG_AGO_SECONDS = 1e6
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 @attrs.define(repr=False)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -24,7 +24,7 @@
 
 from .._dialects import CacheDialect, CacheEvents
 from .._errors import AttemptError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ._channels import ChannelPool
 from ._control import call_upstream
@@ -66,7 +66,7 @@
 FIRST_ROLE_SECONDS = 0.02
 FIRST_MOMENTS_SECONDS = 3.0
 
-log = PartLogger("cache")
+log = ComponentLogger("cache")
 
 
 @attrs.frozen(repr=False)
@@ -154,14 +154,14 @@
         """Read until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                wanted = self._scheduler.look(self._list_sources)
+                wanted = self._scheduler.run_query(self._list_sources)
                 for source in self._scopes.keys() - wanted:
                     self._scopes.pop(source).cancel()
                     self._caught_up.discard(source)
                 for source in wanted - self._scopes.keys():
                     scope = self._scopes[source] = anyio.CancelScope()
                     tasks.start_soon(self._follow, source, scope)
-                await sleep_on_grid(self._scheduler.look(self._pause_seconds))
+                await sleep_on_grid(self._scheduler.run_query(self._pause_seconds))
 
     @property
     def is_caught_up(self) -> bool:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
@@ -7,14 +7,14 @@
 from rampwick_schema import HostEntry
 
 from .._errors import AttemptError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ._control import UpstreamControl
 
 #: Time between two looks at which upstreams are to be probed; a new doubt comes first.
 LOOK_INTERVAL_SECONDS = 1.0
 
-log = PartLogger("upstreams")
+log = ComponentLogger("upstreams")
 
 
 class ProbeTask:
@@ -28,21 +28,21 @@
         """Probe until cancelled."""
         async with anyio.create_task_group() as task_group:
             while True:
-                due = self._scheduler.look(
+                due = self._scheduler.run_query(
                     lambda scheduler, now_seconds: scheduler.upstreams.due_probes(
                         now_seconds
                     )
                 )
                 for entry in due:
                     task_group.start_soon(self._probe, entry)
-                has_doubt = self._scheduler.has_doubt
-                pause_seconds = self._scheduler.look(
+                probe_requested = self._scheduler.probe_requested
+                pause_seconds = self._scheduler.run_query(
                     lambda scheduler, now_seconds: scheduler.upstreams.probe_pause(
                         now_seconds
                     )
                 )
                 with move_on_at_grid(min(pause_seconds, LOOK_INTERVAL_SECONDS)):
-                    await has_doubt.wait()
+                    await probe_requested.wait()
 
     async def _probe(self, entry: HostEntry) -> None:
         try:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -32,7 +32,7 @@
 SECRET = "a secret of the tests"
 
 #: Longest time that any one step of a test may take before it counts as stuck.
-STUCK_SECONDS = 20.0
+TEST_TIMEOUT_SECONDS = 20.0
 
 
 def hash_key(key: str) -> str:
@@ -82,7 +82,7 @@
 
 async def until(condition: Callable[[], object], step_seconds: float = 0.005) -> None:
     """Return once a condition holds; fail if it never does."""
-    with anyio.fail_after(STUCK_SECONDS):
+    with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         while not condition():
             await anyio.sleep(step_seconds)
 
@@ -102,20 +102,20 @@
     async def until_ready(self, *runners: str) -> None:
         """Wait until the host knows the tree and these runners' lives."""
         await until(lambda: self.daemon.follower.revision >= 1)
-        await until(lambda: all(self.is_open_to(name) for name in runners))
+        await until(lambda: all(self.is_available(name) for name in runners))
 
     def upstream(self, name: str):
         """Return the daemon's view of an upstream."""
         return self.daemon.scheduler._scheduler.upstreams.get(name)
 
-    def is_open_to(self, name: str) -> bool:
+    def is_available(self, name: str) -> bool:
         """Return whether a runner's life is known and it is not down."""
         found = self.upstream(name)
         return found is not None and found.life is not None
 
-    def knows_rate(self, name: str) -> bool:
+    def has_request_rate(self, name: str) -> bool:
         """Return whether an upstream has named a rate of requests."""
-        return self.daemon.scheduler.knows_rate(name)
+        return self.daemon.scheduler.has_request_rate(name)
 
     async def complete(
         self, prompt: str = "a prompt", key: str = KEY, headers=None, **body
@@ -222,7 +222,7 @@
             self._list(HostEntry(name, "entry", "trnava", addresses.peer))
             base_url = f"http://{addresses.entry}"
             async with httpx.AsyncClient(
-                base_url=base_url, timeout=STUCK_SECONDS, trust_env=False
+                base_url=base_url, timeout=TEST_TIMEOUT_SECONDS, trust_env=False
             ) as client:
                 yield Host(daemon, addresses, client)
 
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -20,7 +20,7 @@
 )
 from rampwick_platform._records import decode_record, encode_record
 from rampwick_router import Integration, run_daemon
-from rampwick_router._native_dialect import OWN_DIALECTS
+from rampwick_router._native_dialect import NATIVE_DIALECTS
 from rampwick_schema import (
     HostEntry,
     Node,
@@ -254,7 +254,7 @@
         ]
 
 
-class OwnReader:
+class NativeReader:
     """Reads rampwick's own records from a store."""
 
     configuration_prefix = "config/"
@@ -423,8 +423,8 @@
         )
         integration = Integration(
             store=None,  # type: ignore[arg-type]
-            reader=OwnReader(),
-            dialects=OWN_DIALECTS,
+            reader=NativeReader(),
+            dialects=NATIVE_DIALECTS,
         )
         async with run_daemon(settings, api=store, integration=integration) as (
             daemon,
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -395,10 +395,10 @@
         self.assertTrue(refused.was_refused and not refused.is_misdirected)
         other = facts(421, (b"X-Rampwick-Instance-Id", b"i-2"))
         self.assertTrue(other.was_refused and other.is_misdirected)
-        self.assertTrue(other.is_another)
+        self.assertTrue(other.is_other_incarnation)
         self.assertFalse(facts(503).was_refused)
         old = facts(421, (b"X-Rampwick-Instance-Id", b"i-1"))
-        self.assertTrue(old.is_misdirected and not old.is_another)
+        self.assertTrue(old.is_misdirected and not old.is_other_incarnation)
         served = facts(
             200,
             (b"X-Rampwick-Request-Id", b"id1"),
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -87,7 +87,7 @@
         self.assertIn((b"x-rampwick-target-instance", b"i-1"), probe.headers)
         head = AnswerHead(421, [(b"x-rampwick-instance-id", b"i-1")], True)
         facts = UpstreamTranslation().read_answer(head, "i-1@1777752651000")
-        self.assertFalse(facts.is_another)
+        self.assertFalse(facts.is_other_incarnation)
 
 
 class ReportTest(TestCase):
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -180,7 +180,7 @@
             settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
             task = SchedulerTask(Scheduler(settings), lambda: 7.0)
             task.post(TargetsRead((WeightsTarget("m", 3),)))
-            return task.look(
+            return task.run_query(
                 lambda scheduler, now_seconds: (
                     scheduler.upstreams.targets.newest("m"),
                     now_seconds,
--- a/tests/test_configuration_refresh.py
+++ b/tests/test_configuration_refresh.py
@@ -173,7 +173,7 @@
 
         parts = SimpleNamespace(
             configuration=SimpleNamespace(refresh=refresh),
-            look_up=lambda call: Access(found.verdict),
+            check_access=lambda call: Access(found.verdict),
         )
         entry = RoutedEntry(parts)
         try:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -13,7 +13,7 @@
     EngineRequest,
 )
 
-from .bench import STUCK_SECONDS
+from .bench import TEST_TIMEOUT_SECONDS
 
 #: Turns of the loop after which what can go on without time has gone on.
 TURNS_COUNT = 20
@@ -121,7 +121,7 @@
             requests = [EngineRequest(name, b"text", "s", 2, 0) for name in "ab"]
             for request in requests:
                 engine.open_stream(request)
-            with anyio.fail_after(STUCK_SECONDS):
+            with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with anyio.create_task_group() as tasks:
                     for request in requests:
                         tasks.start_soon(engine.run, request)
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -11,7 +11,7 @@
 
 from rampwick_router import run_host
 from rampwick_router._log_sink import MAX_WAITING_BYTES, LogSink, open_log
-from rampwick_router._logs import SAVED_LINES, LineBudget
+from rampwick_router._logs import BURST_LINES, LineTokenBucket
 
 from .bench import until
 
@@ -118,8 +118,8 @@
 
 class LineBudgetTest(TestCase):
     def test_a_storm_of_one_sentence_is_bounded_and_counted(self):
-        budget = LineBudget(at_seconds=10.0)
+        budget = LineTokenBucket(at_seconds=10.0)
         sent = sum(budget.spend(10.0) for _ in range(1000))
-        self.assertEqual(SAVED_LINES, sent)
-        self.assertEqual(1000 - SAVED_LINES, budget.left_out_count)
+        self.assertEqual(BURST_LINES, sent)
+        self.assertEqual(1000 - BURST_LINES, budget.left_out_count)
         self.assertTrue(budget.spend(11.0))
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -103,10 +103,10 @@
             async with self.two_hosts(bench) as hosts:
                 # Both know before anything counts.
                 for number in range(100):
-                    if all(host.knows_rate("lektor-0") for host in hosts):
+                    if all(host.has_request_rate("lektor-0") for host in hosts):
                         break
                     await hosts[number % 2].complete(label(number))
-                are_told = all(host.knows_rate("lektor-0") for host in hosts)
+                are_told = all(host.has_request_rate("lektor-0") for host in hosts)
                 known_count = len(self.begun(bench))
                 answers = [
                     await hosts[number % 2].complete(label(100 + number))
@@ -123,10 +123,10 @@
         async def scenario(bench):
             async with self.two_hosts(bench) as (one, two):
                 for number in range(100):
-                    if one.knows_rate("lektor-0"):
+                    if one.has_request_rate("lektor-0"):
                         break
                     await one.complete(label(number))
-                await until(lambda: two.knows_rate("lektor-0"))
+                await until(lambda: two.has_request_rate("lektor-0"))
                 rates = two.daemon.scheduler.rates
                 believed = rates.word("lektor-0").requests_per_second
                 self.limit(bench, None)
@@ -146,7 +146,7 @@
                 for runner in bench.runners.values():
                     runner.engine.request_rate = 0.0
                 for number in range(100):
-                    if all(one.knows_rate(name) for name in bench.runners):
+                    if all(one.has_request_rate(name) for name in bench.runners):
                         break
                     await one.complete(label(number))
                 deadline = {"Rampwick-Deadline-Seconds": "5"}
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -263,7 +263,7 @@
             extra = "[claims]\nwindow_seconds = 1.0\n"
             async with bench.run_host(extra=extra) as host:
                 await host.until_ready("lektor-1")
-                claims = host.daemon._parts.claims
+                claims = host.daemon._context.claims
                 claim = claims.claim
 
                 async def claim_then_pause(workspace, key):
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -8,7 +8,7 @@
 
 from .scripted import run_routed
 
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 
 
 class WordsTest(TestCase):
@@ -87,13 +87,13 @@
 
     def believed(self, *scripts):
         async def main():
-            with anyio.fail_after(STUCK_SECONDS):
+            with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a"]}) as (host, found):
                     found["a"].scripts = list(scripts)
                     for number, _ in enumerate(scripts):
                         await host.call("/once/1", request_id=f"r{number}")
                     scheduler = host.daemon.scheduler
-                    return scheduler.look(
+                    return scheduler.run_query(
                         lambda scheduler, now: scheduler.pool.rates.rate("a", "", now)
                     )
 
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -40,7 +40,7 @@
 from .scripted import run_routed
 from .test_scheduler import Session
 
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 
 
 async def answer_leaving(exchange):
@@ -51,7 +51,7 @@
 class AnnouncedShutdownTest(TestCase):
     def test_no_request_follows_the_answer_that_announces_it(self):
         async def main():
-            with anyio.fail_after(STUCK_SECONDS):
+            with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
                     found["a"].scripts = [answer_leaving]
                     # The store has no news of it, and can't be asked.
@@ -68,10 +68,10 @@
 
     def test_nor_one_that_was_placed_before_and_waits_for_its_connection(self):
         async def main():
-            with anyio.fail_after(STUCK_SECONDS):
+            with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
                     scheduler = host.daemon.scheduler
-                    channels = host.daemon.entry._parts.channels
+                    channels = host.daemon.entry._context.channels
                     borrow = channels.borrow
 
                     @asynccontextmanager
--- a/tests/test_restored_claims.py
+++ b/tests/test_restored_claims.py
@@ -55,7 +55,7 @@
             store.stand_in.restore()
             for host in (other, one):
                 self.assertEqual("claim_unavailable", await self.refuse(host, "lost"))
-                self.assertEqual(RESTORED_WAIT_SECONDS, host.incomplete_seconds)
+                self.assertEqual(RESTORED_WAIT_SECONDS, host.recovery_remaining_seconds)
             (lost,) = one._won
             while lost not in self.write_ids(store):
                 await anyio.sleep(0.01)
@@ -74,7 +74,7 @@
                 store.stand_in.restore()
                 await store.list_objects("k/")
                 # The host looks at the era while the claim is under way.
-                self.assertEqual(RESTORED_WAIT_SECONDS, one.incomplete_seconds)
+                self.assertEqual(RESTORED_WAIT_SECONDS, one.recovery_remaining_seconds)
                 return await claim(*arguments)
 
             one._store.claim = claim_late
--- a/tests/test_routed.py
+++ b/tests/test_routed.py
@@ -14,14 +14,14 @@
 
 from .scripted import KEY, Hangup, list_upstream, make_tree, run_routed
 
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 
 
 def run(scenario, upstreams=None, **options):
     """Run a scenario with a host and its upstreams."""
 
     async def main():
-        with anyio.fail_after(STUCK_SECONDS):
+        with anyio.fail_after(TEST_TIMEOUT_SECONDS):
             async with run_routed(
                 upstreams or {"labels": ["a", "b"], "notes": ["c", "d"]}, **options
             ) as (host, found):
@@ -141,15 +141,15 @@
             daemon = host.daemon
             now_seconds = daemon._clocks.monotonic()
             if slow_seconds:
-                daemon._parts.pace.note(
+                daemon._context.pace.note(
                     slow_seconds,
                     latency_target_seconds=1.0,
                     answer_tokens=0,
                     now_seconds=now_seconds,
                 )
             daemon.life.begin_stop()
-            daemon.life.gone_by_seconds = now_seconds + left_seconds
-            daemon.life.has_balancer_turned = True
+            daemon.life.exit_deadline_seconds = now_seconds + left_seconds
+            daemon.life.balancer_delay_elapsed = True
             return await host.call("/again/1"), ran(found)
 
         return run(scenario)
@@ -533,13 +533,13 @@
                 return handle(event, now_seconds)
 
             scheduler.handle = note
-            watch_caller = RoutedExchange._watch_caller
+            watch_disconnect = RoutedExchange._watch_disconnect
 
             async def watch(exchange, scope):
                 tasks["watch"] += 1
-                await watch_caller(exchange, scope)
+                await watch_disconnect(exchange, scope)
 
-            with mock.patch.object(RoutedExchange, "_watch_caller", watch):
+            with mock.patch.object(RoutedExchange, "_watch_disconnect", watch):
                 answers = [
                     await host.call("/once/1", request_id=f"r{number}")
                     for number in range(count)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -223,10 +223,10 @@
         settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
         task = SchedulerTask(Scheduler(settings), lambda: 10.0)
         told = []
-        task.note_long_prompt = partial(told.append, True)
+        task.on_long_prompt = partial(told.append, True)
         choice = Choice("r", 0, missing_tokens, 0.0, 0.0, 0.0, True)
         dispatch = Dispatch("q", "q.1", "r", "r:1", "r", 1, choice)
-        task._carry_out(dispatch, 10.0)
+        task._execute(dispatch, 10.0)
         return bool(told)
 
     def test_only_long_ones_are_news(self):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -224,7 +224,7 @@
             path = self.enterContext(fallback_file(address))
             extra = f'fallback_tree = "{path}"\n'
             async with bench.run_host(extra=extra) as host:
-                await until(lambda: host.is_open_to("lektor-1"))
+                await until(lambda: host.is_available("lektor-1"))
                 saw = await host.stream("all alone")
                 # The platform comes back with a newer tree and a real list.
                 bench.platform.set_faults(PlatformFaults())
--- a/tests/test_upstream_signals.py
+++ b/tests/test_upstream_signals.py
@@ -9,7 +9,7 @@
 
 from .scripted import run_routed
 
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 
 LEAVING = b"rampwick-leaving"
 
@@ -77,7 +77,7 @@
         """Return the signals that a host takes from one answer."""
 
         async def main():
-            with anyio.fail_after(STUCK_SECONDS):
+            with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a"]}) as (host, found):
 
                     async def answer(exchange):
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -89,7 +89,7 @@
         )
         clock = SimpleNamespace(now=100.0)
         task = SchedulerTask(scheduler, lambda: clock.now)
-        task.note_burst = lambda: surges.append(clock.now)
+        task.on_burst = lambda: surges.append(clock.now)
         node = Node(is_workspace=True, tokens_per_second=100.0, burst_tokens=200.0)
         view = TreeView(Tree(1, {"/": Node(), "/w": node}))
         task.post(TreeInForce(view))
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -14,7 +14,7 @@
             async with run_bench() as bench:
                 bench.add_runner("lektor-1")
                 async with bench.run_host() as host:
-                    await until(lambda: host.is_open_to("lektor-1"))
+                    await until(lambda: host.is_available("lektor-1"))
                     await until(lambda: host.daemon.follower.revision == 1)
                     whole = await host.complete("a label to read", max_tokens=5)
                     self.assertEqual(200, whole.status_code, whole.text)
