--- a/packages/rampwick-router/src/rampwick_router/entry/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/__init__.py
@@ -1,9 +1,10 @@
-"""What callers meet: listener, requests, exchanges, relayed answers.
+"""The callers' interface: request handling and relayed responses.
 
-It owns each caller's request from its first byte to its one final answer. The listeners
-of the daemon feed it; it asks the scheduler for decisions and sends attempts through
-:mod:`~rampwick_router.upstream`. It reads the configuration that
-:mod:`~rampwick_router.control` keeps, and knows nothing of peers.
+Each caller's request is handled here from its first byte to its single final response.
+The HTTP servers of the daemon call :class:`EntryApp`; it requests decisions from the
+scheduler and sends attempts through :mod:`~rampwick_router.upstream`. It reads the
+configuration that :mod:`~rampwick_router.control` maintains, and does not import
+:mod:`~rampwick_router.peers`.
 """
 
 from ._call import bad_request as bad_request
--- a/packages/rampwick-router/src/rampwick_router/entry/_call.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_call.py
@@ -1,7 +1,7 @@
-"""Reading and checking what a caller sent, before anything is decided.
+"""Parsing and validation of callers' requests.
 
-All of it is pure. Whatever is wrong with a request becomes a CallerError with a clear
-message and a status of 4xx.
+All functions are pure. An invalid request raises a CallerError with a 4xx status and a
+message that names the fault.
 """
 
 import hashlib
@@ -24,11 +24,11 @@
 
 from .._errors import CallerError
 
-#: Headers that callers may set.
+#: Request headers that callers may set.
 DEADLINE_HEADER = "rampwick-deadline-seconds"
 CLASS_HEADER = "rampwick-class"
 REPEAT_HEADER = "rampwick-repeat"
-KEY_HEADER = "idempotency-key"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
 
 MAX_KEY_CHARACTERS = 255
 MAX_DEADLINE_SECONDS = 3600.0
@@ -37,17 +37,17 @@
 
 STEP = "check request"
 
-#: Engines take lower numbers first.
+#: Priorities sent to engines, which serve lower numbers first.
 ENGINE_PRIORITIES = {name: rank for rank, name in enumerate(PRIORITY_CLASSES)}
 
 
 @attrs.frozen(repr=False)
 class CallTerms(Shown):
-    """What holds for a request whatever it asks for."""
+    """Workspace, class, deadline and repeatability of a request of any kind."""
 
     workspace: Workspace
     priority_class: str
-    #: Seconds from arrival until an answer is of no use any more.
+    #: Time from arrival after which the response is useless to the caller.
     deadline_seconds: float
     is_repeatable: bool
     idempotency_key: str = ""
@@ -55,13 +55,14 @@
 
 @attrs.frozen(repr=False)
 class ModelCall(Shown):
-    """A checked request to a model."""
+    """A validated request to a model."""
 
     terms: CallTerms
     scope: Scope
     chain: PrefixChain
-    #: Body as the caller sent it, to be completed for an engine, and its bytes.
+    #: Parsed body as the caller sent it; fields for the engine are added to a copy.
     body: dict[str, Any]
+    #: Body in the caller's bytes.
     raw: bytes
     is_chat: bool
     is_streamed: bool
@@ -70,17 +71,17 @@
 
 
 def bad_request(message: str, code: str = "invalid_request") -> CallerError:
-    """Return the error for a request that can't be understood."""
+    """Return the error for a malformed request."""
     return CallerError(message, status=400, code=code, step=STEP)
 
 
 def hash_key(key: str) -> str:
-    """Return the hash under which the configuration knows a bearer key."""
+    """Return the hash by which the configuration identifies a bearer key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def find_workspace(view: TreeView, headers: Mapping[str, str]) -> Workspace:
-    """Return the workspace that a bearer key acts as."""
+    """Return the workspace that the bearer key belongs to."""
     kind, _, key = headers.get("authorization", "").partition(" ")
     if kind.lower() != "bearer" or not key:
         raise CallerError(
@@ -101,20 +102,22 @@
     default_deadline_seconds: float,
     repeatable_by_default: bool,
 ) -> CallTerms:
-    """Return the terms that headers and tree set."""
-    key = headers.get(KEY_HEADER, "")
+    """Return the terms given by the request's headers and its workspace."""
+    key = headers.get(IDEMPOTENCY_KEY_HEADER, "")
     if len(key) > MAX_KEY_CHARACTERS:
-        raise bad_request(f"{KEY_HEADER} is longer than {MAX_KEY_CHARACTERS}")
+        raise bad_request(
+            f"{IDEMPOTENCY_KEY_HEADER} is longer than {MAX_KEY_CHARACTERS}"
+        )
     return CallTerms(
         workspace=workspace,
-        priority_class=_read_class(workspace, headers),
+        priority_class=_read_priority_class(workspace, headers),
         deadline_seconds=_read_deadline(workspace, headers, default_deadline_seconds),
-        is_repeatable=_read_repeat(headers, key, repeatable_by_default),
+        is_repeatable=_read_repeatable(headers, key, repeatable_by_default),
         idempotency_key=key,
     )
 
 
-def _read_class(workspace: Workspace, headers: Mapping[str, str]) -> str:
+def _read_priority_class(workspace: Workspace, headers: Mapping[str, str]) -> str:
     name = headers.get(CLASS_HEADER, workspace.priority_class)
     if name not in PRIORITY_CLASSES:
         allowed = ", ".join(PRIORITY_CLASSES)
@@ -140,13 +143,15 @@
     return seconds
 
 
-def _read_repeat(headers: Mapping[str, str], key: str, default: bool) -> bool:
+def _read_repeatable(headers: Mapping[str, str], key: str, default: bool) -> bool:
     text = headers.get(REPEAT_HEADER)
     if text not in (None, "never", "allowed"):
         raise bad_request(f"{REPEAT_HEADER} is {text!r}, allowed is never, allowed")
     if key:
         if text == "allowed":
-            raise bad_request(f"{KEY_HEADER} goes with {REPEAT_HEADER}: never")
+            raise bad_request(
+                f"{IDEMPOTENCY_KEY_HEADER} goes with {REPEAT_HEADER}: never"
+            )
         return False
     return default if text is None else text == "allowed"
 
@@ -154,7 +159,7 @@
 def read_model_call(
     raw: bytes, terms: CallTerms, settings: PlacementSettings, *, is_chat: bool
 ) -> ModelCall:
-    """Return the checked request of a body for a model."""
+    """Parse and validate the body of a request to a model."""
     body = _read_object(raw)
     model = body.get("model")
     if not isinstance(model, str) or not model:
@@ -256,7 +261,7 @@
         raise bad_request(f"messages[{index}].role is missing")
     content = message.get("content")
     if not isinstance(content, str):
-        # Parts, tool calls and the like count by their text.
+        # Content parts and tool calls enter the prefix chain as JSON text.
         return _encode(f"<{role}>") + orjson.dumps(message)
     return _encode(f"<{role}>{content}")
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -1,4 +1,4 @@
-"""The task that claims idempotency keys: many arrivals, one write."""
+"""Claims of idempotency keys, written to the store in batches by shard."""
 
 import math
 import secrets
@@ -17,51 +17,53 @@
 
 STEP = "claim key"
 
-#: Batches that may wait for the platform before newer claims are turned away.
+#: Pending claims at which further ones are rejected.
 MAX_QUEUED = 1000
 
-#: Seconds after which a caller may ask again when the platform did not answer.
+#: Retry-after for callers whose claim the platform did not confirm.
 RETRY_AFTER_SECONDS = 2.0
 
-#: Claims of its own that a host keeps, for the case that the store loses them.
-MAX_KEPT_CLAIMS = 20_000
+#: Own claims that a host retains to rewrite them after the store loses them.
+MAX_RETAINED_CLAIMS = 20_000
 
-#: Time after a restore in which no key can be claimed, so that hosts have written their
-#: claims again; and the time between two looks at whether there was one.
+#: Time after a restore of the store in which no key can be claimed; within it hosts
+#: rewrite their claims.
 RESTORED_WAIT_SECONDS = 4.0
+
+#: Interval between checks for a restore.
 ERA_INTERVAL_SECONDS = 0.5
 
-#: Why no key can be claimed after a restore.
-INCOMPLETE = "the store was restored, claims are being written again"
+#: Message to callers while claims are rejected after a restore.
+RESTORED_MESSAGE = "the store was restored, claims are being written again"
 
 log = ComponentLogger("claims")
 
 
 @attrs.frozen(repr=False)
 class AcquiredClaim(Shown):
-    """A key that this arrival owns; only its holder may dispatch."""
+    """A claimed key; only the request that holds it may be dispatched."""
 
     shard: int
     write_id: str
-    #: Local time after which it must not be dispatched any more.
+    #: Monotonic time after which the request must not be dispatched.
     usable_until_seconds: float
 
 
 @attrs.frozen(repr=False)
-class _Wanted(Shown):
+class _PendingClaim(Shown):
     shard: int
     claim: Claim
     answer: MemoryObjectSendStream[bool | RampwickError]
 
 
 @attrs.frozen(repr=False)
-class _Kept(Shown):
+class _RetainedClaim(Shown):
     shard: int
     claim: Claim
 
 
 class ClaimTask:
-    """Owns the claim store; gathers what is wanted into batches by shard."""
+    """Owns the claim store and batches pending claims by shard."""
 
     def __init__(
         self,
@@ -73,24 +75,28 @@
         self._api = api
         self._store = ClaimStore(api) if api else None
         self._settings = settings
-        #: Claims won here that have not expired, the oldest first.
-        self._won: dict[str, _Kept] = {}
+        #: Unexpired claims acquired by this host, oldest first.
+        self._own_claims: dict[str, _RetainedClaim] = {}
         self._era = 0
         self._restored_at_seconds = -math.inf
         self._read_clock = read_clock
         self._read_wall_clock = read_wall_clock
-        self._inbox: MemoryObjectSendStream[_Wanted]
-        self._incoming: MemoryObjectReceiveStream[_Wanted]
-        self._inbox, self._incoming = anyio.create_memory_object_stream(MAX_QUEUED)
-        self._withdrawals: MemoryObjectSendStream[AcquiredClaim]
-        self._withdrawn: MemoryObjectReceiveStream[AcquiredClaim]
-        self._withdrawals, self._withdrawn = anyio.create_memory_object_stream(math.inf)
+        self._pending_sender: MemoryObjectSendStream[_PendingClaim]
+        self._pending: MemoryObjectReceiveStream[_PendingClaim]
+        self._pending_sender, self._pending = anyio.create_memory_object_stream(
+            MAX_QUEUED
+        )
+        self._withdrawal_sender: MemoryObjectSendStream[AcquiredClaim]
+        self._withdrawals: MemoryObjectReceiveStream[AcquiredClaim]
+        self._withdrawal_sender, self._withdrawals = anyio.create_memory_object_stream(
+            math.inf
+        )
 
     async def claim(self, workspace: str, key: str) -> AcquiredClaim:
-        """Return the claim of a key, or raise a CallerError: it was not run."""
+        """Claim a key, or raise a CallerError for a request that was not run."""
         wait_seconds = self.recovery_remaining_seconds
         if wait_seconds > 0.0:
-            raise _unavailable(INCOMPLETE, wait_seconds)
+            raise _unavailable(RESTORED_MESSAGE, wait_seconds)
         hashed = key_hash(workspace, key)
         shard = shard_of(hashed, self._settings.shards_count)
         began_seconds = self._read_clock()
@@ -107,8 +113,9 @@
                 code="key_already_used",
                 step=STEP,
             )
-        # Half the window is left for the answer of a later arrival to be right
-        # even if this host is paused in between.
+        # The claim is usable for half its window. The other half covers a pause of
+        # this host after the check before dispatch: a later request with the same key
+        # must still find the claim in the store.
         usable_until = began_seconds + self._settings.window_seconds / 2
         return AcquiredClaim(shard, claim.write_id, usable_until)
 
@@ -116,7 +123,7 @@
         outgoing, incoming = anyio.create_memory_object_stream[bool | RampwickError](1)
         with incoming:
             try:
-                self._inbox.send_nowait(_Wanted(shard, claim, outgoing))
+                self._pending_sender.send_nowait(_PendingClaim(shard, claim, outgoing))
             except anyio.WouldBlock:
                 raise _unavailable("too many claims are waiting") from None
             answer = await incoming.receive()
@@ -125,120 +132,126 @@
         return answer
 
     def withdraw(self, claim: AcquiredClaim) -> None:
-        """Free the key of an arrival that surely did not run."""
-        self._withdrawals.send_nowait(claim)
+        """Release the key of a request that is known not to have run."""
+        self._withdrawal_sender.send_nowait(claim)
 
     async def run(self) -> None:
-        """Claim and withdraw until cancelled."""
+        """Process claims and withdrawals until cancelled."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._run_withdrawals)
             task_group.start_soon(self._watch_era)
-            async for first in self._incoming:
+            async for first in self._pending:
                 await anyio.sleep(self._settings.batch_seconds)
-                batch = [first, *self._drain()]
-                for shard in {wanted.shard for wanted in batch}:
-                    part = [wanted for wanted in batch if wanted.shard == shard]
+                batch = [first, *self._receive_pending()]
+                for shard in {pending.shard for pending in batch}:
+                    part = [pending for pending in batch if pending.shard == shard]
                     task_group.start_soon(self._claim_batch, shard, part)
 
-    def _drain(self) -> list[_Wanted]:
+    def _receive_pending(self) -> list[_PendingClaim]:
         batch = []
         while True:
             try:
-                batch.append(self._incoming.receive_nowait())
+                batch.append(self._pending.receive_nowait())
             except anyio.WouldBlock:
                 return batch
 
-    async def _claim_batch(self, shard: int, batch: list[_Wanted]) -> None:
+    async def _claim_batch(self, shard: int, batch: list[_PendingClaim]) -> None:
         try:
             if self._store is None:
                 raise RampwickError("no platform is set", step=STEP)
             if self.recovery_remaining_seconds > 0.0:
-                raise RampwickError(INCOMPLETE, step=STEP)
+                raise RampwickError(RESTORED_MESSAGE, step=STEP)
             decision = await self._store.claim(
-                shard, [wanted.claim for wanted in batch], self._read_wall_clock()
+                shard, [pending.claim for pending in batch], self._read_wall_clock()
             )
             if self.recovery_remaining_seconds > 0.0:
-                # The store was restored before it answered.
+                # The store was restored while the claim was in flight.
                 for write_id in decision.won:
                     self.withdraw(AcquiredClaim(shard, write_id, -math.inf))
-                raise RampwickError(INCOMPLETE, step=STEP)
-            self._keep(shard, batch, decision.won)
+                raise RampwickError(RESTORED_MESSAGE, step=STEP)
+            self._retain(shard, batch, decision.won)
         except RampwickError as error:
-            log.problem("keys could not be claimed", error=str(error))
-            for wanted in batch:
-                _answer(wanted, error)
+            log.problem("failed to claim keys", error=str(error))
+            for pending in batch:
+                _send_result(pending, error)
             return
-        for wanted in batch:
-            _answer(wanted, wanted.claim.write_id in decision.won)
+        for pending in batch:
+            _send_result(pending, pending.claim.write_id in decision.won)
 
-    def _keep(self, shard: int, batch: list[_Wanted], won: frozenset[str]) -> None:
-        for wanted in batch:
-            if wanted.claim.write_id in won:
-                self._won[wanted.claim.write_id] = _Kept(shard, wanted.claim)
+    def _retain(
+        self, shard: int, batch: list[_PendingClaim], won: frozenset[str]
+    ) -> None:
+        for pending in batch:
+            if pending.claim.write_id in won:
+                self._own_claims[pending.claim.write_id] = _RetainedClaim(
+                    shard, pending.claim
+                )
         now_seconds = self._read_wall_clock()
-        for write_id, kept in list(self._won.items()):
-            has_room = len(self._won) <= MAX_KEPT_CLAIMS
-            if has_room and now_seconds < kept.claim.expires_at_seconds:
+        for write_id, retained in list(self._own_claims.items()):
+            has_capacity = len(self._own_claims) <= MAX_RETAINED_CLAIMS
+            if has_capacity and now_seconds < retained.claim.expires_at_seconds:
                 break
-            del self._won[write_id]
+            del self._own_claims[write_id]
 
-    # A store that was restored from a copy lacks claims whose requests have run.
+    # A store restored from a backup lacks later claims, whose requests may have run.
 
     @property
     def recovery_remaining_seconds(self) -> float:
-        """Time for which claims may still be missing from the store; 0 for none."""
-        self._note_era()
+        """Time for which the store may still lack claims; 0 if it is complete."""
+        self._check_era()
         since_seconds = self._read_clock() - self._restored_at_seconds
         return max(0.0, RESTORED_WAIT_SECONDS - since_seconds)
 
-    def _note_era(self) -> None:
-        """Note when the store was restored."""
+    def _check_era(self) -> None:
+        """Record the time of a restore if the store's era has advanced."""
         era = self._api.era if self._api else 0
         if era > self._era:
             self._era = era
             self._restored_at_seconds = self._read_clock()
 
     async def _watch_era(self) -> None:
-        written_era = 0
+        rewritten_era = 0
         while True:
-            self._note_era()
+            self._check_era()
             era = self._era
-            if era != written_era and await self._write_again():
-                written_era = era
+            if era != rewritten_era and await self._rewrite_claims():
+                rewritten_era = era
             await sleep_on_grid(ERA_INTERVAL_SECONDS)
 
-    async def _write_again(self) -> bool:
-        """Claim once more what was won here; return whether all is written."""
+    async def _rewrite_claims(self) -> bool:
+        """Rewrite the claims acquired here; return whether all were written."""
         claims_by_shard: dict[int, list[Claim]] = {}
-        for kept in self._won.values():
-            claims_by_shard.setdefault(kept.shard, []).append(kept.claim)
+        for retained in self._own_claims.values():
+            claims_by_shard.setdefault(retained.shard, []).append(retained.claim)
         try:
             for shard, claims in claims_by_shard.items():
                 assert self._store is not None
                 await self._store.claim(shard, claims, self._read_wall_clock())
         except RampwickError as error:
-            log.problem("claims not written again", error=str(error))
+            log.problem("failed to rewrite claims after a restore", error=str(error))
             return False
         if claims_by_shard:
-            log.info("claims written again", claims_count=len(self._won))
+            log.info(
+                "claims rewritten after a restore", claims_count=len(self._own_claims)
+            )
         return True
 
     async def _run_withdrawals(self) -> None:
-        async for claim in self._withdrawn:
+        async for claim in self._withdrawals:
             if self._store is None:
                 continue
-            self._won.pop(claim.write_id, None)
+            self._own_claims.pop(claim.write_id, None)
             try:
                 await self._store.withdraw(claim.shard, [claim.write_id])
             except RampwickError as error:
-                log.problem("a key could not be freed", error=str(error))
+                log.problem("failed to release a key", error=str(error))
 
 
-def _answer(wanted: _Wanted, answer: bool | RampwickError) -> None:
+def _send_result(pending: _PendingClaim, answer: bool | RampwickError) -> None:
     try:
-        wanted.answer.send_nowait(answer)
+        pending.answer.send_nowait(answer)
     except anyio.BrokenResourceError:
-        # The caller is gone; the claim stays until it expires.
+        # The caller disconnected; the claim stays in the store until it expires.
         return
 
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -1,4 +1,4 @@
-"""What the handlers of callers' requests share."""
+"""Components shared by all handlers of callers' requests."""
 
 from collections.abc import Callable
 
@@ -25,17 +25,17 @@
 from ._claims import ClaimTask
 from ._stream_tokens import StreamTokens
 
-#: Time by which a configuration must be younger than the bound on it: for what the
-#: request still has to travel, for clocks that run apart, and for watches that hear
-#: nothing for a second while changes are made.
+#: Margin by which the configuration must be younger than the maximum age for accepted
+#: keys. It covers the request's remaining network time, clock drift, and watches that
+#: deliver a change up to a second late.
 KEY_AGE_MARGIN_SECONDS = 1.5
 
-
-#: The same for an unknown route or key: a newer configuration may know it.
+#: The same margin for the rejection of an unknown route or key, which a newer
+#: configuration may contain.
 DENIAL_AGE_MARGIN_SECONDS = 1.0
 
 
-def _less(bound_seconds: float, margin_seconds: float) -> float | None:
+def _subtract_margin(bound_seconds: float, margin_seconds: float) -> float | None:
     if not bound_seconds:
         return None
     return max(0.0, bound_seconds - margin_seconds)
@@ -43,7 +43,7 @@
 
 @attrs.define(repr=False)
 class RequestIdGenerator(Shown):
-    """Ids that no other host and no other life of this one gives out."""
+    """Generates ids that are unique across hosts and across restarts of a host."""
 
     host: str
     incarnation: int
@@ -57,7 +57,7 @@
 
 @attrs.frozen(repr=False)
 class EntryContext(Shown):
-    """The daemon's parts that a request passes through."""
+    """The components of the daemon that request handlers use."""
 
     settings: Settings
     scheduler: SchedulerTask
@@ -74,11 +74,11 @@
     dialects: Dialects
     salts: SaltBook
     silences: SilenceWatch
-    #: How long answers take here, for when this host leaves.
+    #: Recent response times, to decide during a shutdown which requests still fit.
     pace: AnswerPace = attrs.field(factory=AnswerPace)
 
     def check_access(self, call: RoutedCall) -> Access:
-        """Return what the configuration in force says of a request on a route."""
+        """Return the access decision of the configuration in force for a request."""
         platform = self.settings.platform
         return decide_access(
             self.view,
@@ -87,20 +87,20 @@
             key_hash=None if call.key is None else hash_key(call.key),
             age_seconds=self.configuration.age_seconds(self.read_clock()),
             rules=AccessRules(
-                max_key_age_seconds=_less(
+                max_key_age_seconds=_subtract_margin(
                     platform.max_key_age_seconds, KEY_AGE_MARGIN_SECONDS
                 ),
-                max_denial_age_seconds=_less(
+                max_denial_age_seconds=_subtract_margin(
                     platform.max_denial_age_seconds, DENIAL_AGE_MARGIN_SECONDS
                 ),
             ),
         )
 
     def count_hosts(self) -> int:
-        """Return the hosts of the fleet that this one takes to be alive."""
+        """Return the number of hosts considered alive, including this one."""
         return self.scheduler.hosts_count
 
     @property
     def view(self) -> TreeView:
-        """The tree in force."""
+        """The configuration tree in force."""
         return self.follower.view
--- a/packages/rampwick-router/src/rampwick_router/entry/_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_entry.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: finding out what a request is and who serves it."""
+"""The callers' HTTP interface: dispatch of requests to their handlers."""
 
 from urllib.parse import unquote
 
@@ -38,19 +38,19 @@
 STREAMS_PREFIX = "/v1/streams/"
 MODELS_PATH = "/v1/models"
 
-#: Time between two looks for slow callers.
-WATCH_SECONDS = 0.5
+#: Interval between checks for slow callers.
+SLOW_CALLER_CHECK_SECONDS = 0.5
 
 log = ComponentLogger("entry")
 
 
 class EntryApp:
-    """ASGI application towards callers."""
+    """ASGI application for callers."""
 
     def __init__(self, context: EntryContext, serves_routes: bool = False) -> None:
         self._context = context
         self._serves_routes = serves_routes
-        #: Whether new requests are turned away because this host is leaving.
+        #: Whether new requests are rejected because this host is shutting down.
         self.is_closed = False
         self._routed = RoutedEntry(context)
         self._open: dict[Responder, anyio.CancelScope] = {}
@@ -58,47 +58,47 @@
 
     @property
     def open_count(self) -> int:
-        """Requests that have not been answered to their end."""
+        """Number of requests whose response is not complete."""
         return len(self._open)
 
     async def watch_callers(self) -> None:
-        """Give up callers that take nothing, and all of them in a hurried stop."""
+        """Cancel requests of stalled callers, and all of them in a forced shutdown."""
         while True:
             if not self._open:
                 self._has_open = anyio.Event()
                 await self._has_open.wait()
-            await self._context.life.pause(WATCH_SECONDS)
+            await self._context.life.pause(SLOW_CALLER_CHECK_SECONDS)
             is_forced = self._context.life.is_forced
             oldest = self._context.read_clock() - (
                 self._context.settings.limits.write_timeout_seconds
             )
             for responder, scope in self._open.items():
-                since = responder.waiting_since_seconds
+                since = responder.write_started_seconds
                 if is_forced or (since is not None and since < oldest):
                     scope.cancel()
             if is_forced:
-                await anyio.sleep(WATCH_SECONDS)
+                await anyio.sleep(SLOW_CALLER_CHECK_SECONDS)
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
-        """Serve one request; whatever happens, it gets one final answer."""
+        """Serve one request with exactly one final response."""
         if scope["type"] != "http":
             return
         life = self._context.life
         responder = Responder(
-            send, self._context.read_clock, is_leaving=lambda: not life.is_ready
+            send, self._context.read_clock, is_draining=lambda: not life.is_ready
         )
         cancel_scope = anyio.CancelScope()
         self._open[responder] = cancel_scope
         self._has_open.set()
         try:
             with cancel_scope:
-                await self._answer(scope, receive, responder)
+                await self._serve_or_send_error(scope, receive, responder)
             if cancel_scope.cancelled_caught:
-                await self._give_up(responder, scope["path"])
+                await self._end_cancelled(responder, scope["path"])
         finally:
             del self._open[responder]
 
-    async def _answer(
+    async def _serve_or_send_error(
         self, scope: Message, receive: Receive, responder: Responder
     ) -> None:
         try:
@@ -109,11 +109,11 @@
             log.problem("request failed", path=scope["path"], error=str(error))
             await responder.send_error(_internal_error(error))
 
-    async def _give_up(self, responder: Responder, path: str) -> None:
+    async def _end_cancelled(self, responder: Responder, path: str) -> None:
         if not self._context.life.is_forced:
-            log.problem("caller too slow, given up", path=path)
+            log.problem("caller does not read, request cancelled", path=path)
             return
-        await responder.send_error(_hurried_error(responder.was_dispatched))
+        await responder.send_error(_forced_shutdown_error(responder.was_dispatched))
 
     async def _serve(
         self, scope: Message, receive: Receive, responder: Responder
@@ -240,7 +240,7 @@
         await responder.send_json(200, {"object": "list", "data": models})
 
 
-def _hurried_error(was_dispatched: bool) -> CallerError:
+def _forced_shutdown_error(was_dispatched: bool) -> CallerError:
     return CallerError(
         "this host had to leave in a hurry",
         status=503,
@@ -259,7 +259,7 @@
 
 
 def _split_target(scope: Message) -> tuple[str, str]:
-    # The raw path keeps the caller's own escapes.
+    # The raw path preserves the caller's percent-encoding.
     raw = scope.get("raw_path", scope["path"].encode()).decode("latin-1")
     raw = raw.partition("?")[0].removeprefix(SERVICES_PREFIX)
     service, _, path = raw.partition("/")
--- a/packages/rampwick-router/src/rampwick_router/entry/_event_framing.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_event_framing.py
@@ -1,7 +1,7 @@
-"""Cutting a stream of server-sent events at event ends, bytes unchanged.
+"""Framing of server-sent events, with the bytes of each event unchanged.
 
-An upstream may stop in the middle of an event; only whole ones are passed on, so that
-the stream can go on elsewhere after the last id that the caller has.
+An upstream may fail in the middle of an event. Only complete events are forwarded, so
+that another upstream can resume the stream after the last id that the caller received.
 """
 
 import re
@@ -13,7 +13,7 @@
 
 from .._errors import AttemptError
 
-#: An event ends with an empty line, in any of the three line ends.
+#: An event ends with an empty line, with any of the three line terminators.
 EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 ID_LINE = re.compile(rb"(?:\A|[\r\n])id: ?([^\r\n]*)")
 
@@ -22,42 +22,42 @@
 
 @attrs.frozen(repr=False)
 class EventBatch(Shown):
-    """Whole events that came together."""
+    """Complete events from one read."""
 
     data: bytes
     count: int
-    #: Id of the last event that has one; empty if none has.
+    #: Id of the last event that has an id; empty if none has.
     last_id: str = ""
 
 
 class EventFramer:
-    """Collects bytes and gives out whole events."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self, max_event_bytes: int, peer: str, after_id: str = "") -> None:
         self._max_event_bytes = max_event_bytes
         self._peer = peer
         self._rest = b""
-        #: Events up to this one are left out; nothing if ids are not numbers.
-        self._after = int(after_id) if after_id.isdigit() else None
+        #: Events with ids up to this one are dropped; None if ids are not numeric.
+        self._after_id = int(after_id) if after_id.isdigit() else None
 
     @property
     def rest(self) -> bytes:
-        """Bytes of an event that is not whole."""
+        """Bytes of the last, incomplete event."""
         return self._rest
 
     def feed(self, data: bytes) -> EventBatch:
-        """Return the events that these bytes complete."""
+        """Add bytes and return the events that they complete."""
         buffer = self._rest + data
-        kept = []
+        new_events = []
         last_id = ""
         start = 0
         for end in EVENT_END.finditer(buffer):
             event = buffer[start : end.end()]
             start = end.end()
             event_id = _read_id(event)
-            if self._is_known(event_id):
+            if self._is_duplicate(event_id):
                 continue
-            kept.append(event)
+            new_events.append(event)
             last_id = event_id or last_id
         self._rest = buffer[start:]
         if len(self._rest) > self._max_event_bytes:
@@ -67,13 +67,13 @@
                 step=STEP,
                 peer=self._peer,
             )
-        return EventBatch(b"".join(kept), len(kept), last_id)
+        return EventBatch(b"".join(new_events), len(new_events), last_id)
 
-    def _is_known(self, event_id: str) -> bool:
+    def _is_duplicate(self, event_id: str) -> bool:
         return (
-            self._after is not None
+            self._after_id is not None
             and event_id.isdigit()
-            and int(event_id) <= self._after
+            and int(event_id) <= self._after_id
         )
 
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
@@ -1,7 +1,8 @@
-"""One caller's request from its arrival to its one final answer.
+"""One caller's request from its arrival to its single final response.
 
-An exchange asks the scheduler where to go, makes the attempt, and tells how it ended.
-What is common to models and services lives here; each kind makes its own attempts.
+An exchange submits the request to the scheduler, makes the attempts that it dispatches,
+and reports their outcomes. The base class holds what all kinds of requests share;
+subclasses implement the attempt.
 """
 
 from abc import ABC, abstractmethod
@@ -30,14 +31,14 @@
 
 log = ComponentLogger("entry")
 
-#: Scores of other upstreams in the log line of a placement.
-MAX_LOGGED_CHOICES = 6
+#: Maximum number of upstreams whose scores a dispatch's log line contains.
+MAX_LOGGED_SCORES = 6
 
 Decisions = MemoryObjectReceiveStream[Dispatch | Refuse]
 
 
 class Exchange(ABC):
-    """A request under way."""
+    """A request in progress."""
 
     def __init__(
         self,
@@ -54,63 +55,63 @@
         self.request_id = context.ids.next()
         self._receive = receive
         self._claim: AcquiredClaim | None = None
-        self._has_ended = False
-        #: Whether an attempt ran or may have run.
+        self._has_result = False
+        #: Whether any attempt ran or may have run.
         self.may_have_run = False
-        self._is_under_way = False
+        self._is_attempt_running = False
         self._identity: RequestIdentity | None = None
 
     @abstractmethod
     def arrival(self) -> RequestArrived:
-        """Return what the scheduler is told."""
+        """Return the event that submits the request to the scheduler."""
 
     @abstractmethod
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
-        """Make one attempt and answer the caller, or raise AttemptError."""
+        """Make one attempt and send its response, or raise AttemptError."""
 
     def recheck_access(self) -> None:
-        """Raise a CallerError if the request may not run any more."""
+        """Raise a CallerError if the request is no longer allowed."""
         return
 
     async def answer_error(self, error: CallerError) -> None:
-        """Give the caller an error as its final answer."""
+        """Send an error to the caller as the final response."""
         await self.responder.send_error(error)
 
     @property
     def labels(self) -> tuple[str, str]:
-        """Workspace and class, as metrics name them."""
+        """Metric labels: workspace and priority class."""
         return self.terms.workspace.path, self.terms.priority_class
 
     async def run(self) -> None:
-        """Serve the request; return when the caller has its final answer."""
-        arrival = await self._hold(self.arrival())
+        """Serve the request; return once the final response has been sent."""
+        arrival = await self._delay_after_restart(self.arrival())
         self._identity = arrival.identity
         submitted = self.context.scheduler.submit(arrival, self.caller_request_id)
         with submitted as decisions:
             try:
-                decision = _receive_now(decisions)
+                decision = _receive_nowait(decisions)
                 if isinstance(decision, Refuse):
-                    # Watching a caller that is answered at once costs as much as all
-                    # the rest of its refusal.
+                    # The disconnect watcher would double the cost of an immediate
+                    # refusal.
                     await self._answer_error(self._refusal(decision))
                 else:
                     await self._serve_watched(decision, decisions)
             finally:
                 self.context.scheduler.close_decisions(self.request_id)
-                if not self._has_ended:
-                    self._note_cancelled()
+                if not self._has_result:
+                    self._record_cancellation()
 
     async def _serve_watched(
         self, first: Dispatch | None, decisions: Decisions
     ) -> None:
-        """Serve the request, and give it up if its caller leaves."""
+        """Serve the request, and cancel it if its caller disconnects."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._watch_disconnect, task_group.cancel_scope)
             await self._serve(first, decisions)
             task_group.cancel_scope.cancel()
 
-    async def _hold(self, arrival: RequestArrived) -> RequestArrived:
-        """Wait, in a fleet that has just come back, for what all hosts are asked."""
+    async def _delay_after_restart(self, arrival: RequestArrived) -> RequestArrived:
+        """Delay the request while a restarted fleet learns the demand on all hosts."""
         hold_seconds = self.context.scheduler.run_query(
             lambda scheduler, now_seconds: scheduler.limits.hold_seconds(
                 arrival, now_seconds
@@ -121,9 +122,9 @@
         await anyio.sleep(hold_seconds)
         return attrs.evolve(arrival, was_held=True)
 
-    def _note_cancelled(self) -> None:
-        """Note that nobody waits for the answer any more."""
-        self._end("cancelled")
+    def _record_cancellation(self) -> None:
+        """Record that the caller disconnected before the final response."""
+        self._record_result("cancelled")
         self.context.scheduler.post(RequestCancelled(self.request_id))
         after_seconds = self.context.read_clock() - self.arrived_at_seconds
         log.info(
@@ -132,46 +133,47 @@
             after_ms=milliseconds(after_seconds),
             was_dispatched=self.responder.was_dispatched,
             had_begun=self.responder.has_started,
-            was_writing=self.responder.waiting_since_seconds is not None,
+            was_writing=self.responder.write_started_seconds is not None,
         )
 
     async def _serve(self, first: Dispatch | None, decisions: Decisions) -> None:
         try:
             decision: Dispatch | Refuse | None = first or await decisions.receive()
             while isinstance(decision, Dispatch):
-                decision = await self._follow(decision, decisions)
+                decision = await self._run_attempt(decision, decisions)
             if decision is not None:
                 await self._answer_error(self._refusal(decision))
         except CallerError as error:
-            if not self._has_ended:
-                # Nobody decided this for the scheduler, which has it open still.
+            if not self._has_result:
+                # The scheduler did not make this decision, so the request is still
+                # open there.
                 self.context.scheduler.post(RequestCancelled(self.request_id))
             await self._answer_error(error)
 
-    async def _follow(
+    async def _run_attempt(
         self, dispatch: Dispatch, decisions: Decisions
     ) -> Dispatch | Refuse | None:
-        """Make an attempt; return what is decided next, or nothing at its end."""
-        await self._own_key()
+        """Make an attempt; return the next decision, or None after the response."""
+        await self._ensure_claim()
         self.recheck_access()
-        self._note_dispatch()
+        self._record_dispatch()
         self._log_dispatch(dispatch)
         decision: Dispatch | Refuse | None = None
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._attempt, dispatch, task_group.cancel_scope)
             decision = await decisions.receive()
-            # Decided while the attempt was under way: nobody knows if it ran.
-            self.may_have_run |= self._is_under_way
+            # A decision during the attempt leaves its outcome unknown.
+            self.may_have_run |= self._is_attempt_running
             task_group.cancel_scope.cancel()
         return None if self.responder.has_ended else decision
 
     async def _attempt(self, dispatch: Dispatch, scope: anyio.CancelScope) -> None:
-        self._is_under_way = True
+        self._is_attempt_running = True
         try:
             done = await self.attempt(dispatch)
         except AttemptError as error:
-            self._is_under_way = False
-            self._note_attempt(dispatch, error.outcome.value)
+            self._is_attempt_running = False
+            self._count_attempt(dispatch, error.outcome.value)
             self.may_have_run |= not error.outcome.proves_not_run
             log.problem(
                 "attempt failed",
@@ -182,7 +184,7 @@
                 error=str(error),
                 **self._fingerprint_field(error),
             )
-            # The decision about it ends this task group.
+            # The decision that follows cancels this task group.
             self.context.scheduler.post(
                 AttemptFailed(
                     request_id=self.request_id,
@@ -194,12 +196,12 @@
                 )
             )
             return
-        self._note_attempt(dispatch, "done")
-        self._end("answered")
+        self._count_attempt(dispatch, "done")
+        self._record_result("answered")
         self.context.scheduler.post(done)
         scope.cancel()
 
-    async def _own_key(self) -> None:
+    async def _ensure_claim(self) -> None:
         key = self.terms.idempotency_key
         if key and self._claim is None:
             path = self.terms.workspace.path
@@ -229,8 +231,8 @@
     async def _answer_error(self, error: CallerError) -> None:
         if self._claim and error.run_state <= RunState.REFUSED:
             self.context.claims.withdraw(self._claim)
-        if not self._has_ended:
-            self._end(error.code)
+        if not self._has_result:
+            self._record_result(error.code)
         log.info(
             "request refused",
             request=self.caller_request_id,
@@ -248,7 +250,7 @@
         await wait_disconnect(self._receive)
         scope.cancel()
 
-    def _note_dispatch(self) -> None:
+    def _record_dispatch(self) -> None:
         if self.responder.was_dispatched:
             return
         self.responder.was_dispatched = True
@@ -257,7 +259,7 @@
 
     @property
     def caller_request_id(self) -> str:
-        """The id under which the caller knows the request."""
+        """Request id in logs and towards the caller."""
         return self.request_id
 
     def _log_dispatch(self, dispatch: Dispatch) -> None:
@@ -273,7 +275,7 @@
                 "queue_ms": round(choice.queue_seconds * 1000),
                 "scores_ms": {
                     other.upstream: round(other.score_seconds * 1000)
-                    for other in choice.considered[:MAX_LOGGED_CHOICES]
+                    for other in choice.considered[:MAX_LOGGED_SCORES]
                 },
             }
         waited = self.context.read_clock() - self.arrived_at_seconds
@@ -289,21 +291,24 @@
         )
 
     def _fingerprint_field(self, error: AttemptError) -> dict[str, str]:
-        """Return what links a request's tries in logs, where a runner ended."""
+        """Return the fingerprint log field of an attempt whose connection was closed.
+
+        It relates retries of the same request whose upstreams may have crashed.
+        """
         if self._identity is None or not error.was_closed:
             return {}
         return {"fingerprint": self._identity.shown}
 
-    def _note_attempt(self, dispatch: Dispatch, outcome: str) -> None:
+    def _count_attempt(self, dispatch: Dispatch, outcome: str) -> None:
         self.context.metrics.attempts.labels(dispatch.upstream, outcome).inc()
 
-    def _end(self, answer: str) -> None:
-        self._has_ended = True
+    def _record_result(self, answer: str) -> None:
+        self._has_result = True
         self.context.metrics.requests.labels(*self.labels, answer).inc()
 
 
-def _receive_now(decisions: Decisions) -> Dispatch | Refuse | None:
-    """Return what was decided on arrival; none if the request waits."""
+def _receive_nowait(decisions: Decisions) -> Dispatch | Refuse | None:
+    """Return the decision made on arrival; None if the request is queued."""
     try:
         return decisions.receive_nowait()
     except anyio.WouldBlock:
@@ -311,11 +316,11 @@
 
 
 def _refusal_status(kind: ErrorKind, run_state: RunState) -> int:
-    """Return a status that promises no more than what is known of the request.
+    """Return a status that matches what is known about the request's execution.
 
-    503 says that it was not run; after attempts that may have run it must not be
-    said, and after attempts that surely did not, it may, unless earlier tries of the
-    same request ran.
+    503 states that the request was not run. It must not be sent if an attempt may have
+    run; it replaces 502 if no attempt has run, except for refusals that are permanent
+    because earlier requests with the same fingerprint ran.
     """
     status = kind.status
     if kind.is_permanent:
--- a/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
@@ -1,4 +1,4 @@
-"""Requests to models: attempts at runners."""
+"""Requests to models, sent to runners."""
 
 import orjson
 
@@ -34,12 +34,12 @@
         super().__init__(context, call.terms, receive, responder, arrived_at_seconds)
         self._call = call
         self._path = CHAT_PATH if call.is_chat else TEXT_PATH
-        self._last_piece_seconds: float | None = None
-        # Looked up once: finding a label costs more than observing it.
+        self._last_chunk_seconds: float | None = None
+        # Resolved once: the lookup of a label costs more than an observation.
         self._token_gap = context.metrics.token_gap.labels(*self.labels)
 
     def arrival(self) -> RequestArrived:
-        """Return what the scheduler is told."""
+        """Return the event that submits the request to the scheduler."""
         terms = self.terms
         return RequestArrived(
             request_id=self.request_id,
@@ -54,14 +54,14 @@
         )
 
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
-        """Make one attempt and relay its answer."""
+        """Make one attempt and relay its response."""
         target = RelayTarget(
             context=self.context,
             call=self._call,
             path=self._path,
             request_id=self.request_id,
             responder=self.responder,
-            note_piece=self._note_piece,
+            on_chunk=self._observe_chunk,
         )
         relay = Relay(target, dispatch)
         await relay.run(self._engine_body(dispatch))
@@ -101,12 +101,12 @@
         metrics.prompt_tokens.labels(*self.labels, "recomputed").inc(missing)
         metrics.answer_tokens.labels(*self.labels).inc(done.answer_tokens)
 
-    def _note_piece(self) -> None:
-        """Note in the metrics that a piece of the answer is here."""
+    def _observe_chunk(self) -> None:
+        """Observe the time to the first chunk, or between two chunks, in metrics."""
         now_seconds = self.context.read_clock()
-        if self._last_piece_seconds is None:
+        if self._last_chunk_seconds is None:
             waited = now_seconds - self.arrived_at_seconds
             self.context.metrics.first_token.labels(*self.labels).observe(waited)
         else:
-            self._token_gap.observe(now_seconds - self._last_piece_seconds)
-        self._last_piece_seconds = now_seconds
+            self._token_gap.observe(now_seconds - self._last_chunk_seconds)
+        self._last_chunk_seconds = now_seconds
--- a/packages/rampwick-router/src/rampwick_router/entry/_rates.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_rates.py
@@ -1,4 +1,4 @@
-"""Telling the scheduler which rate of requests an upstream's answer names."""
+"""Reporting of upstreams' request rate limits to the scheduler."""
 
 from rampwick_policy import Dispatch, RateNamed
 
@@ -14,15 +14,15 @@
     asked_at_seconds: float,
     is_proved: bool,
 ) -> None:
-    """Note the rate that an answer names, or that it names none any more.
+    """Post the rate limit in a response, or that a known limit is no longer reported.
 
-    Only a proved answer ends a rate: a refusal may come from what stands before the
-    upstream.
+    Only a verified response removes a limit: an error response may come from a proxy in
+    front of the upstream.
     """
     if not rate.is_readable:
         return
-    ends_one = is_proved and scheduler.has_request_rate(dispatch.upstream)
-    if rate.per_second is None and not ends_one:
+    removes_limit = is_proved and scheduler.has_request_rate(dispatch.upstream)
+    if rate.per_second is None and not removes_limit:
         return
     scheduler.post(
         RateNamed(
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -1,4 +1,4 @@
-"""Relaying an answer's stream from a runner to a caller, resuming where it breaks."""
+"""Relay of a response stream from a runner to a caller, with resumption."""
 
 from collections.abc import AsyncIterator, Callable
 from typing import Any
@@ -21,18 +21,18 @@
 from ._signals import check_not_withdrawn, note_signals
 from ._stream_tokens import StreamReference
 
-#: Times that one broken stream is taken up again before its attempt has failed.
+#: Number of times that a broken stream is resumed before its attempt fails.
 MAX_RESUMES = 3
 
-#: Wait before a broken stream is taken up again.
-RESUME_PAUSE_SECONDS = 0.02
+#: Delay before a broken stream is resumed.
+RESUME_DELAY_SECONDS = 0.02
 
 STEP = "relay stream"
 
 
 @attrs.define(repr=False)
 class Answer(Shown):
-    """What has come of an answer so far."""
+    """The content of a response received so far."""
 
     usage: dict[str, Any] | None = None
     pieces: list[dict[str, Any]] = attrs.field(factory=list)
@@ -40,20 +40,20 @@
 
 @attrs.frozen(repr=False)
 class RelayTarget(Shown):
-    """The request that a relayed answer is for."""
+    """The request whose response is relayed."""
 
     context: EntryContext
     call: ModelCall
-    #: Path of the request at a runner.
+    #: Request path at the runner.
     path: str
     request_id: str
     responder: Responder
-    #: Called for each piece of the answer, for the metrics.
-    note_piece: Callable[[], None]
+    #: Called when content arrives, for metrics.
+    on_chunk: Callable[[], None]
 
 
 class Relay:
-    """One attempt's answer on its way to the caller."""
+    """Relays the response of one attempt to the caller."""
 
     def __init__(self, target: RelayTarget, dispatch: Dispatch) -> None:
         self._target = target
@@ -61,7 +61,7 @@
         self._dispatch = dispatch
         self._order = OrderKeeper(0, dispatch.upstream)
         self._has_delivered = False
-        self._is_whole = False
+        self._is_complete = False
         self.answer = Answer()
         reference = StreamReference(
             workspace=target.call.terms.workspace.path,
@@ -73,7 +73,7 @@
         self._token = self._context.tokens.encode(reference)
 
     async def run(self, content: bytes) -> None:
-        """Relay the whole answer, resuming where its connection breaks."""
+        """Relay the complete response, resuming the stream if its connection breaks."""
         try:
             await self._start(content)
         except AttemptError as error:
@@ -86,21 +86,22 @@
         check_not_withdrawn(self._context.scheduler, self._dispatch)
         asked_at_seconds = self._context.read_clock()
         async with client.start_stream(self._dispatch, path, content) as stream:
-            await self._take(stream, asked_at_seconds)
+            await self._receive(stream, asked_at_seconds)
 
     async def _resume_after(self, error: AttemptError) -> None:
         was_closed = error.was_closed
         for _ in range(MAX_RESUMES):
             if error.outcome is not Outcome.BROKEN or not self._order.next_position:
                 raise error
-            await anyio.sleep(RESUME_PAUSE_SECONDS)
+            await anyio.sleep(RESUME_DELAY_SECONDS)
             self._context.metrics.resumes.inc()
             try:
                 await self._resume()
                 return
             except AttemptError as next_error:
                 error = next_error
-        # That its stream is not known any more speaks for an end as much as the close.
+        # A stream that is unknown to the runner indicates a crash as much as the closed
+        # connection that preceded it.
         error.was_closed = was_closed
         raise error
 
@@ -114,9 +115,9 @@
             self._order.next_position,
             is_chat=self._target.call.is_chat,
         ) as stream:
-            await self._take(stream, asked_at_seconds)
+            await self._receive(stream, asked_at_seconds)
 
-    async def _take(self, stream: UpstreamStream, asked_at_seconds: float) -> None:
+    async def _receive(self, stream: UpstreamStream, asked_at_seconds: float) -> None:
         dispatch = self._dispatch
         start = stream.check_start(dispatch.attempt_id, dispatch.incarnation)
         note_rate(
@@ -130,31 +131,31 @@
             self._context.scheduler, dispatch, read_signals(stream.head, LEAVING)
         )
         if start.weights_version != dispatch.weights_version:
-            # The salt named other weights: what was cached may be older ones'.
-            raise self._error(Outcome.STALE, "the engine has other weights now")
+            # The salt was made for other weights, so cached entries may be stale.
+            raise self._error(Outcome.STALE, "the engine's weights version changed")
         self._context.scheduler.post(
             AttemptAccepted(self._target.request_id, dispatch.attempt_id)
         )
         async for events in stream.batches():
-            await self._pass_on(events)
-            if self._is_whole:
+            await self._forward(events)
+            if self._is_complete:
                 return
         raise self._error(Outcome.BROKEN, "the stream ended before its end")
 
-    async def _pass_on(self, events: list[StreamEvent]) -> None:
+    async def _forward(self, events: list[StreamEvent]) -> None:
         if self._order.next_position == 0:
             self._check_fingerprint(events[0])
         pieces = [event for event in events if self._admit(event)]
         if not pieces:
             return
-        self._target.note_piece()
+        self._target.on_chunk()
         if not self._target.call.is_streamed:
             self.answer.pieces += [orjson.loads(event.data) for event in pieces]
             return
-        await self._begin()
+        await self._start_response()
         first = self._order.next_position - len(pieces)
         if self.answer.usage is not None and not self._target.call.wants_usage:
-            # The usage event took a position but does not go to this caller.
+            # The usage event occupies a position but is not sent to this caller.
             first -= 1
         body = b"".join(
             format_event(self._token, first + index, event.data)
@@ -163,20 +164,22 @@
         await self._target.responder.send(body)
 
     def _check_fingerprint(self, event: StreamEvent) -> None:
-        # The head is sent before the prompt is computed; weights can be loaded in
-        # between. The first event names what really computed it.
+        # The head is sent before the prompt is computed, and weights can be loaded in
+        # between. The first event reports the version that computed the response.
         if b'"system_fingerprint"' not in event.data:
             return
-        named = orjson.loads(event.data).get("system_fingerprint")
+        reported = orjson.loads(event.data).get("system_fingerprint")
         dispatch = self._dispatch
-        if named != f"{dispatch.incarnation}/{dispatch.weights_version}":
-            raise self._error(Outcome.STALE, "other weights computed the answer")
+        if reported != f"{dispatch.incarnation}/{dispatch.weights_version}":
+            raise self._error(
+                Outcome.STALE, "the response was computed with other weights"
+            )
 
     def _admit(self, event: StreamEvent) -> bool:
         if event.is_done:
-            self._is_whole = self.answer.usage is not None
+            self._is_complete = self.answer.usage is not None
             return False
-        if self._is_whole or not self._order.admit(event):
+        if self._is_complete or not self._order.admit(event):
             return False
         if b'"usage"' not in event.data:
             return True
@@ -186,7 +189,7 @@
             return self._target.call.wants_usage
         return True
 
-    async def _begin(self) -> None:
+    async def _start_response(self) -> None:
         if self._has_delivered:
             return
         self._has_delivered = True
@@ -203,10 +206,10 @@
 
     async def _finish(self) -> None:
         if self._target.call.is_streamed:
-            await self._begin()
+            await self._start_response()
             await self._target.responder.end(b"data: " + DONE + b"\n\n")
             return
-        body = _whole_answer(self._target, self.answer)
+        body = _build_response(self._target, self.answer)
         headers = [
             (b"x-request-id", self._target.request_id.encode()),
             (b"rampwick-upstream", self._dispatch.upstream.encode()),
@@ -219,7 +222,7 @@
         )
 
 
-def _whole_answer(target: RelayTarget, answer: Answer) -> dict[str, Any]:
+def _build_response(target: RelayTarget, answer: Answer) -> dict[str, Any]:
     choices = [piece["choices"][0] for piece in answer.pieces if piece.get("choices")]
     reason = choices[-1].get("finish_reason") if choices else "stop"
     choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
@@ -241,7 +244,7 @@
 async def relay_resumed(
     stream: UpstreamStream, token: bytes, position: int, responder: Responder
 ) -> None:
-    """Relay a stream that a caller takes up again, from ``position`` on."""
+    """Relay a stream that a caller resumes, starting at ``position``."""
     order = OrderKeeper(position, "")
     async for body in _resumed_bodies(stream, token, order):
         if body is None:
--- a/packages/rampwick-router/src/rampwick_router/entry/_responder.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_responder.py
@@ -1,4 +1,4 @@
-"""Writing one answer to a caller over ASGI."""
+"""Sending of one response to a caller over ASGI."""
 
 import math
 from collections.abc import Awaitable, Callable, Iterable
@@ -24,56 +24,56 @@
 
 
 class Responder:
-    """Sends one response: its head once, its pieces, its end once.
+    """Sends one response: status and headers, body chunks, end of the body.
 
-    It notes since when a piece has been waiting to be taken, so that one task can
-    look after all slow callers; a time-out for each piece would cost every token.
+    The start time of a pending write is recorded, so that a single task can detect all
+    slow callers; a timeout around each write would add to the cost of every token.
     """
 
     def __init__(
         self,
         send: Send,
         read_clock: Callable[[], float],
-        is_leaving: Callable[[], bool] = lambda: False,
+        is_draining: Callable[[], bool] = lambda: False,
     ) -> None:
         self._send = send
-        self._is_leaving = is_leaving
+        self._is_draining = is_draining
         self._read_clock = read_clock
         self.has_started = False
         self.has_ended = False
-        #: Since when the caller has not taken a piece; nothing if none waits.
-        self.waiting_since_seconds: float | None = None
-        #: Whether the request was handed to an upstream.
+        #: Start of the write that the caller has not accepted yet; None if idle.
+        self.write_started_seconds: float | None = None
+        #: Whether the request was dispatched to an upstream.
         self.was_dispatched = False
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers; a host that leaves closes the connection after."""
+        """Send status and headers; during a shutdown, with ``Connection: close``."""
         self.has_started = True
-        sent = list(headers)
-        if self._is_leaving():
-            sent.append(CLOSE)
-        await self._send_watched(
-            {"type": "http.response.start", "status": status, "headers": sent}
+        all_headers = list(headers)
+        if self._is_draining():
+            all_headers.append(CLOSE)
+        await self._send_timed(
+            {"type": "http.response.start", "status": status, "headers": all_headers}
         )
 
     async def send(self, body: bytes) -> None:
-        """Send a piece of the body."""
-        await self._send_watched(
+        """Send a chunk of the body."""
+        await self._send_timed(
             {"type": "http.response.body", "body": body, "more_body": True}
         )
 
     async def end(self, body: bytes = b"") -> None:
-        """Send the last piece."""
+        """Send the last chunk of the body."""
         self.has_ended = True
-        await self._send_watched({"type": "http.response.body", "body": body})
+        await self._send_timed({"type": "http.response.body", "body": body})
 
     async def send_json(self, status: int, data: Any, headers: Headers = ()) -> None:
-        """Send a whole response of JSON."""
+        """Send a complete JSON response."""
         await self.start(status, [JSON, *headers])
         await self.end(orjson.dumps(data))
 
     async def send_error(self, error: CallerError) -> None:
-        """Send an error: as a response, or as the last event of a begun stream."""
+        """Send an error as a response, or as the last event of a started stream."""
         if self.has_ended:
             return
         if self.has_started:
@@ -86,18 +86,18 @@
             headers.append((b"retry-after", str(seconds).encode()))
         await self.send_json(error.status, error.body, headers)
 
-    async def _send_watched(self, message: Message) -> None:
-        self.waiting_since_seconds = self._read_clock()
+    async def _send_timed(self, message: Message) -> None:
+        self.write_started_seconds = self._read_clock()
         await self._send(message)
-        self.waiting_since_seconds = None
+        self.write_started_seconds = None
 
 
 async def read_body(
     receive: Receive, *, max_body_bytes: int, timeout_seconds: float
 ) -> bytes:
-    """Return a request's body; too large or too slow is a CallerError."""
+    """Return a request's body, or raise a CallerError if it is too large or slow."""
     step = "read body"
-    parts = []
+    chunks = []
     length = 0
     with anyio.move_on_after(timeout_seconds):
         while True:
@@ -106,8 +106,8 @@
                 raise CallerError(
                     "the caller went away", status=400, code="cut_body", step=step
                 )
-            part = message.get("body", b"")
-            length += len(part)
+            chunk = message.get("body", b"")
+            length += len(chunk)
             if length > max_body_bytes:
                 raise CallerError(
                     f"the body is larger than {max_body_bytes} bytes",
@@ -115,9 +115,9 @@
                     code="body_too_large",
                     step=step,
                 )
-            parts.append(part)
+            chunks.append(chunk)
             if not message.get("more_body"):
-                return b"".join(parts)
+                return b"".join(chunks)
     raise CallerError(
         f"the body did not come within {timeout_seconds:g} seconds",
         status=408,
@@ -127,6 +127,6 @@
 
 
 async def wait_disconnect(receive: Receive) -> None:
-    """Return when the caller goes away."""
+    """Return when the caller disconnects."""
     while (await receive())["type"] != "http.disconnect":
         continue
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -1,7 +1,7 @@
-"""One attempt of a request on a route: sent, listened to, its answer checked.
+"""One attempt of a request on a route: sending it and validating the response.
 
-The caller's method, path and body are carried unchanged; the dialects say which
-headers are.
+The caller's method, path and body are forwarded unchanged; the dialects select the
+headers.
 """
 
 from collections.abc import AsyncIterator
@@ -27,9 +27,9 @@
 from ._routed_request import RoutedRequest
 from ._signals import check_not_withdrawn, note_signals
 
-#: Silence before an answer's head after which an upstream is suspected to be gone:
-#: well above what a busy engine takes, well below what callers bear.
-SUSPECT_SECONDS = 0.5
+#: Time without a response head after which an upstream is reported as unresponsive:
+#: well above the response time of a busy engine, well below what callers tolerate.
+UNRESPONSIVE_AFTER_SECONDS = 0.5
 
 STEP = "forward request"
 
@@ -37,7 +37,10 @@
 
 
 class RoutedAttempt:
-    """One attempt at one upstream; ``open`` makes it, ``pieces`` is its answer."""
+    """One attempt at one upstream.
+
+    ``open`` sends the request; ``pieces`` yields the body of the response.
+    """
 
     def __init__(
         self,
@@ -54,16 +57,16 @@
         self.dispatch = dispatch
         self._request_id = request_id
         self._resume_after = resume_after
-        #: Whether the caller has part of an answer, which this one is to go on with.
+        #: Whether the caller received part of a response that this attempt continues.
         self._is_resumed = is_resumed
         self._channel: Channel
         self._listening: Listening
-        #: For how long the connection is kept after the answer.
+        #: Time for which the connection may stay idle after the response.
         self.rest_seconds = 0.0
 
     @asynccontextmanager
     async def open(self, remaining_seconds: float) -> AsyncIterator[AnswerHead]:
-        """Send the request and yield the head of its answer, or raise AttemptError."""
+        """Send the request and yield the response head, or raise AttemptError."""
         call, dispatch = self._request.call, self.dispatch
         dialect = self._context.dialects.upstream
         headers = dialect.request_headers(call, self._terms(remaining_seconds))
@@ -77,23 +80,25 @@
             asked_at_seconds = self._context.read_clock()
             await self._channel.send(call.method, call.target, headers, body)
             head = await self._receive_head()
-            facts = dialect.read_answer(head, self._asked_incarnation)
-            self._note_channel(facts)
-            self._note_upstream_state(facts, asked_at_seconds)
+            facts = dialect.read_answer(head, self._expected_incarnation)
+            self._update_channel(facts)
+            self._post_upstream_state(facts, asked_at_seconds)
             self._check(head, facts)
-            with self._context.silences.listen(self._silence_seconds()) as listening:
+            with self._context.silences.listen(
+                self._stall_timeout_seconds()
+            ) as listening:
                 self._listening = listening
                 yield head
             if listening.is_silent:
-                raise self.failed(Outcome.BROKEN, "the upstream is silent")
+                raise self.failed(Outcome.BROKEN, "the response stream is stalled")
         self.rest_seconds = self._channel.max_rest_seconds
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes."""
+        """Yield the chunks of the body as they arrive."""
         listening = self._listening
         self._context.silences.note_waiting(listening)
         async for piece in self._channel.receive_pieces():
-            # Whoever takes the piece may be slow; that is not the upstream's silence.
+            # Time that a slow caller takes must not count as a stall of the upstream.
             listening.waiting_since_seconds = None
             yield piece
             self._context.silences.note_waiting(listening)
@@ -101,7 +106,7 @@
     def failed(
         self, outcome: Outcome, message: str, facts: AnswerFacts | None = None
     ) -> AttemptError:
-        """Return the error that says how the attempt ended."""
+        """Return the error for an attempt that ended with an outcome."""
         return AttemptError(
             message,
             outcome=outcome,
@@ -111,8 +116,8 @@
         )
 
     @property
-    def _asked_incarnation(self) -> str:
-        """The life that alone shall run it; upstreams without lives have their name."""
+    def _expected_incarnation(self) -> str:
+        """The incarnation that must run it; the name for upstreams that have none."""
         return self.dispatch.incarnation or self.dispatch.upstream
 
     def _terms(self, remaining_seconds: float) -> AttemptTerms:
@@ -121,7 +126,7 @@
         if request.scope is not None:
             salt = self._context.salts.salt(request.scope, dispatch.weights_version)
         return AttemptTerms(
-            incarnation=self._asked_incarnation,
+            incarnation=self._expected_incarnation,
             weights_version=dispatch.weights_version,
             remaining_seconds=remaining_seconds,
             workspace=request.workspace.path.removeprefix("/"),
@@ -133,65 +138,67 @@
         )
 
     def _max_connections(self) -> int:
-        """Return this host's part of the connections that an upstream takes."""
-        most = self._request.service.max_connections_count
-        return max(1, most // self._context.count_hosts())
+        """Return this host's share of the connections that an upstream accepts."""
+        max_count = self._request.service.max_connections_count
+        return max(1, max_count // self._context.count_hosts())
 
     async def _receive_head(self) -> AnswerHead:
-        silence_seconds = self._silence_seconds()
-        with anyio.move_on_after(min(SUSPECT_SECONDS, silence_seconds)):
+        stall_timeout_seconds = self._stall_timeout_seconds()
+        with anyio.move_on_after(
+            min(UNRESPONSIVE_AFTER_SECONDS, stall_timeout_seconds)
+        ):
             return await self._channel.receive_head()
-        self._suspect()
-        # A wait that was broken off left every byte where it was.
-        with anyio.move_on_after(silence_seconds - SUSPECT_SECONDS):
+        self._report_unresponsive()
+        # The cancelled read has consumed no bytes.
+        with anyio.move_on_after(stall_timeout_seconds - UNRESPONSIVE_AFTER_SECONDS):
             return await self._channel.receive_head()
-        raise self.failed(Outcome.BROKEN, "the upstream is silent")
+        raise self.failed(Outcome.BROKEN, "the upstream is unresponsive")
 
-    def _suspect(self) -> None:
-        """Have an upstream looked at that does not begin to answer."""
+    def _report_unresponsive(self) -> None:
+        """Report to the scheduler that the upstream has not sent a response head."""
         log.problem(
-            "upstream is silent",
+            "upstream is unresponsive",
             request=self._request.call.request_id,
             upstream=self.dispatch.upstream,
         )
-        silent = AttemptSilent(self._request_id, self.dispatch.attempt_id)
-        self._context.scheduler.post(silent)
+        event = AttemptSilent(self._request_id, self.dispatch.attempt_id)
+        self._context.scheduler.post(event)
 
-    def _silence_seconds(self) -> float:
-        """Return how long an upstream may say nothing before another is tried.
+    def _stall_timeout_seconds(self) -> float:
+        """Return the time without data after which another upstream is tried.
 
-        A request that must not run again has nothing to gain from giving up.
+        There is no such time-out for a request that must not run again.
         """
         if not self._request.is_repeatable:
             return float("inf")
         return self._context.settings.retry.silence_timeout_seconds
 
-    def _note_channel(self, facts: AnswerFacts) -> None:
+    def _update_channel(self, facts: AnswerFacts) -> None:
         if facts.is_closing:
             self._channel.max_rest_seconds = 0.0
         elif facts.max_rest_seconds is not None:
             self._channel.note_rest_bound(facts.max_rest_seconds)
 
     def _check(self, head: AnswerHead, facts: AnswerFacts) -> None:
-        """Raise unless the answer is this attempt's own and may be passed on."""
-        self._note_weights(facts)
+        """Raise unless the response belongs to this attempt and may be forwarded."""
+        self._post_weights(facts)
         status = f"status {head.status}"
         if facts.is_misdirected:
             raise self.failed(Outcome.MISDIRECTED, status, facts)
         if facts.was_refused:
             raise self.failed(Outcome.BUSY, status, facts)
         if facts.request_id != self._request.call.request_id:
-            message = f"answer is for {facts.request_id!r}"
+            message = f"the response is for request {facts.request_id!r}"
             raise self.failed(Outcome.BROKEN, message)
         if not facts.is_signed:
-            raise self.failed(Outcome.BROKEN, f"{status} without proof")
+            raise self.failed(Outcome.BROKEN, f"{status} without signature")
         if self._is_resumed and not is_success(head):
             raise self.failed(Outcome.BROKEN, f"resumed with {status}")
         accepted = AttemptAccepted(self._request_id, self.dispatch.attempt_id)
         self._context.scheduler.post(accepted)
 
-    def _note_upstream_state(self, facts: AnswerFacts, asked_at_seconds: float) -> None:
-        """Note the rate and the signals of an answer, unless it is another's."""
+    def _post_upstream_state(self, facts: AnswerFacts, asked_at_seconds: float) -> None:
+        """Post rate limit and signals of a response from the intended upstream."""
         if facts.is_misdirected or facts.is_other_incarnation:
             return
         if facts.request_id != self._request.call.request_id:
@@ -205,7 +212,7 @@
             is_proved=facts.is_signed,
         )
 
-    def _note_weights(self, facts: AnswerFacts) -> None:
+    def _post_weights(self, facts: AnswerFacts) -> None:
         dispatch = self.dispatch
         if facts.weights_version is None or not dispatch.weights_version:
             return
@@ -219,5 +226,5 @@
 
 
 def is_success(head: AnswerHead) -> bool:
-    """Return whether an answer says that its request was served."""
+    """Return whether a response has a 2xx status."""
     return 200 <= head.status < 300
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
@@ -1,4 +1,4 @@
-"""Requests on routes: read by the callers' dialect, checked, then exchanged."""
+"""Requests on routes: parsing by the callers' dialect, access check, exchange."""
 
 import anyio
 
@@ -13,14 +13,14 @@
 from ._routed_exchange import RoutedExchange
 from ._routed_request import RoutedRequest
 
-#: Longest wait for a look at the platform before a route or key is called unknown.
-LOOK_TIMEOUT_SECONDS = 0.4
+#: Time-out of a configuration refresh for a request that no configuration covers yet.
+REFRESH_TIMEOUT_SECONDS = 0.4
 
 log = ComponentLogger("route")
 
 
 class RoutedEntry:
-    """Serves the requests that routes lead to services."""
+    """Serves requests on routes to services."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
@@ -28,23 +28,23 @@
     async def serve(
         self, scope: Message, receive: Receive, responder: Responder
     ) -> None:
-        """Serve one request; whatever happens, it gets one final answer."""
+        """Serve one request with exactly one final response."""
         arrived_at_seconds = self._context.read_clock()
         raw = _read_raw(scope)
         request_id = ""
         try:
             call = self._context.dialects.caller.read_call(raw)
             request_id = call.request_id
-            # The body is read first: closing a connection on unread bytes would
-            # reset it, and the caller might lose its answer.
+            # The body is read first: a connection that is closed with unread bytes is
+            # reset, and the caller may lose its response.
             body = await self._read_body(receive)
             request = await self._check(call, body, arrived_at_seconds)
             await RoutedExchange(self._context, request, receive, responder).run()
         except CallerError as error:
-            self._log_denial(error, request_id)
+            self._log_rejection(error, request_id)
             await self._send_error(error, request_id, responder)
 
-    def _log_denial(self, error: CallerError, request_id: str) -> None:
+    def _log_rejection(self, error: CallerError, request_id: str) -> None:
         configuration = self._context.configuration
         age_seconds = configuration.age_seconds(self._context.read_clock())
         log.info(
@@ -62,11 +62,11 @@
     ) -> RoutedRequest:
         access = self._context.check_access(call)
         if access.verdict in (Verdict.STALE, Verdict.NO_CONFIGURATION):
-            access = await self._look_again(call)
+            access = await self._refresh_and_check(call)
         if access.verdict is not Verdict.ALLOWED:
             raise access_error(access.verdict)
         assert access.route is not None and access.workspace is not None
-        self._check_stop(access.route, call)
+        self._check_exit_deadline(access.route, call)
         return RoutedRequest(
             call=call,
             route=access.route,
@@ -76,13 +76,14 @@
             arrived_at_seconds=arrived_at_seconds,
         )
 
-    def _check_stop(self, route: Route, call: RoutedCall) -> None:
-        """Raise if this host may be gone before the answer is whole."""
+    def _check_exit_deadline(self, route: Route, call: RoutedCall) -> None:
+        """Raise if this host may exit before the response is complete."""
         life, now_seconds = self._context.life, self._context.read_clock()
         if life.exit_deadline_seconds is None:
             return
-        # While the balancer still sends callers here, few are turned away; those on
-        # kept connections that come later go to another host as well.
+        # While the balancer still routes callers here, only requests that would not fit
+        # at the usual pace are rejected. Later requests arrive on persistent
+        # connections and are rejected if they would not fit at the slowest recent pace.
         pace_ratio = 1.0
         if life.balancer_delay_elapsed:
             pace_ratio = self._context.pace.worst_ratio(now_seconds)
@@ -102,8 +103,8 @@
             retry_after_seconds=OTHER_HOST_RETRY_SECONDS,
         )
 
-    async def _look_again(self, call: RoutedCall) -> Access:
-        with anyio.move_on_after(LOOK_TIMEOUT_SECONDS):
+    async def _refresh_and_check(self, call: RoutedCall) -> Access:
+        with anyio.move_on_after(REFRESH_TIMEOUT_SECONDS):
             await self._context.configuration.refresh()
         return self._context.check_access(call)
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -1,6 +1,6 @@
-"""A request on a route: the upstream's answer on its way to the caller.
+"""A request on a route, with the forwarding of the upstream's response.
 
-Status and body are carried unchanged; the dialects say which headers are.
+Status and body are forwarded unchanged; the dialects select the headers.
 """
 
 import anyio
@@ -27,18 +27,18 @@
 from ._routed_attempt import RoutedAttempt, is_success
 from ._routed_request import RoutedRequest
 
-#: Answers up to this size are read whole before any of it goes to the caller, so that
-#: one that breaks off can still be replaced.
-WHOLE_ANSWER_BYTES = 262_144
+#: Responses up to this size are buffered completely before they are forwarded, so that
+#: the request can be retried if the response breaks off.
+MAX_BUFFERED_BYTES = 262_144
 
-#: Time left under which an attempt is not worth sending.
+#: Minimum time left before the deadline for an attempt to be sent.
 MIN_REMAINING_SECONDS = 0.005
 
 log = ComponentLogger("route")
 
 
 class RoutedExchange(Exchange):
-    """A request on a route under way."""
+    """A request on a route in progress."""
 
     def __init__(
         self,
@@ -64,11 +64,11 @@
 
     @property
     def caller_request_id(self) -> str:
-        """The id under which the caller knows the request."""
+        """Request id in logs and towards the caller, chosen by the caller."""
         return self._call.request_id
 
     def arrival(self) -> RequestArrived:
-        """Return what the scheduler is told."""
+        """Return the event that submits the request to the scheduler."""
         request = self._request
         return RequestArrived(
             request_id=self.request_id,
@@ -88,7 +88,7 @@
         )
 
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
-        """Make one attempt and pass the upstream's answer on."""
+        """Make one attempt and forward the upstream's response."""
         attempt = RoutedAttempt(
             self.context,
             self._request,
@@ -99,21 +99,21 @@
         )
         remaining_seconds = self._request.deadline_seconds - self.context.read_clock()
         if remaining_seconds < MIN_REMAINING_SECONDS:
-            raise attempt.failed(Outcome.UNREACHABLE, "no time is left")
+            raise attempt.failed(Outcome.UNREACHABLE, "deadline reached before sending")
         with anyio.move_on_after(remaining_seconds):
             async with attempt.open(remaining_seconds) as head:
-                await self._pass_on(attempt, head)
-            self._log_answer(dispatch)
+                await self._forward(attempt, head)
+            self._record_response(dispatch)
             return self._done(attempt)
-        raise attempt.failed(Outcome.EXPIRED, "no answer within the deadline")
+        raise attempt.failed(Outcome.EXPIRED, "response incomplete at the deadline")
 
-    async def _pass_on(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
+    async def _forward(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
         if self._request.route.is_stream and is_success(head):
-            await self._pass_stream(attempt, head)
+            await self._forward_stream(attempt, head)
         else:
-            await self._pass_whole(attempt, head)
+            await self._forward_buffered(attempt, head)
 
-    async def _pass_stream(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
+    async def _forward_stream(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
         dispatch = attempt.dispatch
         limits = self.context.settings.limits
         events = EventFramer(
@@ -123,30 +123,30 @@
             batch = events.feed(piece)
             if not batch.count:
                 continue
-            await self._begin(head, dispatch)
-            # The id is noted first: bytes that may have reached the caller must
-            # not come again.
+            await self._start_response(head, dispatch)
+            # The id is recorded before the send: an event that may have reached the
+            # caller must not be sent again.
             self._resume_after = batch.last_id or self._resume_after
             self._events_count += batch.count
             await self.responder.send(batch.data)
-        await self._begin(head, dispatch)
+        await self._start_response(head, dispatch)
         await self.responder.end(events.rest)
 
-    async def _pass_whole(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
+    async def _forward_buffered(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
         dispatch = attempt.dispatch
-        kept = b""
+        buffer = b""
         async for piece in attempt.pieces():
-            kept += piece
-            if self.responder.has_started or len(kept) > WHOLE_ANSWER_BYTES:
-                await self._begin(head, dispatch)
-                await self.responder.send(kept)
-                kept = b""
+            buffer += piece
+            if self.responder.has_started or len(buffer) > MAX_BUFFERED_BYTES:
+                await self._start_response(head, dispatch)
+                await self.responder.send(buffer)
+                buffer = b""
         if not self.responder.has_started:
-            length = str(len(kept)).encode()
-            await self._begin(head, dispatch, ((b"content-length", length),))
-        await self.responder.end(kept)
+            length = str(len(buffer)).encode()
+            await self._start_response(head, dispatch, ((b"content-length", length),))
+        await self.responder.end(buffer)
 
-    async def _begin(
+    async def _start_response(
         self,
         head: AnswerHead,
         dispatch: Dispatch,
@@ -166,7 +166,7 @@
         headers = [*self.context.dialects.upstream.answer_headers(head), *extra]
         await self.responder.start(head.status, headers)
 
-    def _log_answer(self, dispatch: Dispatch) -> None:
+    def _record_response(self, dispatch: Dispatch) -> None:
         now_seconds = self.context.read_clock()
         whole_seconds = now_seconds - self.arrived_at_seconds
         self.context.pace.note(
@@ -201,16 +201,16 @@
         )
 
     async def answer_error(self, error: CallerError) -> None:
-        """Give the final answer, or break off an answer that has begun."""
+        """Send the final response, or truncate a response that has started."""
         if self.responder.has_started:
-            # Closing without an end is the only way to say that it is not whole.
+            # Only a connection closed early marks the response as incomplete.
             return
         answer = self.context.dialects.caller.write_error(error, self._call.request_id)
         await self.responder.start(answer.status, answer.headers)
         await self.responder.end(answer.body)
 
     def recheck_access(self) -> None:
-        """Raise if the request's key may have been taken away meanwhile."""
+        """Raise if the request's key may have been revoked since its arrival."""
         access = self.context.check_access(self._call)
         if access.verdict is not Verdict.ALLOWED:
             run_state = RunState.MAYBE_RUN if self.may_have_run else RunState.NOT_SENT
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
@@ -1,4 +1,4 @@
-"""A checked request on a route, and what follows from route, workspace and call."""
+"""A validated request on a route, with terms derived from route and workspace."""
 
 import attrs
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen(repr=False)
 class RoutedRequest(Shown):
-    """A checked request on a route."""
+    """A validated request on a route."""
 
     call: RoutedCall
     route: Route
@@ -27,13 +27,13 @@
 
     @property
     def priority_rank(self) -> int:
-        """Rank of the request: the workspace's own goes before the route's."""
+        """Priority rank; the workspace's rank takes precedence over the route's."""
         rank = self.workspace.priority_rank
         return self.route.priority_rank if rank is None else rank
 
     @property
     def deadline_seconds(self) -> float:
-        """Steady time at which the caller or the route gives up."""
+        """Monotonic time at which the caller's or the route's time-out ends."""
         seconds = self.route.timeout_seconds
         if self.call.timeout_seconds is not None:
             seconds = min(seconds, self.call.timeout_seconds)
@@ -41,26 +41,26 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may run again after a run that may have begun."""
+        """Whether it may run again after an attempt that may have run."""
         if self.route.is_stream:
             return self.route.is_resumable
         return self.route.is_repeatable
 
     @property
     def identity(self) -> RequestIdentity:
-        """What it has in common with its caller's other tries."""
+        """Identity shared with the caller's retries of the same request."""
         target = self.call.host + self.call.target
         return RequestIdentity(self.workspace.path, target, self.body)
 
     @property
     def scope(self) -> Scope | None:
-        """What its cached entries belong to; none for plain services."""
+        """Scope of its cache entries; None for plain services."""
         if not self.call.parts:
             return None
         return Scope(self.workspace.cache_wall, self.call.model)
 
     @property
     def chain(self) -> PrefixChain | None:
-        """The parts of its prompt; none for plain services."""
+        """Prefix chain of its prompt; None for plain services."""
         scope = self.scope
         return chain_from_parts(scope, self.call.parts) if scope else None
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: method, body, headers and status are carried through."""
+"""Calls to plain services; method, body, headers and status are forwarded."""
 
 from http import HTTPStatus
 
@@ -26,11 +26,11 @@
 from ._responder import Receive, Responder
 from ._signals import check_not_withdrawn, note_signals
 
-#: Methods that HTTP itself allows to repeat.
+#: Idempotent methods of HTTP, which are repeatable by default.
 REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 
-#: Headers that belong to one connection or to rampwick, not to the call.
-OWN_HEADERS = frozenset(
+#: Headers for the connection or for rampwick, which are not forwarded.
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "authorization",
         "connection",
@@ -46,27 +46,29 @@
         "upgrade",
     }
 )
-OWN_PREFIX = "rampwick-"
+NOT_FORWARDED_PREFIX = "rampwick-"
 
 STEP = "call service"
 
 
 @attrs.frozen(repr=False)
 class ServiceCall(Shown):
-    """A checked call to a plain service."""
+    """A validated call to a plain service."""
 
     terms: CallTerms
     service: str
     method: str
-    #: Path and query after the service's name.
+    #: Path after the service's name, with the query.
     target: str
     headers: list[tuple[str, str]]
     body: bytes
 
 
 def is_forwarded_header(name: str) -> bool:
-    """Return whether a header goes on to the service or the caller."""
-    return name not in OWN_HEADERS and not name.startswith(OWN_PREFIX)
+    """Return whether a header is forwarded to the service or the caller."""
+    return name not in NOT_FORWARDED_HEADERS and not name.startswith(
+        NOT_FORWARDED_PREFIX
+    )
 
 
 class ServiceExchange(Exchange):
@@ -84,7 +86,7 @@
         self._call = call
 
     def arrival(self) -> RequestArrived:
-        """Return what the scheduler is told."""
+        """Return the event that submits the request to the scheduler."""
         return RequestArrived(
             request_id=self.request_id,
             workspace=self.terms.workspace,
@@ -100,7 +102,7 @@
         )
 
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
-        """Make one attempt and pass the service's answer on."""
+        """Make one attempt and forward the service's response."""
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in self._call.headers
@@ -128,7 +130,7 @@
             note_signals(self.context.scheduler, dispatch, signals)
             if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
                 raise AttemptError(
-                    "the service is busy",
+                    "the service answered with status 429",
                     outcome=Outcome.BUSY,
                     step=STEP,
                     peer=dispatch.upstream,
@@ -136,10 +138,10 @@
             self.context.scheduler.post(
                 AttemptAccepted(self.request_id, dispatch.attempt_id)
             )
-            await self._pass_on(dispatch, answer)
+            await self._forward(dispatch, answer)
         return AttemptDone(self.request_id, dispatch.attempt_id)
 
-    async def _pass_on(self, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
+    async def _forward(self, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
         headers = [
             (name, value)
             for name, value in answer.head.headers
@@ -148,8 +150,8 @@
         headers.append((b"rampwick-upstream", dispatch.upstream.encode()))
         waited = self.context.read_clock() - self.arrived_at_seconds
         self.context.metrics.first_token.labels(*self.labels).observe(waited)
-        # The first piece is awaited before anything goes to the caller, so that a
-        # service that breaks off early can still be replaced.
+        # The response starts once its first chunk has arrived, so that the call can be
+        # retried if the service fails before.
         pieces = answer.pieces
         first = await anext(pieces, b"")
         self.context.scheduler.post(
--- a/packages/rampwick-router/src/rampwick_router/entry/_signals.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_signals.py
@@ -1,4 +1,4 @@
-"""What an upstream's answers ask of whoever sends to it, noted and obeyed."""
+"""Handling of upstreams' shutdown and back-off signals."""
 
 from rampwick_policy import Dispatch, Outcome, UpstreamSignalled
 
@@ -10,7 +10,7 @@
 def note_signals(
     scheduler: SchedulerTask, dispatch: Dispatch, signals: UpstreamSignals
 ) -> None:
-    """Post the signals of an answer that is the dispatch's own, if it has any."""
+    """Post the signals in a response to the dispatch, if there are any."""
     if not signals:
         return
     scheduler.post(
@@ -19,13 +19,13 @@
             dispatch.incarnation,
             signals.is_leaving,
             signals.pause_seconds,
-            f"its answer to {dispatch.attempt_id} says so",
+            f"signalled in its response to {dispatch.attempt_id}",
         )
     )
 
 
 def check_not_withdrawn(scheduler: SchedulerTask, dispatch: Dispatch) -> None:
-    """Raise unless the upstream still takes a request that is about to be sent."""
+    """Raise if the upstream has stopped accepting requests since the dispatch."""
     obstacle = scheduler.withdrawal(dispatch.upstream, dispatch.incarnation)
     if obstacle is not None:
         raise AttemptError(
--- a/packages/rampwick-router/src/rampwick_router/entry/_stream_tokens.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_stream_tokens.py
@@ -1,8 +1,9 @@
-"""Tokens that name an upstream's stream to callers, signed by the hosts' secret.
+"""Signed tokens that identify an upstream's stream to callers.
 
-A caller whose connection broke comes back to any host with the id of the last event
-it got. The token in that id says where the stream is; its signature keeps one
-workspace from asking for another's.
+A caller whose connection broke can resume its stream at any host by sending the id of
+the last event it received. The token in that id locates the stream. It is signed with
+the secret that the hosts share, so that a workspace cannot forge a token for another
+workspace's stream.
 """
 
 import base64
@@ -16,13 +17,13 @@
 
 SIGNATURE_BYTES = 12
 
-#: Longest token that is looked at.
+#: Longest accepted token.
 MAX_TOKEN_BYTES = 1024
 
 
 @attrs.frozen(repr=False)
 class StreamReference(Shown):
-    """Where an answer's stream is."""
+    """The location of a response stream."""
 
     workspace: str
     upstream: str
@@ -32,18 +33,18 @@
 
 
 class StreamTokens:
-    """Makes and reads tokens."""
+    """Encodes and verifies stream tokens."""
 
     def __init__(self, secret: str) -> None:
         self._key = hashlib.blake2b(secret.encode(), digest_size=32).digest()
 
     def encode(self, reference: StreamReference) -> bytes:
-        """Return the token of a reference."""
+        """Return the signed token for a reference."""
         body = msgpack.packb(list(attrs.astuple(reference)))
         return base64.urlsafe_b64encode(self._sign(body) + body).rstrip(b"=")
 
     def decode(self, token: str) -> StreamReference | None:
-        """Return the reference of a token, or none if it is not one of ours."""
+        """Return the reference in a token, or None if its signature is invalid."""
         if len(token) > MAX_TOKEN_BYTES or not token.isascii():
             return None
         try:
--- a/tests/test_restored_claims.py
+++ b/tests/test_restored_claims.py
@@ -56,7 +56,7 @@
             for host in (other, one):
                 self.assertEqual("claim_unavailable", await self.refuse(host, "lost"))
                 self.assertEqual(RESTORED_WAIT_SECONDS, host.recovery_remaining_seconds)
-            (lost,) = one._won
+            (lost,) = one._own_claims
             while lost not in self.write_ids(store):
                 await anyio.sleep(0.01)
             clock.now += RESTORED_WAIT_SECONDS
