--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: health, metrics, status, explanations, drain."""
+"""The operators' HTTP interface: health, metrics, status, explain, drain, profile."""
 
 import resource
 from collections.abc import Callable, Mapping
@@ -25,7 +25,7 @@
 
 
 class AdminApp:
-    """Builds the ASGI application towards operators."""
+    """Builds the ASGI application for operators."""
 
     def __init__(
         self,
@@ -59,11 +59,13 @@
                 Route("/drain", self._drain, methods=["POST"]),
                 Route("/profile", self._profile, methods=["POST"]),
                 Route("/suspects", self._list_suspects),
-                Route("/suspects/{fingerprint}", self._forget, methods=["DELETE"]),
+                Route(
+                    "/suspects/{fingerprint}", self._clear_suspect, methods=["DELETE"]
+                ),
             ]
         )
 
-        #: For a listener that tells a balancer no more than this.
+        #: Serves only the readiness check, on a listener for a load balancer.
         self.ready_app = Starlette(routes=[Route("/readyz", self._readyz)])
 
     async def _healthz(self, request: Request) -> Response:
@@ -72,19 +74,19 @@
     async def _readyz(self, request: Request) -> Response:
         if not self._life.is_ready:
             return Response("leaving\n", status_code=503)
-        if self._waits_for_configuration:
+        if self._lacks_configuration:
             return Response("no configuration yet\n", status_code=503)
         return Response("ready\n")
 
     @property
-    def _waits_for_configuration(self) -> bool:
-        # Without routes of its own a host can still answer what rampwick's own
-        # paths ask; where all requests hang on routes it could only refuse them.
+    def _lacks_configuration(self) -> bool:
+        # Where all requests are routed by the configuration, a host without one would
+        # reject them all. Rampwick's native paths can be served without routes.
         return self._needs_configuration and not self._context.follower.revision
 
     async def _metrics(self, request: Request) -> Response:
         metrics = self._context.metrics
-        used = self._context.scheduler.run_query(_read_use)
+        used = self._context.scheduler.run_query(_read_used_tokens)
         for path, tokens in used.items():
             metrics.used_tokens.labels(path).set(tokens)
         for state in self._context.scheduler.run_query(_read_limits):
@@ -92,10 +94,10 @@
             metrics.limit_allowed.labels(state.path).set(state.allowed_tokens)
         metrics.request_rate.clear()
         metrics.own_request_rate.clear()
-        for turn in self._context.scheduler.run_query(_read_turns):
-            metrics.request_rate.labels(turn.upstream).set(turn.requests_per_second)
-            own_rate = turn.own_requests_per_second
-            metrics.own_request_rate.labels(turn.upstream).set(own_rate)
+        for rate in self._context.scheduler.run_query(_read_request_rates):
+            metrics.request_rate.labels(rate.upstream).set(rate.requests_per_second)
+            own_rate = rate.own_requests_per_second
+            metrics.own_request_rate.labels(rate.upstream).set(own_rate)
         for state, count in self._context.scheduler.run_query(_count_suspects).items():
             metrics.suspects.labels(state).set(count)
         open_count, waiting_count = self._context.scheduler.run_query(_read_counts)
@@ -131,7 +133,7 @@
         status["roles"] = attrs.asdict(self._read_roles())
         status["platform_calls"] = dict(self._read_platform_calls())
         status["connections_opened"] = self._context.channels.opened_counts()
-        status["degraded"] = self._problems(status)
+        status["degraded"] = self._list_problems(status)
         return JSONResponse(status)
 
     def _describe_lease(self) -> dict[str, Any]:
@@ -142,35 +144,37 @@
             "is_held_here": self._steward.is_holder,
         }
 
-    def _problems(self, status: dict[str, Any]) -> list[str]:
-        found = []
+    def _list_problems(self, status: dict[str, Any]) -> list[str]:
+        problems = []
         if self._configuration.problem:
-            found.append(f"configuration: {self._configuration.problem}")
+            problems.append(f"configuration: {self._configuration.problem}")
         if self._context.follower.problem:
-            found.append(f"configuration: {self._context.follower.problem}")
+            problems.append(f"configuration: {self._context.follower.problem}")
         if self._hosts.problem:
-            found.append(f"host list: {self._hosts.problem}")
+            problems.append(f"host list: {self._hosts.problem}")
         claims_seconds = self._context.claims.recovery_remaining_seconds
         if claims_seconds > 0.0:
-            found.append(
+            problems.append(
                 f"claims: the store was restored, no key for {claims_seconds:.1f} s"
             )
         if self._context.follower.revision == 0:
-            found.append("configuration: no tree is known; callers are refused")
-        found += [
+            problems.append("configuration: no tree is known; requests are rejected")
+        problems += [
             f"upstream {item['name']}: {item['health']}: {item['last_error']}"
             for item in status["upstreams"]
             if item["health"] != "up"
         ]
         if self._context.settings.peers.secret and not status["peers"]:
-            found.append("peers: none is heard; this host keeps to its part")
-        return found
+            problems.append(
+                "peers: none is alive; this host limits itself to its share"
+            )
+        return problems
 
     async def _explain(self, request: Request) -> Response:
         request_id = request.path_params["request_id"]
         decisions = self._context.scheduler.decisions(request_id)
         if not decisions:
-            return JSONResponse({"error": "no such request of late"}, status_code=404)
+            return JSONResponse({"error": "no recent request"}, status_code=404)
         return JSONResponse([_describe_decision(item) for item in decisions])
 
     async def _drain(self, request: Request) -> Response:
@@ -180,18 +184,18 @@
     async def _list_suspects(self, request: Request) -> Response:
         return JSONResponse(self._context.scheduler.run_query(_read_suspects))
 
-    async def _forget(self, request: Request) -> Response:
-        """Let a request go that upstreams ended under, here and at all peers."""
+    async def _clear_suspect(self, request: Request) -> Response:
+        """Clear the suspicion against a request, on this host and on all peers."""
         try:
             fingerprint = bytes.fromhex(request.path_params["fingerprint"])
         except ValueError:
-            return JSONResponse({"error": "no fingerprint"}, status_code=400)
+            return JSONResponse({"error": "invalid fingerprint"}, status_code=400)
 
-        def forget(scheduler: Scheduler, now_seconds: float) -> bool:
-            reason = "an operator says so"
+        def clear(scheduler: Scheduler, now_seconds: float) -> bool:
+            reason = "cleared by an operator"
             return scheduler.suspects.clear(fingerprint, now_seconds, reason)
 
-        if not self._context.scheduler.run_query(forget):
+        if not self._context.scheduler.run_query(clear):
             error = {"error": "nothing is held against such a request"}
             return JSONResponse(error, status_code=404)
         return Response(status_code=204)
@@ -202,18 +206,18 @@
         except ValueError:
             seconds = 0.0
         if not 0.0 < seconds <= MAX_PROFILE_SECONDS:
-            message = f"seconds is to be a number up to {MAX_PROFILE_SECONDS:g}"
+            message = f"seconds must be a positive number up to {MAX_PROFILE_SECONDS:g}"
             return JSONResponse({"error": message}, status_code=400)
         if self._profiler.is_busy:
-            message = "a profile is being taken already"
+            message = "another profile is being taken"
             return JSONResponse({"error": message}, status_code=409)
-        log.info("profile begins", seconds=seconds)
+        log.info("profile started", seconds=seconds)
         report = await self._profiler.take(seconds)
-        log.info("profile over", processor_seconds=report.processor_seconds)
+        log.info("profile finished", processor_seconds=report.processor_seconds)
         return JSONResponse(attrs.asdict(report))
 
 
-def _read_use(scheduler: Scheduler, now_seconds: float) -> dict[str, float]:
+def _read_used_tokens(scheduler: Scheduler, now_seconds: float) -> dict[str, float]:
     return {
         path: scheduler.ledger.used_tokens(path, now_seconds)
         for path in scheduler.admission.workspaces
@@ -224,15 +228,15 @@
     return scheduler.limits.states(now_seconds)
 
 
-def _read_turns(scheduler: Scheduler, now_seconds: float) -> list[TurnState]:
-    """Return the rates that upstreams name, with what of them is this host's."""
+def _read_request_rates(scheduler: Scheduler, now_seconds: float) -> list[TurnState]:
+    """Return upstreams' request rate limits with this host's shares."""
     turns = scheduler.pool.turns
     states = [turns.state(upstream, now_seconds) for upstream in scheduler.upstreams]
     return [state for state in states if state is not None]
 
 
 def _read_suspects(scheduler: Scheduler, now_seconds: float) -> list[dict[str, Any]]:
-    """Return the requests that upstreams ended under, those with most ends first."""
+    """Return the requests suspected of crashing upstreams, most crashes first."""
     book = scheduler.suspects.book
     rows = [
         {
@@ -300,7 +304,7 @@
             attrs.asdict(state) for state in _read_limits(scheduler, now_seconds)
         ],
         "request_rates": [
-            attrs.asdict(state) for state in _read_turns(scheduler, now_seconds)
+            attrs.asdict(state) for state in _read_request_rates(scheduler, now_seconds)
         ],
         "known_prefixes_count": scheduler.knowledge.entries_count(),
     }
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -1,4 +1,4 @@
-"""The daemon's parts, put together: who hands what to whom."""
+"""Construction of the daemon's components and their connections."""
 
 import random
 import time
@@ -44,14 +44,14 @@
 
 @attrs.frozen(repr=False)
 class Clocks(Shown):
-    """Where the daemon reads time, in seconds."""
+    """Clocks of the daemon, in seconds."""
 
     monotonic: Callable[[], float] = read_steady_clock
     wall: Callable[[], float] = time.time
 
 
 class Assembly:
-    """All parts of one daemon; none of them runs yet."""
+    """All components of one daemon, before any of them runs."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         clocks: Clocks,
         integration: Integration | None,
     ) -> None:
-        draw = random.Random()
+        rng = random.Random()
         self.settings = settings
         self.api = api
         self.clocks = clocks
@@ -92,7 +92,7 @@
                 self.scheduler,
             )
         self.steward = StewardTask(
-            api, settings, self.scheduler, control, read_clock, draw
+            api, settings, self.scheduler, control, read_clock, rng
         )
         self.hosts = HostListTask(self.scheduler)
         self.configuration = ConfigurationTask(
@@ -111,7 +111,7 @@
         self.steward.notify_peers = self.gossip.broadcast_rollout
         self.scheduler.on_long_prompt = self.gossip.early.note_load
         self.scheduler.on_burst = self.gossip.early.note_burst
-        self._connect(api, draw, integration)
+        self._connect_sources(api, rng, integration)
         self.claims = ClaimTask(api, settings.claims, read_clock, clocks.wall)
         self.probes = ProbeTask(control, self.scheduler)
         self.cancels = CancelTask(control, self.scheduler)
@@ -157,13 +157,13 @@
             needs_configuration=integration is not None,
         )
 
-    def _connect(
+    def _connect_sources(
         self,
         api: ObjectApi | None,
-        draw: random.Random,
+        rng: random.Random,
         integration: Integration | None,
     ) -> None:
-        """Give the tasks that follow the platform their sources."""
+        """Connect the tasks that follow the platform to their sources."""
         self.targets: PolledTargets | WatchedTargets | None = None
         self.directory: PeerDirectory | None = None
         if api is None:
@@ -193,22 +193,20 @@
         )
         reader = integration.reader
         self.configuration.source = WatchedTreeSource(
-            api, reader, settings, role.wants_configuration, read_clock, draw
+            api, reader, settings, role.wants_configuration, read_clock, rng
         )
         self.configuration.ask_peer = self.gossip.ages.ask_reader
-        self.hosts.source = WatchedHosts(
-            api, reader, role.wants_hosts, read_clock, draw
-        )
+        self.hosts.source = WatchedHosts(api, reader, role.wants_hosts, read_clock, rng)
         self.targets = WatchedTargets(
-            api, reader, scheduler, steward.wake, role.wants_targets, read_clock, draw
+            api, reader, scheduler, steward.wake, role.wants_targets, read_clock, rng
         )
         self.directory = PeerDirectory(
-            api, self.gossip.roles.table.own, role.is_lonely, role.is_reader, draw
+            api, self.gossip.roles.table.own, role.is_lonely, role.is_reader, rng
         )
         self.directory.note_found = self.gossip.look_for_peers
         self.gossip.directory = self.directory
         steward.is_candidate = role.is_candidate
 
     def _find_health_path(self, service: str) -> str:
-        known = self.follower.view.routes.service(service)
-        return known.health_path if known else "/health"
+        found = self.follower.view.routes.service(service)
+        return found.health_path if found else "/health"
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its tasks run, its stop carried out."""
+"""The daemon: start of its tasks and planned shutdown."""
 
 import socket
 from collections.abc import AsyncIterator
@@ -23,46 +23,47 @@
     UpstreamClient,
 )
 
-#: Time between two looks at whether all requests have been served out.
-DRAIN_STEP_SECONDS = 0.05
+#: Interval between checks whether all open requests have completed.
+DRAIN_CHECK_SECONDS = 0.05
 
-#: Time before a stopping process would be killed at which it begins to close: what the
-#: HTTP library is given to close connections, and half as much again.
+#: Margin before the time at which a stopping process would be killed: 1.5 times what
+#: the HTTP server is given to close its connections.
 STOP_MARGIN_SECONDS = 1.5 * CLOSE_TIMEOUT_SECONDS
 
-#: Longest wait of a host that starts for what it decides by: a few calls to the store
-#: and to caches in calm times, a small part of what callers bear in others.
-INFORMED_WITHIN_SECONDS = 0.25
-INFORMED_STEP_SECONDS = 0.01
+#: Longest delay of a host's start for the initial configuration and cache state. It
+#: allows for a few calls to the store and to caches under normal load, and under
+#: overload is a small part of what callers tolerate.
+INITIAL_STATE_TIMEOUT_SECONDS = 0.25
+INITIAL_STATE_CHECK_SECONDS = 0.01
 
-#: Time between two lines that say how the host stands.
+#: Interval between log lines with the state of the host.
 STATE_INTERVAL_SECONDS = 10.0
 
 log = ComponentLogger("life")
 
 
 class Daemon:
-    """One rampwickd; ``run_daemon`` starts and stops it."""
+    """One rampwickd process; ``run_daemon`` starts and stops it."""
 
-    def __init__(self, built: Assembly) -> None:
-        self._settings = built.settings
-        self._api = built.api
-        self._clocks = built.clocks
-        self._channels = built.channels
-        self._built = built
-        self._hosts = built.hosts
-        self._configuration = built.configuration
-        self._gossip = built.gossip
-        self._context = built.context
-        self.life = built.life
-        self.follower = built.follower
-        self.scheduler = built.scheduler
-        self.steward = built.steward
-        self.entry = built.entry
-        self.admin = built.admin
+    def __init__(self, assembly: Assembly) -> None:
+        self._settings = assembly.settings
+        self._api = assembly.api
+        self._clocks = assembly.clocks
+        self._channels = assembly.channels
+        self._components = assembly
+        self._hosts = assembly.hosts
+        self._configuration = assembly.configuration
+        self._gossip = assembly.gossip
+        self._context = assembly.context
+        self.life = assembly.life
+        self.follower = assembly.follower
+        self.scheduler = assembly.scheduler
+        self.steward = assembly.steward
+        self.entry = assembly.entry
+        self.admin = assembly.admin
 
     def load_fallback(self) -> None:
-        """Put the tree and upstreams of the settings in force until others come."""
+        """Apply the fallback tree and host list until newer ones are received."""
         path = self._settings.life.fallback_tree
         if not path:
             return
@@ -72,7 +73,7 @@
             self._configuration.announce()
 
     def reload(self, settings: Settings) -> None:
-        """Take settings that were read again: seeds at once, the rest at a restart."""
+        """Apply the reloaded seeds; other settings take effect at a restart."""
         changed = sorted(
             field.name
             for field in attrs.fields(Settings)
@@ -82,46 +83,47 @@
         log.info("settings reloaded", changed=changed)
 
     async def start(self, tasks: TaskGroup, listeners: Listeners) -> None:
-        """Start all tasks; return once requests are taken."""
+        """Start all tasks; return when they have been scheduled."""
         tasks.start_soon(self.scheduler.run)
         self.load_fallback()
         tasks.start_soon(self._hosts.run)
         tasks.start_soon(self._configuration.run)
-        tasks.start_soon(self._built.claims.run)
-        tasks.start_soon(self._built.probes.run)
-        tasks.start_soon(self._built.cancels.run)
+        tasks.start_soon(self._components.claims.run)
+        tasks.start_soon(self._components.probes.run)
+        tasks.start_soon(self._components.cancels.run)
         tasks.start_soon(self.steward.run)
         tasks.start_soon(self._channels.sweep)
-        tasks.start_soon(self._built.cache_reader.run)
-        if self._built.targets is not None:
-            tasks.start_soon(self._built.targets.run)
-        if self._built.directory is not None:
-            tasks.start_soon(self._built.directory.run)
+        tasks.start_soon(self._components.cache_reader.run)
+        if self._components.targets is not None:
+            tasks.start_soon(self._components.targets.run)
+        if self._components.directory is not None:
+            tasks.start_soon(self._components.directory.run)
         tasks.start_soon(self.entry.watch_callers)
-        tasks.start_soon(self._built.silences.run)
+        tasks.start_soon(self._components.silences.run)
         tasks.start_soon(self._log_state)
         tasks.start_soon(self._gossip.run, listeners.peer)
         log.info("started", host=self._settings.host.name)
 
     async def wait_initial_state(self) -> None:
-        """Wait, for a short while, until this host knows what it decides by.
+        """Wait, up to a time-out, for the configuration, host list and cache contents.
 
-        Callers' connections wait meanwhile. A host that serves before it knows the
-        configuration refuses, and one that knows no cache takes each runner for full.
+        Callers' connections are queued meanwhile. Without the configuration the host
+        would reject requests, and without the cache contents it would treat each
+        runner's cache as full.
         """
-        with anyio.move_on_after(INFORMED_WITHIN_SECONDS):
-            while not self._is_informed():
-                await anyio.sleep(INFORMED_STEP_SECONDS)
+        with anyio.move_on_after(INITIAL_STATE_TIMEOUT_SECONDS):
+            while not self._has_initial_state():
+                await anyio.sleep(INITIAL_STATE_CHECK_SECONDS)
 
-    def _is_informed(self) -> bool:
+    def _has_initial_state(self) -> bool:
         return (
             self.follower.revision > 0
             and self._hosts.version >= 0
-            and self._built.cache_reader.is_caught_up
+            and self._components.cache_reader.is_caught_up
         )
 
     async def _log_state(self) -> None:
-        """Say now and then how the host stands, so that logs alone tell it."""
+        """Log the state of the host periodically, for analysis from logs alone."""
         while True:
             await sleep_on_grid(STATE_INTERVAL_SECONDS)
             now_seconds = self._clocks.monotonic()
@@ -143,7 +145,7 @@
             )
 
     def _describe_targets(self) -> dict[str, Any]:
-        """Return what this host believes of new weights, as its log tells it."""
+        """Return log fields with the known target versions of weights."""
         return {
             "targets": {
                 target.model: target.weights_version
@@ -155,7 +157,7 @@
         }
 
     async def stop(self) -> None:
-        """Carry out a planned stop once it has begun."""
+        """Wait for the start of a planned shutdown and carry it out."""
         await self.life.wait_stopping()
         began_seconds = self._clocks.monotonic()
         stop_within_seconds = self._settings.life.stop_within_seconds
@@ -164,18 +166,18 @@
                 began_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
             )
             self.life.exit_deadline_seconds = exit_deadline_seconds
-        log.info("not ready, waiting for the balancer")
+        log.info("not ready, waiting for the balancer to stop routing here")
         self._gossip.summaries.is_leaving = True
         await self.steward.give_up()
         self._gossip.summaries.publish_own()
         await self.life.pause(self._settings.life.balancer_delay_seconds)
         self.life.balancer_delay_elapsed = True
         self.entry.is_closed = self._settings.life.refuses_while_leaving
-        log.info("closed, serving out", open_count=self.entry.open_count)
+        log.info("draining open requests", open_count=self.entry.open_count)
         with anyio.move_on_after(self._drain_seconds()):
             while self.entry.open_count:
-                # A hurried stop has each open request end itself with an error.
-                await anyio.sleep(DRAIN_STEP_SECONDS)
+                # In a forced shutdown EntryApp ends each open request with an error.
+                await anyio.sleep(DRAIN_CHECK_SECONDS)
         log.info(
             "left",
             open_count=self.entry.open_count,
@@ -183,7 +185,7 @@
         )
 
     def _drain_seconds(self) -> float:
-        """Return how long open requests are waited for at the most."""
+        """Return the maximum time to wait for open requests."""
         drain_seconds = self._settings.life.drain_timeout_seconds
         if self.life.exit_deadline_seconds is None:
             return drain_seconds
@@ -206,10 +208,10 @@
     integration: Integration | None = None,
     listener: socket.socket | None = None,
 ) -> AsyncIterator[tuple[Daemon, Addresses]]:
-    """Run a daemon for the length of the context; leaving it stops it hard.
+    """Run a daemon for the duration of the context; the exit stops it immediately.
 
-    To stop it gently, call ``daemon.life.begin_stop()`` and await ``daemon.stop()``
-    within the context.
+    For a graceful shutdown, call ``daemon.life.begin_stop()`` and await
+    ``daemon.stop()`` within the context.
     """
     async with AsyncExitStack() as stack:
         if api is None and settings.platform.url:
@@ -231,7 +233,7 @@
             settings.limits.max_event_bytes,
         )
         listeners = await listen(settings.listen, stack, listener)
-        built = Assembly(
+        assembly = Assembly(
             settings,
             api,
             upstreams,
@@ -240,7 +242,7 @@
             clocks,
             integration,
         )
-        daemon = Daemon(built)
+        daemon = Daemon(assembly)
         tasks = await stack.enter_async_context(anyio.create_task_group())
         stack.callback(tasks.cancel_scope.cancel)
         await daemon.start(tasks, listeners)
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -1,7 +1,7 @@
-"""What a daemon needs of the protocols around it.
+"""Interfaces of dialects, which translate protocols to and from the daemon's types.
 
-The daemon decides and forwards; a dialect translates. Rampwick's own dialect is in
-``_native_dialect``; a deployment with other names brings one of its own.
+Rampwick's native dialect is in ``_native_dialect``; a deployment with other protocols
+provides its own.
 """
 
 import re
@@ -17,104 +17,105 @@
 from ._errors import CallerError
 from ._headers import AnswerHead, Header, find_all
 
-#: A decimal number as upstreams write one: no sign, no exponent, and short, since
-#: nothing else is a rate that anybody means.
+#: Accepted decimal numbers: without sign or exponent, and short, since any other number
+#: is not a plausible rate.
 DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?|\.[0-9]{1,12}")
 
 
 @attrs.frozen(repr=False)
 class RawCall(Shown):
-    """A caller's request line and headers as they came."""
+    """A caller's request line and headers as received."""
 
     method: str
     #: Path and query, byte for byte.
     target: str
-    #: Names are in lower case.
+    #: Headers with lower-case names.
     headers: Sequence[Header]
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the value of a header that may stand once; None if it is absent."""
+        """Return the value of a header that occurs at most once; None if absent."""
         for known, value in self.headers:
             if known == name:
                 return value
         return None
 
     def count(self, name: bytes) -> int:
-        """Return how often a header stands."""
+        """Return the number of occurrences of a header."""
         return sum(known == name for known, _ in self.headers)
 
 
 @attrs.frozen(repr=False)
 class RoutedCall(Shown):
-    """A caller's request on a route, read from its headers."""
+    """A caller's request on a route, parsed from its headers."""
 
     request_id: str
     host: str
     method: str
-    #: Path and query, to be sent on as they are.
+    #: Path and query, forwarded unchanged.
     target: str
-    #: Bearer key; none if the caller sent none.
+    #: Bearer key; None if the caller sent none.
     key: str | None
-    #: Headers that go on to the upstream as they are.
+    #: Headers that are forwarded to the upstream unchanged.
     forwarded_headers: Sequence[Header]
-    #: Time that the caller will wait; none if it does not say.
+    #: Time-out of the caller; None if it sent none.
     timeout_seconds: float | None = None
-    #: Model and parts of the prompt; none of them for plain services.
+    #: Model and prompt parts; empty for plain services.
     model: str = ""
     parts: tuple[PromptPart, ...] = ()
     max_answer_tokens: int = 0
-    #: Tokens of prompt and answer together as the caller names them, if it does.
+    #: Tokens of prompt and response together as declared by the caller, if any.
     named_tokens: int | None = None
-    #: Id of the last event that the caller has of a stream; empty for a new one.
+    #: Id of the last event that the caller received; empty for a new stream.
     last_event_id: str = ""
 
     @property
     def path(self) -> str:
-        """Path without the query."""
+        """The target without its query."""
         return self.target.partition("?")[0]
 
 
 @attrs.frozen(repr=False)
 class AttemptTerms(Shown):
-    """What one attempt tells its upstream besides the caller's request."""
+    """Metadata that an attempt sends to its upstream with the caller's request."""
 
-    #: Upstream and life that alone shall run it.
+    #: Incarnation of the upstream that must run it; any other must reject it.
     incarnation: str
     weights_version: int
     remaining_seconds: float
-    #: Workspace that it runs for; empty on public routes.
+    #: Workspace of the request; empty on public routes.
     workspace: str
     priority_rank: int
     cache_salt: str = ""
     import_address: str = ""
     save_address: str = ""
-    #: Last event that the caller has, if a stream goes on.
+    #: Id of the last event that the caller received, if a stream is resumed.
     resume_after: str = ""
 
 
 @attrs.frozen(repr=False)
 class RequestRate(Shown):
-    """What an answer says of the requests that its upstream takes from all hosts."""
+    """The request rate limit in an upstream's response, which all hosts share."""
 
-    #: Requests a second; none if it names no rate.
+    #: Requests per second; None if the response contains no limit.
     per_second: float | None = None
-    #: Whether it is surely so: what can't be read neither names a rate nor ends one.
+    #: Whether the header is absent or valid. An invalid header neither sets nor removes
+    #: a limit.
     is_readable: bool = True
 
 
-#: Statuses under which ``Retry-After`` asks the sender for a pause.
-PAUSING_STATUSES = frozenset(
+#: Statuses with which ``Retry-After`` requests a pause from the sender.
+RETRY_AFTER_STATUSES = frozenset(
     {HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE}
 )
 
 
 @attrs.frozen(repr=False)
 class UpstreamSignals(Shown):
-    """What an answer asks of whoever sends to its upstream."""
+    """Shutdown and back-off signals in an upstream's response."""
 
-    #: Whether the upstream is shutting down and takes no new requests.
+    #: Whether the upstream is shutting down and accepts no new requests.
     is_leaving: bool = False
-    #: Time for which it wants no request from this host; none if it does not say.
+    #: Time for which this host must not send requests; None if no pause is requested.
     pause_seconds: float | None = None
 
     def __bool__(self) -> bool:
@@ -122,16 +123,17 @@
 
 
 def read_signals(head: AnswerHead, leaving_name: bytes) -> UpstreamSignals:
-    """Return the signals of an answer; ``leaving_name`` is a lower-case header name.
+    """Return the signals in a response; ``leaving_name`` is a lower-case header name.
 
-    Of several values the longest pause counts, and any that is not ``0`` announces a
-    shutdown. A pause that can't be read, as a date, is none.
+    The longest of several pauses applies. Any shutdown header with a value other than
+    ``0`` announces a shutdown. A pause that is not a decimal number, such as a date, is
+    ignored.
     """
     announced = find_all(head.headers, leaving_name)
     pauses = [
         float(value)
         for value in find_all(head.headers, b"retry-after")
-        if head.status in PAUSING_STATUSES and DECIMAL.fullmatch(value.strip())
+        if head.status in RETRY_AFTER_STATUSES and DECIMAL.fullmatch(value.strip())
     ]
     return UpstreamSignals(
         is_leaving=any(value.strip() not in (b"", b"0") for value in announced),
@@ -141,30 +143,30 @@
 
 @attrs.frozen(repr=False)
 class AnswerFacts(Shown):
-    """What an upstream's answer says of the attempt and of the upstream."""
+    """Information in a response head about the attempt and the upstream."""
 
-    #: Id of the request that it answers; empty if it names none.
+    #: Id of the request that the response belongs to; empty if it contains none.
     request_id: str
-    #: Whether the upstream says that it did not run the request.
+    #: Whether the upstream reports that it did not run the request.
     was_refused: bool = False
-    #: Whether the upstream is another than asked for, or has other weights.
+    #: Whether the upstream rejected a request for another upstream or other weights.
     is_misdirected: bool = False
-    #: Whether the answer is proved to be the upstream's own.
+    #: Whether the response is verified to come from the upstream.
     is_signed: bool = False
-    #: Whether it names another upstream, or another life, than was asked.
+    #: Whether the response comes from another upstream or incarnation than addressed.
     is_other_incarnation: bool = False
-    #: Weights of the upstream; none if it does not say.
+    #: Weights version of the upstream; None if it is not reported.
     weights_version: int | None = None
-    #: How long the connection may rest; none if it does not say.
+    #: Idle time-out of the connection; None if it is not reported.
     max_rest_seconds: float | None = None
-    #: Whether the upstream closes its connections, as one that leaves does.
+    #: Whether the upstream closes the connection, as during its shutdown.
     is_closing: bool = False
     request_rate: RequestRate = RequestRate()
     signals: UpstreamSignals = UpstreamSignals()
 
 
 def read_request_rate(head: AnswerHead, name: bytes) -> RequestRate:
-    """Return the rate under a lower-case header name; the least one of several."""
+    """Return the rate limit under a lower-case header name, the lowest of several."""
     values = find_all(head.headers, name)
     if not values:
         return RequestRate()
@@ -175,7 +177,7 @@
 
 @attrs.frozen(repr=False)
 class ErrorAnswer(Shown):
-    """An error as a caller is told it."""
+    """An error response to a caller."""
 
     status: int
     headers: Sequence[Header]
@@ -183,33 +185,33 @@
 
 
 class CallerDialect(Protocol):
-    """How callers of routes speak."""
+    """Protocol of callers of routes."""
 
     def read_call(self, raw: RawCall) -> RoutedCall:
         """Return the request, or raise a CallerError of status 400."""
 
     def write_error(self, error: CallerError, request_id: str) -> ErrorAnswer:
-        """Return an error as this dialect tells it."""
+        """Return the error response of this dialect."""
 
 
 class UpstreamDialect(Protocol):
-    """How the upstreams of routes speak."""
+    """Protocol of upstreams of routes."""
 
     def request_headers(self, call: RoutedCall, terms: AttemptTerms) -> list[Header]:
-        """Return the headers of an attempt; its body keeps its length."""
+        """Return the headers of an attempt, without Content-Length."""
 
     def read_answer(self, head: AnswerHead, incarnation: str) -> AnswerFacts:
-        """Return what the head of an answer says; ``incarnation`` was asked."""
+        """Parse a response head; ``incarnation`` is the one that was addressed."""
 
     def answer_headers(self, head: AnswerHead) -> list[Header]:
-        """Return the headers that the caller is sent."""
+        """Return the response headers for the caller."""
 
 
 @attrs.frozen(repr=False)
 class ControlRequest(Shown):
-    """A call to an upstream that is not a caller's request."""
+    """A call to an upstream on behalf of this host, not of a caller."""
 
-    #: What is being done, for errors and logs.
+    #: Name of the operation, for errors and logs.
     step: str
     method: str
     path: str
@@ -218,24 +220,24 @@
 
 
 class ControlDialect(Protocol):
-    """How upstreams are asked how they are, and told what to do."""
+    """Protocol of health probes and orders to upstreams."""
 
     def probe(self, entry: HostEntry, health_path: str) -> ControlRequest:
-        """Return the call by which an upstream tells how it is."""
+        """Return the request that probes an upstream."""
 
     def read_probe(
         self, entry: HostEntry, head: AnswerHead, body: bytes
     ) -> LoadReport | None:
-        """Return a runner's report, none of a healthy service, or raise DataError."""
+        """Return a runner's report, None for a healthy service, or raise DataError."""
 
     def read_signals(self, head: AnswerHead, body: bytes) -> UpstreamSignals:
-        """Return the signals of an answer that is surely the called upstream's own."""
+        """Return the signals in a response verified to come from the upstream."""
 
     def order(self, entry: HostEntry, order: Order) -> ControlRequest:
-        """Return the call that gives an order."""
+        """Return the request that sends an order."""
 
     def read_order(self, head: AnswerHead) -> OrderResult:
-        """Return what a runner says to an order."""
+        """Return a runner's result for an order."""
 
 
 @attrs.frozen(repr=False)
@@ -244,36 +246,36 @@
 
     salt: str
     part: bytes
-    #: Tokens kept of the part now; none means that it is gone.
+    #: Tokens of the part that are cached now; 0 if it was evicted.
     kept_tokens: int
 
 
 @attrs.frozen(repr=False)
 class CacheEvents(Shown):
-    """What a cache told since the last question."""
+    """The events of a cache since the last read."""
 
-    #: Changes when the cache starts anew, empty.
+    #: Changes when the cache restarts empty.
     epoch: int
-    #: Where the next question goes on.
+    #: Event number from which the next read continues.
     next_number: int
-    #: Whether older events were forgotten before they were read.
+    #: Whether events were discarded before they were read.
     has_gap: bool
     events: Sequence[CacheEvent]
 
 
 class CacheDialect(Protocol):
-    """How engines and stores tell what they cache."""
+    """Protocol by which engines and KV stores report their cache contents."""
 
     def events(self, address: str, since: int, wait_seconds: float) -> ControlRequest:
-        """Return the call for the events after a number; it waits for some."""
+        """Return the long-polling request for the events after a number."""
 
     def read_events(self, head: AnswerHead, body: bytes) -> CacheEvents:
-        """Return the events of an answer, or raise DataError."""
+        """Return the events in a response, or raise DataError."""
 
 
 @attrs.frozen(repr=False)
 class Dialects(Shown):
-    """The protocols towards callers and upstreams of routes."""
+    """The dialects for callers, upstreams, control calls and caches."""
 
     caller: CallerDialect
     upstream: UpstreamDialect
--- a/packages/rampwick-router/src/rampwick_router/_errors.py
+++ b/packages/rampwick-router/src/rampwick_router/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the daemon, and their shape towards callers."""
+"""Errors of the daemon and their representation in responses to callers."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 
 class CallerError(RampwickError):
-    """A request that gets an error as its final answer."""
+    """An error that is the final response to a request."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         evidence: str = "",
     ) -> None:
         super().__init__(message, step=step, peer=peer)
-        #: What it rests on; for logs, not for the caller.
+        #: The facts behind the decision; logged, not sent to the caller.
         self.evidence = evidence
         self.status = status
         self.code = code
@@ -31,7 +31,7 @@
 
     @property
     def body(self) -> dict[str, object]:
-        """The error in OpenAI's shape, with rampwick's own fields."""
+        """The error in OpenAI's format, with additional fields of rampwick."""
         kind = "invalid_request_error" if self.status < 500 else "server_error"
         error: dict[str, object] = {
             "message": self.message,
@@ -47,7 +47,7 @@
 
 
 class AttemptError(RampwickError):
-    """An attempt at an upstream ended without its whole answer."""
+    """An attempt at an upstream ended without a complete response."""
 
     def __init__(
         self,
@@ -67,20 +67,21 @@
 
 
 class PeerError(RampwickError):
-    """A peer can't be talked to; it costs that connection only."""
+    """A connection to a peer failed; only that connection is closed."""
 
 
 @attrs.frozen(repr=False)
 class ErrorKind(Shown):
-    """Status and code by which a refusal is told."""
+    """Status and message of a refusal."""
 
     status: int
     message: str
-    #: Whether it holds for each try of the request, so that none is to come back.
+    #: Whether every retry of the request is refused as well, so that 503, which invites
+    #: a retry, must not be sent.
     is_permanent: bool = False
 
 
-#: Refusals of the scheduler, by their reason.
+#: Refusals of the scheduler by reason.
 REFUSALS = {
     "over_limit": ErrorKind(429, "the workspace's limit in tokens is used up for now"),
     "queue_full": ErrorKind(429, "too many requests are waiting"),
@@ -104,11 +105,12 @@
 }
 
 
-#: How long a caller shall wait before it asks another host, where this one can't
-#: confirm its configuration: hosts fail apart, so the next one can serve at once.
+#: Retry-after for requests that another host may serve, such as those that this host
+#: cannot check against a current configuration. It is short because hosts fail
+#: independently, so that another host can serve them immediately.
 OTHER_HOST_RETRY_SECONDS = 0.05
 
-#: Answers to requests that the configuration does not allow.
+#: Responses to requests that the configuration does not allow.
 DENIALS = {
     Verdict.NO_CONFIGURATION: ErrorKind(503, "no configuration is known here yet"),
     Verdict.UNKNOWN_ROUTE: ErrorKind(404, "no route leads there"),
@@ -123,13 +125,13 @@
 ) -> CallerError:
     """Return the error for a request that the configuration does not allow."""
     kind = DENIALS[verdict]
-    is_elsewhere = kind.status == 503
-    may_ask_again = is_elsewhere and run_state <= RunState.REFUSED
+    is_retryable_elsewhere = kind.status == 503
+    may_retry = is_retryable_elsewhere and run_state <= RunState.REFUSED
     return CallerError(
         kind.message,
         status=kind.status if run_state <= RunState.REFUSED else 502,
         code=verdict.value,
         step="check access",
         run_state=run_state,
-        retry_after_seconds=OTHER_HOST_RETRY_SECONDS if may_ask_again else None,
+        retry_after_seconds=OTHER_HOST_RETRY_SECONDS if may_retry else None,
     )
--- a/packages/rampwick-router/src/rampwick_router/_fallback.py
+++ b/packages/rampwick-router/src/rampwick_router/_fallback.py
@@ -1,7 +1,7 @@
-"""The fallback file: a tree and upstreams for a start that hears nobody.
+"""The fallback file: a tree and a host list for a start without platform or peers.
 
 It is written as TOML: ``[tree.nodes."/path"]`` tables and ``[[hosts]]`` entries. Both
-count as older than anything that the platform or a peer says.
+are considered older than any version from the platform or a peer.
 """
 
 import tomllib
@@ -22,13 +22,13 @@
 
 STEP = "read fallback"
 
-#: Revision and version below any real one, above none at all.
+#: Revision and version below any real one.
 FALLBACK_REVISION = 0
 
 
 @attrs.frozen(repr=False)
 class FallbackFile(Shown):
-    """The file as written."""
+    """The parsed content of the file."""
 
     nodes: dict[str, Node]
     hosts: list[HostEntry] = attrs.field(factory=list)
@@ -36,14 +36,14 @@
 
 @attrs.frozen(repr=False)
 class Fallback(Shown):
-    """What is in force until something newer is heard."""
+    """Tree and host list in force until newer ones are received."""
 
     tree: Tree
     hosts: HostList
 
 
 def read_fallback(path: Path) -> Fallback:
-    """Return the checked fallback of a file, or raise an error of one line."""
+    """Read and validate a fallback file, or raise an error with a one-line message."""
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/packages/rampwick-router/src/rampwick_router/_headers.py
+++ b/packages/rampwick-router/src/rampwick_router/_headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers, and which of them never travel further."""
+"""Headers of requests and responses, and the selection of end-to-end headers."""
 
 from collections.abc import Iterable, Sequence
 
@@ -9,14 +9,13 @@
 Header = tuple[bytes, bytes]
 RawHeaders = Sequence[Header]
 
-#: Requests a second that an upstream takes from all hosts together, as rampwick's own
-#: upstreams name it.
+#: Requests per second that a rampwick upstream accepts from all hosts together.
 REQUEST_RATE = b"rampwick-request-rate"
 
-#: Announcement of an upstream that is shutting down.
+#: Announces that an upstream is shutting down.
 LEAVING = b"rampwick-leaving"
 
-#: Headers of one connection, by RFC 9110, and those that the sender makes anew.
+#: Hop-by-hop headers of RFC 9110, and headers that each sender generates itself.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -36,18 +35,19 @@
 
 @attrs.frozen(repr=False)
 class AnswerHead(Shown):
-    """Status line and headers of an upstream's answer."""
+    """Status line and headers of an upstream's response."""
 
     status: int
     headers: RawHeaders
-    #: Whether the end of the body is told by its length or by chunks.
+    #: Whether the body is delimited by its length or by chunks, and not by the close of
+    #: the connection.
     is_framed: bool
 
 
 def end_to_end_headers(headers: Iterable[Header]) -> list[Header]:
-    """Return the headers that go beyond one connection.
+    """Return the headers that are not hop-by-hop.
 
-    What a Connection header names belongs to the connection as well.
+    Headers listed in a Connection header are hop-by-hop as well.
     """
     known = list(headers)
     named = {
@@ -56,12 +56,12 @@
         if name.lower() == b"connection"
         for token in value.split(b",")
     }
-    left_out = CONNECTION_HEADERS | named
-    return [(name, value) for name, value in known if name.lower() not in left_out]
+    hop_by_hop = CONNECTION_HEADERS | named
+    return [(name, value) for name, value in known if name.lower() not in hop_by_hop]
 
 
 def find(headers: Iterable[Header], name: bytes) -> bytes | None:
-    """Return the value of the first header of a lower-case name; None without one."""
+    """Return the value of the first header with a lower-case name, or None."""
     for known, value in headers:
         if known.lower() == name:
             return value
@@ -69,12 +69,12 @@
 
 
 def find_all(headers: Iterable[Header], name: bytes) -> list[bytes]:
-    """Return the values of all headers of a lower-case name."""
+    """Return the values of all headers with a lower-case name."""
     return [value for known, value in headers if known.lower() == name]
 
 
 def keep_alive_seconds(headers: Iterable[Header]) -> float | None:
-    """Return the rest that a Keep-Alive header allows; None if it names none."""
+    """Return the idle time-out in a Keep-Alive header, or None."""
     value = find(headers, b"keep-alive")
     if value is None:
         return None
@@ -86,7 +86,7 @@
 
 
 def has_connection_close(headers: Iterable[Header]) -> bool:
-    """Return whether a Connection header ends the connection after this message."""
+    """Return whether a Connection header contains ``close``."""
     value = find(headers, b"connection")
     if value is None:
         return False
--- a/packages/rampwick-router/src/rampwick_router/_integration.py
+++ b/packages/rampwick-router/src/rampwick_router/_integration.py
@@ -1,4 +1,4 @@
-"""What a deployment with a platform of its own brings into the daemon."""
+"""Interfaces for a deployment with its own platform and protocols."""
 
 from typing import Protocol
 
@@ -12,12 +12,12 @@
 
 
 class StoreReader(ReadsConfiguration, ReadsUpstreams, ReadsTargets, Protocol):
-    """How everything that others keep in the store is read."""
+    """Reads configuration, upstreams and targets from a store."""
 
 
 @attrs.frozen(repr=False)
 class Integration(Shown):
-    """Translations between a platform's protocols and rampwick's own terms."""
+    """Translations between a platform's protocols and rampwick's types."""
 
     store: StoreDialect
     reader: StoreReader
--- a/packages/rampwick-router/src/rampwick_router/_lifecycle.py
+++ b/packages/rampwick-router/src/rampwick_router/_lifecycle.py
@@ -1,4 +1,4 @@
-"""Starting and stopping of the daemon: ready, not ready, closed, gone."""
+"""Shutdown state of the daemon."""
 
 import anyio
 
@@ -6,41 +6,41 @@
 
 
 class Lifecycle:
-    """Steps of a planned stop; each is an event that tasks wait for.
+    """Steps of a planned shutdown, with events that tasks can wait for.
 
-    The first ``begin_stop`` starts a stop that cuts no request; the second one
-    hurries it: what is open then ends with an error.
+    The first ``begin_stop`` starts a graceful shutdown, which lets open requests
+    complete; the second one forces it, and open requests end with an error.
     """
 
     def __init__(self) -> None:
         self._stopping = anyio.Event()
-        self._hurrying = anyio.Event()
-        #: Steady time by which a stopping host is gone; none while it has time.
+        self._forced = anyio.Event()
+        #: Monotonic time by which the process exits; None if there is no such time.
         self.exit_deadline_seconds: float | None = None
-        #: Whether the balancer has had the time to send callers elsewhere.
+        #: Whether the balancer has had time to stop routing callers here.
         self.balancer_delay_elapsed = False
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer shall send requests here."""
+        """Whether the balancer should route requests here."""
         return not self._stopping.is_set()
 
     @property
     def is_forced(self) -> bool:
-        """Whether open requests are not waited for."""
-        return self._hurrying.is_set()
+        """Whether the shutdown does not wait for open requests."""
+        return self._forced.is_set()
 
     def begin_stop(self) -> None:
-        """Begin a planned stop, or hurry one that has begun."""
+        """Begin a planned shutdown, or force one that has begun."""
         if self._stopping.is_set():
-            self._hurrying.set()
+            self._forced.set()
         self._stopping.set()
 
     async def wait_stopping(self) -> None:
-        """Return when a stop has begun."""
+        """Return when a shutdown has begun."""
         await self._stopping.wait()
 
     async def pause(self, seconds: float) -> None:
-        """Wait, but not on when the stop is hurried."""
+        """Sleep, at most until the shutdown is forced."""
         with move_on_at_grid(seconds):
-            await self._hurrying.wait()
+            await self._forced.wait()
--- a/packages/rampwick-router/src/rampwick_router/_log_sink.py
+++ b/packages/rampwick-router/src/rampwick_router/_log_sink.py
@@ -1,7 +1,7 @@
-"""Where log lines go: a file descriptor that never holds anybody up.
+"""Non-blocking output of log lines to a file descriptor.
 
-A reader that stops reading fills the pipe. What does not fit any more waits in a
-bounded buffer, and what does not fit there is counted and left out.
+If the reader of a pipe stops reading, lines are held in a bounded buffer; lines that do
+not fit there are dropped and counted.
 """
 
 import os
@@ -15,51 +15,51 @@
 import eliot
 import orjson
 
-#: Bytes that may wait for a reader that is behind.
-MAX_WAITING_BYTES = 262_144
+#: Maximum size of the buffer for a slow reader.
+MAX_BUFFERED_BYTES = 262_144
 
 
 class LogSink:
-    """Destination of eliot's messages: one JSON object a line."""
+    """Destination of eliot messages that writes one JSON object per line."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
-        #: Lines left out because their reader was behind.
-        self.left_out_count = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
+        #: Number of lines dropped because the reader was too slow.
+        self.dropped_count = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Write a message, now or once the reader takes it."""
+        """Write a message, or buffer it until the reader catches up."""
         line = orjson.dumps(message, default=str) + b"\n"
         self.flush()
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
-            self.left_out_count += 1
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
+            self.dropped_count += 1
             return
-        if self.left_out_count:
-            message = {**message, "left_out_lines_count": self.left_out_count}
+        if self.dropped_count:
+            message = {**message, "left_out_lines_count": self.dropped_count}
             line = orjson.dumps(message, default=str) + b"\n"
-            self.left_out_count = 0
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
+            self.dropped_count = 0
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write as much of what waits as the reader takes."""
-        while self._waiting:
-            line = self._waiting[0]
+        """Write as much of the buffer as the descriptor accepts."""
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read it: a closed pipe must not stop the host.
+                # The line is dropped: a closed pipe must not stop the host.
                 written = len(line)
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
 
 
 @contextmanager
--- a/packages/rampwick-router/src/rampwick_router/_logs.py
+++ b/packages/rampwick-router/src/rampwick_router/_logs.py
@@ -1,7 +1,7 @@
-"""Logs: short sentences, each part with its fixed prefix, written by eliot.
+"""Structured logs, written by eliot, with a fixed prefix for each component.
 
-The volume is bounded: of each sentence only so many lines go out in a second, and the
-next one that does says how many were left out.
+Each message is limited to N lines a second; the next line that is written contains the
+number of lines dropped before it.
 """
 
 import math
@@ -13,69 +13,69 @@
 
 from rampwick_schema import Shown
 
-#: Lines of one sentence that go out in a second, and that may be saved up. A host
-#: serves some tens of requests a second, so that each leaves its lines; a storm of
-#: failures does not fill the disk of whoever collects them.
+#: Rate limit and burst of lines with the same message. A host serves some tens of
+#: requests a second, all of which are logged; a mass of failures must not fill the disk
+#: of the log collector.
 LINES_PER_SECOND = 50.0
 BURST_LINES = 200.0
 
 
 @attrs.define(repr=False)
 class LineTokenBucket(Shown):
-    """Token bucket of one sentence's lines."""
+    """Token bucket for the lines of one message."""
 
-    saved: float = BURST_LINES
+    tokens: float = BURST_LINES
     at_seconds: float = 0.0
-    left_out_count: int = 0
+    dropped_count: int = 0
 
-    def spend(self, now_seconds: float) -> bool:
-        """Take one line; return whether it may go out."""
+    def take(self, now_seconds: float) -> bool:
+        """Take one token; return whether the line may be written."""
         earned = (now_seconds - self.at_seconds) * LINES_PER_SECOND
-        self.saved = min(BURST_LINES, self.saved + earned)
+        self.tokens = min(BURST_LINES, self.tokens + earned)
         self.at_seconds = now_seconds
-        if self.saved < 1.0:
-            self.left_out_count += 1
+        if self.tokens < 1.0:
+            self.dropped_count += 1
             return False
-        self.saved -= 1.0
+        self.tokens -= 1.0
         return True
 
 
 class ComponentLogger:
-    """Logger of one part of the daemon.
+    """Logger of one component of the daemon.
 
-    Call ``info`` for what operators may want to follow and ``problem`` for what
-    they should look at. Fields go beside the sentence, never into it.
+    ``info`` is for normal events, ``problem`` for events that need an operator's
+    attention. Values are passed as fields and never formatted into the message.
     """
 
-    def __init__(self, part: str) -> None:
-        self._part = part
-        self._budgets: dict[str, LineTokenBucket] = {}
+    def __init__(self, component: str) -> None:
+        self._component = component
+        self._buckets: dict[str, LineTokenBucket] = {}
 
-    def info(self, sentence: str, **fields: Any) -> None:
-        """Log something that went as it should."""
-        self._write("info", sentence, fields)
+    def info(self, text: str, **fields: Any) -> None:
+        """Log a normal event."""
+        self._write("info", text, fields)
 
-    def problem(self, sentence: str, **fields: Any) -> None:
-        """Log something that did not go as it should."""
-        self._write("problem", sentence, fields)
+    def problem(self, text: str, **fields: Any) -> None:
+        """Log a failure or an anomaly."""
+        self._write("problem", text, fields)
 
-    def _write(self, level: str, sentence: str, fields: dict[str, Any]) -> None:
-        budget = self._budgets.setdefault(sentence, LineTokenBucket())
-        if not budget.spend(time.monotonic()):
+    def _write(self, level: str, text: str, fields: dict[str, Any]) -> None:
+        bucket = self._buckets.setdefault(text, LineTokenBucket())
+        if not bucket.take(time.monotonic()):
             return
-        if budget.left_out_count:
-            fields["left_out_count"] = budget.left_out_count
-            budget.left_out_count = 0
+        if bucket.dropped_count:
+            fields["left_out_count"] = bucket.dropped_count
+            bucket.dropped_count = 0
         eliot.log_message(
-            message_type=f"rampwick:{self._part}",
+            message_type=f"rampwick:{self._component}",
             level=level,
-            message=f"{self._part}: {sentence}",
+            message=f"{self._component}: {text}",
             **fields,
         )
 
 
 def milliseconds(seconds: float | None) -> int | None:
-    """Return a time as log lines say it; none where it is not known."""
+    """Return a time in milliseconds for logs; None if it is unknown or infinite."""
     if seconds is None or math.isinf(seconds):
         return None
     return round(seconds * 1000)
--- a/packages/rampwick-router/src/rampwick_router/_main.py
+++ b/packages/rampwick-router/src/rampwick_router/_main.py
@@ -21,7 +21,7 @@
 
 log = ComponentLogger("life")
 
-#: Signals that a daemon understands: stop, and read the settings again.
+#: Handled signals: shut down, and reload the settings.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 EXIT_OK = 0
@@ -29,7 +29,7 @@
 
 EXAMPLES = """\
 examples:
-  rampwickd host.toml            run until SIGTERM; a second one hurries
+  rampwickd host.toml            run until SIGTERM; a second one forces the shutdown
   rampwickd --check host.toml    check the settings and exit
 """
 
@@ -48,8 +48,8 @@
         print(f"{arguments.settings}: settings are valid")
         return EXIT_OK
     with open_log(arguments.log):
-        # A test or a demo that let the ports be chosen reads them here; where logs
-        # go to standard output the line "started" says them.
+        # Tests and demos that use ephemeral ports read the addresses from this line.
+        # It is omitted where standard output carries the log.
         announce = print if arguments.log else _announce_nothing
         anyio.run(
             run_host,
@@ -69,7 +69,7 @@
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("settings", type=Path, help="settings file (TOML)")
-    parser.add_argument("--check", action="store_true", help="check, then exit")
+    parser.add_argument("--check", action="store_true", help="check and exit")
     parser.add_argument("--log", type=Path, help="log file; default is standard output")
     return parser.parse_args()
 
@@ -79,7 +79,7 @@
 
 
 def _log_problem(problem: str) -> None:
-    log.problem("setting not taken as it is", problem=problem)
+    log.problem("setting ignored or adjusted", problem=problem)
 
 
 def _announce_nothing(line: str, *, flush: bool) -> None:
@@ -93,15 +93,15 @@
     clocks: Clocks | None = None,
     listener: socket.socket | None = None,
 ) -> None:
-    """Run a daemon until it is told to stop by a signal.
+    """Run a daemon until a signal stops it.
 
-    ``path`` leads to its settings, which SIGHUP has read again; ``clocks`` are the
-    machine's own unless others are given; ``listener`` takes callers already, if one
-    was bound before the daemon was loaded.
+    ``path`` is the settings file, which SIGHUP reloads. ``clocks`` default to the
+    system's. ``listener`` is a socket for callers that was bound before the daemon was
+    loaded, if any.
     """
     settings = read_settings(path, _log_problem)
     integration = make_integration(settings) if make_integration else None
-    # Signals that come while the daemon starts wait for it.
+    # Signals during the start are queued until the daemon runs.
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         async with (
             run_daemon(
@@ -109,7 +109,7 @@
             ) as (daemon, addresses),
             anyio.create_task_group() as tasks,
         ):
-            # What was loaded by now stays: no collection need look at it again.
+            # Objects allocated so far are permanent; exempt them from collections.
             gc.freeze()
             tasks.start_soon(_watch_signals, signals, daemon, path)
             announce(
@@ -135,4 +135,4 @@
     try:
         daemon.reload(read_settings(path, _log_problem))
     except RampwickError as error:
-        log.problem("settings not reloaded, the old ones hold", error=str(error))
+        log.problem("settings not reloaded, keeping the old ones", error=str(error))
--- a/packages/rampwick-router/src/rampwick_router/_native_dialect.py
+++ b/packages/rampwick-router/src/rampwick_router/_native_dialect.py
@@ -1,6 +1,6 @@
-"""Rampwick's own names for routed requests, towards callers and upstreams.
+"""Rampwick's native dialect for callers and upstreams of routes.
 
-A deployment whose callers and upstreams speak otherwise brings a dialect of its own.
+A deployment with other protocols provides its own dialect.
 """
 
 import math
@@ -58,10 +58,10 @@
 PRIORITY = b"rampwick-priority"
 IMPORT_FROM = b"rampwick-import-from"
 SAVE_TO = b"rampwick-save-to"
-#: What became of a request that an upstream did not serve: ``refused``,
-#: ``misdirected``.
+#: Why an upstream did not run a request: ``refused`` or ``misdirected``.
 NOT_RUN = b"rampwick-not-run"
-#: Longest id of a request and largest number of parts of a prompt.
+
+#: Maximum length of a request id and maximum number of prompt parts.
 MAX_ID_BYTES = 200
 MAX_PARTS = 256
 
@@ -69,7 +69,7 @@
 
 
 class NativeCallerDialect:
-    """How callers name what they want, in rampwick's own headers."""
+    """Reads requests from rampwick's headers and writes errors as JSON."""
 
     def read_call(self, raw: RawCall) -> RoutedCall:
         """Return the request, or raise a CallerError of status 400."""
@@ -97,7 +97,7 @@
         )
 
     def write_error(self, error: CallerError, request_id: str) -> ErrorAnswer:
-        """Return an error as JSON."""
+        """Return a JSON error response."""
         headers: list[Header] = [JSON, (REQUEST_ID, request_id.encode("latin-1"))]
         if error.retry_after_seconds is not None:
             seconds = max(1, math.ceil(error.retry_after_seconds))
@@ -108,7 +108,7 @@
 
 
 class NativeUpstreamDialect:
-    """How upstreams are told what they need, in rampwick's own headers."""
+    """Exchanges attempt metadata with upstreams in rampwick's headers."""
 
     def request_headers(self, call: RoutedCall, terms: AttemptTerms) -> list[Header]:
         """Return the headers of an attempt."""
@@ -134,17 +134,17 @@
         return headers
 
     def read_answer(self, head: AnswerHead, incarnation: str) -> AnswerFacts:
-        """Return what the head of an answer says."""
+        """Parse a response head; ``incarnation`` is the one that was addressed."""
         headers = head.headers
         not_run = find(headers, NOT_RUN)
-        named = (find(headers, INCARNATION) or b"").decode("latin-1")
+        reported = (find(headers, INCARNATION) or b"").decode("latin-1")
         weights = find(headers, WEIGHTS)
         return AnswerFacts(
             request_id=(find(headers, REQUEST_ID) or b"").decode("latin-1"),
             was_refused=not_run is not None,
             is_misdirected=not_run == b"misdirected",
-            is_signed=bool(named),
-            is_other_incarnation=named not in ("", incarnation),
+            is_signed=bool(reported),
+            is_other_incarnation=reported not in ("", incarnation),
             weights_version=int(weights) if weights and weights.isdigit() else None,
             max_rest_seconds=keep_alive_seconds(headers),
             is_closing=has_connection_close(headers),
@@ -153,22 +153,22 @@
         )
 
     def answer_headers(self, head: AnswerHead) -> list[Header]:
-        """Return the headers that the caller is sent."""
+        """Return the response headers for the caller."""
         return end_to_end_headers(head.headers)
 
 
 class NativeControlDialect:
-    """How rampwick's own runners report and take orders."""
+    """Probes of rampwick's runners and orders to them."""
 
     def probe(self, entry: HostEntry, health_path: str) -> ControlRequest:
-        """Return the call by which an upstream tells how it is."""
+        """Return the request that probes an upstream."""
         host = (b"host", entry.address.encode())
         return ControlRequest("probe upstream", "GET", "/load", [host])
 
     def read_probe(
         self, entry: HostEntry, head: AnswerHead, body: bytes
     ) -> LoadReport | None:
-        """Return a runner's report, none of a healthy service, or raise DataError."""
+        """Return a runner's report, None for a healthy service, or raise DataError."""
         if not body:
             return None
         return structure(
@@ -176,17 +176,17 @@
         )
 
     def read_signals(self, head: AnswerHead, body: bytes) -> UpstreamSignals:
-        """Return none: control calls name no incarnation that an answer could prove."""
+        """Return no signals: control responses carry no incarnation to verify."""
         return UpstreamSignals()
 
     def order(self, entry: HostEntry, order: Order) -> ControlRequest:
-        """Return the call that gives an order."""
+        """Return the request that sends an order."""
         headers = [(b"host", entry.address.encode()), JSON]
         body = orjson.dumps(unstructure(order))
         return ControlRequest("send order", "PUT", "/orders", headers, body)
 
     def read_order(self, head: AnswerHead) -> OrderResult:
-        """Return what a runner says to an order."""
+        """Return a runner's result for an order."""
         results = {
             200: OrderResult.HOLDS,
             202: OrderResult.TAKEN,
@@ -197,16 +197,16 @@
 
 
 class NativeCacheDialect:
-    """How rampwick's own stand-ins tell what they cache."""
+    """Cache events as reported by rampwick's stand-ins."""
 
     def events(self, address: str, since: int, wait_seconds: float) -> ControlRequest:
-        """Return the call for the events after a number; it waits for some."""
+        """Return the long-polling request for the events after a number."""
         path = f"/cache/events?since={since}&wait_seconds={wait_seconds:g}"
         host = (b"host", address.encode())
         return ControlRequest("read cache events", "GET", path, [host])
 
     def read_events(self, head: AnswerHead, body: bytes) -> CacheEvents:
-        """Return the events of an answer, or raise DataError."""
+        """Return the events in a response, or raise DataError."""
         step = "read cache events"
         if head.status != 200:
             raise DataError(f"status {head.status}", step=step)
@@ -234,7 +234,7 @@
 
 
 def read_bearer_key(raw: RawCall) -> str | None:
-    """Return the caller's bearer key, none without one."""
+    """Return the caller's bearer key, or None."""
     kind, _, key = (raw.get(b"authorization") or b"").partition(b" ")
     if kind.lower() != b"bearer" or not key.strip():
         return None
@@ -242,7 +242,7 @@
 
 
 def read_parts(value: bytes) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt, written as NAME:TOKENS by commas."""
+    """Parse prompt parts, a comma-separated list of NAME:TOKENS."""
     if not value.strip():
         return ()
     items = value.split(b",")
@@ -258,7 +258,7 @@
 
 
 def write_parts(parts: tuple[PromptPart, ...]) -> str:
-    """Return the parts of a prompt as they are written in a header."""
+    """Format prompt parts as a header value."""
     return ",".join(f"{part.name.decode('latin-1')}:{part.tokens}" for part in parts)
 
 
--- a/packages/rampwick-router/src/rampwick_router/_profile.py
+++ b/packages/rampwick-router/src/rampwick_router/_profile.py
@@ -1,7 +1,7 @@
-"""A profile of the running host, taken when an operator asks for one.
+"""CPU profiles of the running host, taken on an operator's request.
 
-Nothing is measured unless asked. While one is taken, each call of a function costs
-about twice its time; it ends by itself, and only one is taken at once.
+There is no overhead unless a profile is being taken; then function calls take about
+twice as long. A profile has a bounded duration, and only one is taken at a time.
 """
 
 import time
@@ -13,27 +13,27 @@
 
 from rampwick_schema import Shown
 
-#: Longest profile; what runs for longer would slow a loaded host down unnoticed.
+#: Maximum duration, so that a forgotten profile does not slow down a loaded host.
 MAX_PROFILE_SECONDS = 60.0
 
-#: Functions and modules in a report, those that cost most first.
+#: Number of functions and of modules in a report, most expensive first.
 ROWS_COUNT = 40
 
 
 @attrs.frozen(repr=False)
 class ProfileEntry(Shown):
-    """What one function or module cost while the profile was taken."""
+    """Calls and time of one function or module."""
 
     name: str
     calls_count: int
-    #: Time in the function itself, and with all that it called.
+    #: Time in the function itself, and including the functions that it called.
     own_seconds: float
     total_seconds: float
 
 
 @attrs.frozen(repr=False)
 class ProfileReport(Shown):
-    """Where a host's processor time went."""
+    """The most expensive functions and modules of a profile."""
 
     elapsed_seconds: float
     processor_seconds: float
@@ -42,19 +42,19 @@
 
 
 class Profiler:
-    """Takes one profile at a time of the thread that it is asked in."""
+    """Profiles the calling thread, one profile at a time."""
 
     def __init__(self) -> None:
         self.is_busy = False
 
     async def take(self, seconds: float) -> ProfileReport:
-        """Return where the time of the next seconds went."""
-        # Loaded when it is used: no host pays for it at its start.
+        """Profile for a number of seconds and return the report."""
+        # Imported on use, so that it does not add to the start-up time.
         import cProfile
 
         self.is_busy = True
         profile = cProfile.Profile()
-        began_seconds, began_processor = time.monotonic(), time.process_time()
+        start_seconds, start_processor = time.monotonic(), time.process_time()
         try:
             profile.enable()
             await anyio.sleep(min(seconds, MAX_PROFILE_SECONDS))
@@ -63,8 +63,8 @@
             self.is_busy = False
         return _make_report(
             profile.getstats(),
-            time.monotonic() - began_seconds,
-            time.process_time() - began_processor,
+            time.monotonic() - start_seconds,
+            time.process_time() - start_processor,
         )
 
 
@@ -74,26 +74,26 @@
     functions: list[ProfileEntry] = []
     modules: dict[str, ProfileEntry] = {}
     for entry in entries:
-        module, name = _name(entry.code)
+        module, name = _split_name(entry.code)
         row = ProfileEntry(name, entry.callcount, entry.inlinetime, entry.totaltime)
         functions.append(row)
         modules[module] = _add(modules.get(module), module, row)
     return ProfileReport(
         round(elapsed_seconds, 3),
         round(processor_seconds, 3),
-        _dearest(functions),
-        _dearest(list(modules.values())),
+        _most_expensive(functions),
+        _most_expensive(list(modules.values())),
     )
 
 
-def _add(known: ProfileEntry | None, module: str, row: ProfileEntry) -> ProfileEntry:
-    """Return a module's sum with one more function; its own time is all it has."""
-    calls_count = row.calls_count + (known.calls_count if known else 0)
-    own_seconds = row.own_seconds + (known.own_seconds if known else 0.0)
+def _add(current: ProfileEntry | None, module: str, row: ProfileEntry) -> ProfileEntry:
+    """Add a function to the sum of its module, whose total time is its own time."""
+    calls_count = row.calls_count + (current.calls_count if current else 0)
+    own_seconds = row.own_seconds + (current.own_seconds if current else 0.0)
     return ProfileEntry(module, calls_count, own_seconds, own_seconds)
 
 
-def _dearest(rows: list[ProfileEntry]) -> list[ProfileEntry]:
+def _most_expensive(rows: list[ProfileEntry]) -> list[ProfileEntry]:
     rows.sort(key=lambda row: row.own_seconds, reverse=True)
     return [
         attrs.evolve(
@@ -105,8 +105,8 @@
     ]
 
 
-def _name(code: Any) -> tuple[str, str]:
-    """Return the module and the name of a function, by its code or its name."""
+def _split_name(code: Any) -> tuple[str, str]:
+    """Return module and function name for a code object or a built-in's name."""
     if isinstance(code, str):
         return "built in", code
     path = Path(code.co_filename)
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -1,8 +1,8 @@
-"""The owner of the scheduler: everybody else hands it events and questions.
+"""The owner of the scheduler, which other tasks access through events and queries.
 
-Events are handled one after another, each as it is handed in: all tasks run in one
-thread, so that nothing is gained by a queue, and each turn of the event loop that a
-queue takes costs as much as a decision.
+Events are handled synchronously and in order. All tasks run in one thread, so that a
+queue would bring no concurrency, and each iteration of the event loop that it adds
+costs as much as a decision.
 """
 
 from collections import deque
@@ -34,152 +34,154 @@
 
 from ._logs import ComponentLogger
 
-#: Time between two looks at deadlines, and while no request is open.
+#: Interval between checks of deadlines, and the interval while no request is open.
 TICK_SECONDS = 0.1
 IDLE_TICK_SECONDS = 1.0
 
-#: Tokens to be read from which peers are told of a prompt at once.
+#: Uncached prompt tokens from which a dispatch is published to peers immediately.
 LONG_PROMPT_TOKENS = 1000
 
-#: Decisions remembered for operators who ask why.
-EXPLAINED_COUNT = 1000
+#: Recent decisions retained for the explain endpoint.
+MAX_RETAINED_DECISIONS = 1000
 
-#: Attempts that wait to be cancelled at their upstreams.
-CANCELS_COUNT = 10_000
+#: Maximum number of attempts queued for cancellation at their upstreams.
+MAX_QUEUED_CANCELS = 10_000
 
 log = ComponentLogger("beliefs")
 
 
 @attrs.frozen(repr=False)
 class Decision(Shown):
-    """One action with the time at which it was decided."""
+    """A dispatch or refusal with the time of the decision."""
 
     at_seconds: float
     action: Dispatch | Refuse
-    #: Id under which the caller knows the request.
+    #: Request id that the caller sees.
     caller_request_id: str
 
 
 @attrs.frozen(repr=False)
 class DecisionChannel(Shown):
-    """Where the decisions about an open request go."""
+    """Delivers the decisions about an open request."""
 
     decisions: MemoryObjectSendStream[Dispatch | Refuse]
     caller_request_id: str
 
 
 class SchedulerTask:
-    """Feeds the scheduler one event after another and spreads its actions."""
+    """Passes events to the scheduler and executes the resulting actions."""
 
     def __init__(self, scheduler: Scheduler, read_clock: Callable[[], float]) -> None:
         self._scheduler = scheduler
         self._read_clock = read_clock
-        #: Events that were handed in while another one was being handled.
-        self._waiting: deque[Event] = deque()
+        #: Events posted while another event was being handled.
+        self._pending: deque[Event] = deque()
         self._is_handling = False
         self._cancels: MemoryObjectSendStream[CancelAttempt]
         self.cancels: MemoryObjectReceiveStream[CancelAttempt]
-        self._cancels, self.cancels = anyio.create_memory_object_stream(CANCELS_COUNT)
-        self._mailboxes: dict[str, DecisionChannel] = {}
-        self._decisions: deque[Decision] = deque(maxlen=EXPLAINED_COUNT)
-        self._has_work = anyio.Event()
-        #: Set when an upstream is to be asked at once how it is, then replaced.
+        self._cancels, self.cancels = anyio.create_memory_object_stream(
+            MAX_QUEUED_CANCELS
+        )
+        self._decision_channels: dict[str, DecisionChannel] = {}
+        self._decisions: deque[Decision] = deque(maxlen=MAX_RETAINED_DECISIONS)
+        self._has_open = anyio.Event()
+        #: Set when an upstream needs an immediate probe, then replaced by a new event.
         self.probe_requested = anyio.Event()
-        #: Called when a prompt was sent that keeps a runner busy for a while.
+        #: Called after the dispatch of a prompt that occupies a runner for long.
         self.on_long_prompt: Callable[[], None] = _do_nothing
-        #: Called when a workspace near its limit asks this host for much more.
+        #: Called when demand of a workspace near its limit grows sharply at this host.
         self.on_burst: Callable[[], None] = _do_nothing
 
     @property
     def suspects(self) -> Suspects:
-        """Requests that upstreams end under."""
+        """Requests suspected of crashing upstreams."""
         return self._scheduler.suspects
 
     @property
     def rates(self) -> RequestRates:
-        """Rates of requests that upstreams name."""
+        """Request rate limits reported by upstreams."""
         return self._scheduler.pool.rates
 
     @property
     def departures(self) -> Departures:
-        """Upstreams that announced their shutdown."""
+        """Upstreams that announced a shutdown."""
         return self._scheduler.upstreams.departures
 
     def has_request_rate(self, upstream: str) -> bool:
-        """Return whether an upstream has named a rate of requests of late."""
+        """Return whether an upstream has reported a request rate limit recently."""
         return self.rates.knows(upstream)
 
     def withdrawal(self, upstream: str, incarnation: str) -> Obstacle | None:
-        """Return why a placed request must not be sent any more; none if it may."""
+        """Return why a dispatched request must not be sent; None if it may be."""
         pool = self._scheduler.pool
         return pool.withdrawal(upstream, incarnation, self._read_clock())
 
     @property
     def hosts_count(self) -> int:
-        """Most hosts that were alive at once of late, this one included."""
+        """Highest recent number of hosts alive at once, including this one."""
         return self._scheduler.peers.known_hosts_count
 
     def peer_views(self, now_seconds: float) -> list[PeerView]:
-        """Return the newest words of the peers that were heard of late."""
+        """Return the latest state of the peers that are alive."""
         return list(self._scheduler.peers.live(now_seconds))
 
     def live_names(self, now_seconds: float) -> set[str]:
-        """Return the names of the peers that were heard of late."""
+        """Return the names of the peers that are alive."""
         return {view.name for view in self._scheduler.peers.live(now_seconds)}
 
     def targets(self) -> list[WeightsTarget]:
-        """Return the newest weights that are known to be wanted."""
+        """Return the newest known target version of each model's weights."""
         return self._scheduler.upstreams.targets.all_newest()
 
     def named_weights(self) -> list[NamedWeights]:
-        """Return when versions were named, where this host knows it."""
+        """Return the ages of target versions, as far as they are known."""
         return self._scheduler.upstreams.targets.ages(self._read_clock())
 
     def targets_age_seconds(self) -> float:
-        """Return the age of this host's own reading of the targets, or infinity."""
+        """Return the time since this host itself read the targets, or infinity."""
         now_seconds = self._read_clock()
         return self._scheduler.upstreams.targets.read_age_seconds(now_seconds)
 
     def post(self, event: Event) -> None:
-        """Hand in an event; it is handled now, or after the one under way."""
-        self._waiting.append(event)
+        """Handle an event now, or after the event that is being handled."""
+        self._pending.append(event)
         if self._is_handling:
             return
         self._is_handling = True
         try:
-            while self._waiting:
-                self._handle(self._waiting.popleft(), self._read_clock())
+            while self._pending:
+                self._handle(self._pending.popleft(), self._read_clock())
         finally:
             self._is_handling = False
 
     def submit(
         self, arrival: RequestArrived, caller_request_id: str
     ) -> MemoryObjectReceiveStream[Dispatch | Refuse]:
-        """Send a request; its decisions come through the returned stream."""
-        outgoing, mailbox = anyio.create_memory_object_stream[Dispatch | Refuse](8)
-        self._mailboxes[arrival.request_id] = DecisionChannel(
-            outgoing, caller_request_id
+        """Submit a request; its decisions arrive on the returned stream."""
+        sender, receiver = anyio.create_memory_object_stream[Dispatch | Refuse](8)
+        self._decision_channels[arrival.request_id] = DecisionChannel(
+            sender, caller_request_id
         )
-        self._has_work.set()
+        self._has_open.set()
         self.post(arrival)
-        return mailbox
+        return receiver
 
     def close_decisions(self, request_id: str) -> None:
-        """Stop taking decisions for a request that has its final answer."""
-        mailbox = self._mailboxes.pop(request_id, None)
-        if mailbox is not None:
-            mailbox.decisions.close()
+        """Stop the delivery of decisions for a request with a final response."""
+        channel = self._decision_channels.pop(request_id, None)
+        if channel is not None:
+            channel.decisions.close()
 
     def run_query(self, query: Callable[[Scheduler, float], Any]) -> Any:
-        """Return what a function of the scheduler and the present time returns."""
+        """Call a function with the scheduler and the current time."""
         return query(self._scheduler, self._read_clock())
 
     def note_members(self, count: int) -> None:
-        """Note how many hosts of the fleet are known, heard or not."""
+        """Record the number of known hosts in the fleet, alive or not."""
         self._scheduler.limits.note_members(count, self._read_clock())
 
     def decisions(self, request_id: str) -> list[Decision]:
-        """Return what was decided of late for a request, by its id here or outside."""
+        """Return recent decisions on a request, by its id here or at the caller."""
         return [
             decision
             for decision in self._decisions
@@ -187,14 +189,14 @@
         ]
 
     async def run(self) -> None:
-        """Hand in the time, again and again until cancelled."""
+        """Post clock ticks until cancelled."""
         while True:
             if self._scheduler.open_count:
                 await anyio.sleep(TICK_SECONDS)
             else:
-                self._has_work = anyio.Event()
+                self._has_open = anyio.Event()
                 with move_on_at_grid(IDLE_TICK_SECONDS):
-                    await self._has_work.wait()
+                    await self._has_open.wait()
             self.post(Tick())
 
     def _handle(self, event: Event, now_seconds: float) -> None:
@@ -204,18 +206,18 @@
             event.workspace, now_seconds
         ):
             self.on_burst()
-        for notice in self._scheduler.pool.notices.take():
-            self._tell(notice)
+        for change in self._scheduler.pool.notices.take():
+            self._log_state_change(change)
 
-    def _tell(self, notice: Notice) -> None:
+    def _log_state_change(self, change: Notice) -> None:
         log.info(
-            f"{notice.kind} is {_first_word(notice.after)}",
-            name=notice.name,
-            before=notice.before,
-            after=notice.after,
-            reason=notice.reason,
+            f"{change.kind} is {_first_word(change.after)}",
+            name=change.name,
+            before=change.before,
+            after=change.after,
+            reason=change.reason,
         )
-        if notice.kind == "upstream":
+        if change.kind == "upstream":
             self.probe_requested.set()
             self.probe_requested = anyio.Event()
 
@@ -224,18 +226,18 @@
             try:
                 self._cancels.send_nowait(action)
             except anyio.WouldBlock:
-                # The engine ends it by itself once nobody reads its answer.
+                # The engine ends the attempt by itself once its connection is closed.
                 return
             return
         if isinstance(action, Dispatch) and _is_long(action):
             self.on_long_prompt()
-        mailbox = self._mailboxes.get(action.request_id)
-        caller_id = mailbox.caller_request_id if mailbox else ""
+        channel = self._decision_channels.get(action.request_id)
+        caller_id = channel.caller_request_id if channel else ""
         self._decisions.append(Decision(now_seconds, action, caller_id))
-        if mailbox is None:
+        if channel is None:
             return
         try:
-            mailbox.decisions.send_nowait(action)
+            channel.decisions.send_nowait(action)
         except anyio.BrokenResourceError:
             self.close_decisions(action.request_id)
 
@@ -250,5 +252,5 @@
 
 
 def _first_word(text: str) -> str:
-    # Sentences are few, so that their volume can be bounded one by one.
+    # The log's rate limit applies per message, so the set of messages must be small.
     return text.partition(" ")[0]
--- a/packages/rampwick-router/src/rampwick_router/_servers.py
+++ b/packages/rampwick-router/src/rampwick_router/_servers.py
@@ -1,4 +1,4 @@
-"""Listeners of a daemon, and the HTTP servers on them."""
+"""Listening sockets of a daemon and their HTTP servers."""
 
 import socket
 from collections.abc import Sequence
@@ -14,17 +14,17 @@
 from rampwick_schema import ListenSettings, Shown
 from rampwick_start import bind
 
-#: Time that the HTTP library is given to close idle connections.
+#: Time that the HTTP server is given to close idle connections.
 CLOSE_TIMEOUT_SECONDS = 0.5
 
-#: Time for which a caller's idle connection is kept; longer than the usual balancers'
-#: minute, so that they close first.
+#: Idle time-out of callers' connections; longer than the usual minute of balancers, so
+#: that the balancer closes first.
 KEEP_ALIVE_SECONDS = 75
 
 
 @attrs.frozen(repr=False)
 class Addresses(Shown):
-    """Where a running daemon listens, as ip:port."""
+    """Listen addresses of a running daemon, as ip:port."""
 
     entry: str
     admin: str
@@ -37,7 +37,7 @@
 
     entry: socket.socket
     admin: socket.socket
-    #: Tells a balancer whether the host is ready, where that is wanted.
+    #: Listener for a load balancer's readiness checks, if configured.
     ready: socket.socket | None
     peer: socket.socket
     addresses: Addresses
@@ -48,9 +48,9 @@
     stack: AsyncExitStack,
     entry: socket.socket | None = None,
 ) -> Listeners:
-    """Bind all listeners; the stack closes them.
+    """Bind all listeners and register their closing with the stack.
 
-    ``entry`` takes callers already, if it is given.
+    ``entry`` is a listener for callers that is bound already, if any.
     """
     if entry is None:
         entry = bind(settings.entry or f"{settings.address}:{settings.entry_port}")
@@ -78,10 +78,10 @@
     tasks: TaskGroup,
     stack: AsyncExitStack,
 ) -> None:
-    """Serve ASGI applications on bound sockets until the stack is left.
+    """Serve ASGI applications on bound sockets until the stack is closed.
 
-    The servers end before anything that the stack holds already: what they have read
-    of a request by then is still answered.
+    The servers shut down before any resource that is on the stack already, so that
+    requests received by then can still complete.
     """
     closing = anyio.Event()
     ended = []
@@ -115,8 +115,8 @@
 async def _serve(
     app: Any, config: Config, closing: anyio.Event, has_ended: anyio.Event
 ) -> None:
-    # Hypercorn runs in this process, without workers of its own. It ends by its
-    # trigger only; cancelled halfway it raises errors.
+    # Hypercorn runs in this process, without worker processes. It is shielded and
+    # stopped only by its trigger, because it raises errors when it is cancelled.
     try:
         with anyio.CancelScope(shield=True):
             await serve(app, config, shutdown_trigger=closing.wait)
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -193,7 +193,7 @@
                 break
             del self._own_claims[write_id]
 
-    # A store restored from a backup lacks later claims, whose requests may have run.
+    # A store restored from an older copy lacks claims whose requests may have run.
 
     @property
     def recovery_remaining_seconds(self) -> float:
--- a/packages/rampwick-router/src/rampwick_start/__init__.py
+++ b/packages/rampwick-router/src/rampwick_start/__init__.py
@@ -1,9 +1,10 @@
-"""What a host does before it loads the daemon: it listens for callers.
+"""Early start of a host: the callers' listener is bound before the daemon is imported.
 
-It answers hosts that all come back at once. Loading takes about half a second, and a
-caller whose connection is refused meanwhile asks the next host, which refuses it as
-well, until it has no tries left. Connections that wait instead are served as soon as
-the daemon runs. This package imports nothing but the standard library's small parts.
+The import takes about half a second. If all hosts restart at once, a caller whose
+connection is refused meanwhile tries the next host, which refuses it as well, until it
+runs out of retries. With an early listener, connections wait in the backlog until the
+daemon runs. To be fast itself, this package imports only small modules of the standard
+library.
 """
 
 import gc
@@ -13,15 +14,15 @@
 from pathlib import Path
 from typing import Any
 
-#: Connections that may wait to be accepted.
+#: Length of the queue of connections that wait to be accepted.
 BACKLOG_COUNT = 1024
 
 
 def bind_early(path: Path) -> socket.socket | None:
-    """Listen on the callers' address of a settings file, if it names one.
+    """Listen on the callers' address in a settings file, if it contains one.
 
-    Whatever is wrong with the file or the address is left to the daemon, which reads
-    the file anew, binds what is not bound yet, and says what is wrong.
+    Errors in the file or the address are ignored here: the daemon reads the file again,
+    binds the remaining listeners and reports the errors.
     """
     try:
         address = tomllib.loads(path.read_text())["listen"]["entry"]
@@ -39,9 +40,10 @@
 
 
 def load(name: str) -> Any:
-    """Return a module, loaded without looking for garbage, of which it makes none.
+    """Import a module with the garbage collector disabled.
 
-    That takes an eighth of a start's processor time (five starts each way).
+    The import creates no garbage, and collections take an eighth of the CPU time of a
+    start (measured over five starts with and five without them).
     """
     gc.disable()
     try:
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 
 from rampwick_router import run_host
-from rampwick_router._log_sink import MAX_WAITING_BYTES, LogSink, open_log
+from rampwick_router._log_sink import MAX_BUFFERED_BYTES, LogSink, open_log
 from rampwick_router._logs import BURST_LINES, LineTokenBucket
 
 from .bench import until
@@ -93,9 +93,9 @@
     def test_a_full_pipe_holds_nobody_up_and_what_is_left_out_is_counted(self):
         self.addCleanup(os.close, self.writer)
         message = {"message": "x" * 1000}
-        for _ in range(2 * MAX_WAITING_BYTES // 1000):
+        for _ in range(2 * MAX_BUFFERED_BYTES // 1000):
             self.sink(message)
-        left_out = self.sink.left_out_count
+        left_out = self.sink.dropped_count
         self.assertGreater(left_out, 0)
         data = b""
         while part := self.read_all():
@@ -113,13 +113,13 @@
     def test_a_reader_that_went_away_is_no_error(self):
         os.close(self.writer)
         self.sink({"message": "nobody reads"})
-        self.assertEqual(0, self.sink._waiting_bytes)
+        self.assertEqual(0, self.sink._buffered_bytes)
 
 
 class LineBudgetTest(TestCase):
     def test_a_storm_of_one_sentence_is_bounded_and_counted(self):
-        budget = LineTokenBucket(at_seconds=10.0)
-        sent = sum(budget.spend(10.0) for _ in range(1000))
+        bucket = LineTokenBucket(at_seconds=10.0)
+        sent = sum(bucket.take(10.0) for _ in range(1000))
         self.assertEqual(BURST_LINES, sent)
-        self.assertEqual(1000 - BURST_LINES, budget.left_out_count)
-        self.assertTrue(budget.spend(11.0))
+        self.assertEqual(1000 - BURST_LINES, bucket.dropped_count)
+        self.assertTrue(bucket.take(11.0))
