--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -62,7 +62,7 @@
         self._channel: Channel
         self._listening: Listening
         #: Time for which the connection may stay idle after the response.
-        self.rest_seconds = 0.0
+        self.idle_timeout_seconds = 0.0
 
     @asynccontextmanager
     async def open(self, remaining_seconds: float) -> AsyncIterator[AnswerHead]:
@@ -91,7 +91,7 @@
                 yield head
             if listening.is_silent:
                 raise self.failed(Outcome.BROKEN, "the response stream is stalled")
-        self.rest_seconds = self._channel.max_rest_seconds
+        self.idle_timeout_seconds = self._channel.max_rest_seconds
 
     async def pieces(self) -> AsyncIterator[bytes]:
         """Yield the chunks of the body as they arrive."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -197,7 +197,7 @@
             cached_tokens=max(0, prompt_tokens - missing),
             prompt_tokens=prompt_tokens,
             answer_tokens=min(self._events_count, self._call.max_answer_tokens),
-            connection_rest_seconds=attempt.rest_seconds,
+            connection_rest_seconds=attempt.idle_timeout_seconds,
         )
 
     async def answer_error(self, error: CallerError) -> None:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,7 +1,4 @@
-"""A small set of real processes' parts in one event loop, on loopback.
-
-Tests run daemons and stand-ins side by side here and step every fault by hand.
-"""
+"""Daemons and stand-ins in one event loop on loopback, with fault injection."""
 
 import hashlib
 from collections.abc import AsyncIterator, Callable
@@ -31,17 +28,17 @@
 OTHER_KEY = "key-drafts"
 SECRET = "a secret of the tests"
 
-#: Longest time that any one step of a test may take before it counts as stuck.
+#: Time-out of one step of a test.
 TEST_TIMEOUT_SECONDS = 20.0
 
 
 def hash_key(key: str) -> str:
-    """Return a key's hash as the tree holds it."""
+    """Return a key's hash as stored in the tree."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def workspace_edits() -> list[NodeEdit]:
-    """Return the edits that make two workspaces."""
+    """Return the edits that create two workspaces."""
     return [
         NodeEdit("/herbaria", Node()),
         NodeEdit(
@@ -81,7 +78,7 @@
 
 
 async def until(condition: Callable[[], object], step_seconds: float = 0.005) -> None:
-    """Return once a condition holds; fail if it never does."""
+    """Wait until a condition holds; fail after the time-out."""
     with anyio.fail_after(TEST_TIMEOUT_SECONDS):
         while not condition():
             await anyio.sleep(step_seconds)
@@ -96,31 +93,31 @@
     client: httpx.AsyncClient
 
     async def stream(self, prompt: str, **options) -> CallerSaw:
-        """Send a streamed request and return what its caller saw."""
+        """Send a streaming request and return the received response."""
         return await send_stream(self.client, prompt, **options)
 
     async def until_ready(self, *runners: str) -> None:
-        """Wait until the host knows the tree and these runners' lives."""
+        """Wait until the host has the tree and the incarnations of these runners."""
         await until(lambda: self.daemon.follower.revision >= 1)
         await until(lambda: all(self.is_available(name) for name in runners))
 
     def upstream(self, name: str):
-        """Return the daemon's view of an upstream."""
+        """Return the daemon's state of an upstream."""
         return self.daemon.scheduler._scheduler.upstreams.get(name)
 
     def is_available(self, name: str) -> bool:
-        """Return whether a runner's life is known and it is not down."""
+        """Return whether a runner's incarnation is known."""
         found = self.upstream(name)
         return found is not None and found.life is not None
 
     def has_request_rate(self, name: str) -> bool:
-        """Return whether an upstream has named a rate of requests."""
+        """Return whether an upstream has reported a request rate limit."""
         return self.daemon.scheduler.has_request_rate(name)
 
     async def complete(
         self, prompt: str = "a prompt", key: str = KEY, headers=None, **body
     ) -> httpx.Response:
-        """Send a whole, not streamed request."""
+        """Send a request without streaming."""
         data = {"model": "lektor", "prompt": prompt, "max_tokens": 4, **body}
         return await self.client.post(
             "/v1/completions",
@@ -137,7 +134,7 @@
     headers: dict[str, str] | None = None,
     max_tokens: int = 4,
 ) -> CallerSaw:
-    """Send a streamed request and return what its caller saw."""
+    """Send a streaming request and return the received response."""
     body = {
         "model": "lektor",
         "prompt": prompt,
@@ -188,7 +185,7 @@
         )
 
     def add_runner(self, name: str, **options) -> RunnerStandIn:
-        """Start a runner and list it."""
+        """Start a runner and add it to the host list."""
         options.setdefault("step_seconds", 0.001)
         settings = EngineSettings(name=name, **options)
         runner = RunnerStandIn(settings, self._tasks)
@@ -197,7 +194,7 @@
         return runner
 
     def add_service(self, name: str, group: str) -> ServiceStandIn:
-        """Start a plain service and list it."""
+        """Start a plain service and add it to the host list."""
         service = ServiceStandIn(name)
         self.services[name] = service
         address = self.serve(service.app)
@@ -205,7 +202,7 @@
         return service
 
     def set_state(self, name: str, state: str) -> None:
-        """Have the list say live or leaving of a host."""
+        """Set a host's state in the host list to live or leaving."""
         self._list(attrs.evolve(self.entries[name], state=state))
 
     def _list(self, entry: HostEntry) -> None:
@@ -216,7 +213,7 @@
     async def run_host(
         self, name: str = "entry-1", extra: str = "", seeds: tuple[str, ...] = ()
     ) -> AsyncIterator[Host]:
-        """Run a daemon, listed as an entry host, until the context ends."""
+        """Run a daemon, listed as entry host, until the context ends."""
         settings = make_settings(name, self.platform_url, extra, seeds)
         async with run_daemon(settings) as (daemon, addresses):
             self._list(HostEntry(name, "entry", "trnava", addresses.peer))
@@ -227,7 +224,7 @@
                 yield Host(daemon, addresses, client)
 
     def attempts(self) -> list[RunnerSaw]:
-        """Return what all runners saw of attempts, over all their lives."""
+        """Return the attempts at all runners, over all their incarnations."""
         return [
             RunnerSaw(
                 runner=name,
@@ -243,7 +240,7 @@
         ]
 
     def ran(self) -> list[str]:
-        """Return the prompts that runners began to run, once for each attempt."""
+        """Return the prompts that runners started, one per attempt."""
         return [attempt.text.decode() for attempt in self.attempts()]
 
     def close(self) -> None:
@@ -254,7 +251,7 @@
 
 @asynccontextmanager
 async def run_two_hosts(bench: Bench) -> AsyncIterator[tuple[Host, Host]]:
-    """Run two hosts; yield them once both know all runners and each other."""
+    """Run two hosts; yield them once they have discovered runners and each other."""
     async with (
         bench.run_host("entry-1") as one,
         bench.run_host("entry-2") as two,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,11 +1,11 @@
-"""Fakes at the interfaces, with faults stepped by the test."""
+"""Fakes of interfaces, with fault injection."""
 
 from rampwick_platform import AnswerLostError, Listing, VersionConflictError
 from rampwick_standin import ObjectStore, PreconditionError
 
 
 class FakeApi:
-    """The object API on a store in memory, with faults stepped by the test."""
+    """The object API on an in-memory store, with fault injection."""
 
     def __init__(self, store=None):
         self.store = store or ObjectStore()
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""Upstreams whose every byte a test chooses, and routed hosts before them."""
+"""Scripted upstreams, an in-memory store, and hosts that route to the upstreams."""
 
 import hashlib
 import socket
@@ -42,7 +42,7 @@
 
 @attrs.define
 class Exchange:
-    """One request at a scripted upstream, and its raw connection."""
+    """One request at a scripted upstream, with its raw connection."""
 
     upstream: "ScriptedUpstream"
     stream: anyio.abc.SocketStream
@@ -53,7 +53,7 @@
 
     @property
     def request_id(self) -> str:
-        """Id of the request as the upstream was told it."""
+        """Request id that the upstream received."""
         return self.headers["rampwick-request-id"]
 
     async def send(self, data: bytes) -> None:
@@ -63,7 +63,7 @@
     async def answer(
         self, body: bytes = b"done", status: int = 200, extra: bytes = b"", **options
     ) -> None:
-        """Send a whole, framed and signed answer."""
+        """Send a complete, framed and signed response."""
         await self.send(self.head(status, extra, length=len(body), **options) + body)
 
     def head(
@@ -74,7 +74,7 @@
         request_id: str | None = None,
         signed: bool = True,
     ) -> bytes:
-        """Return the head of an answer."""
+        """Return a response head."""
         lines = [
             b"HTTP/1.1 %d Status" % status,
             b"Rampwick-Request-Id: " + (request_id or self.request_id).encode(),
@@ -88,23 +88,23 @@
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def reset(self) -> None:
-        """Have the connection reset at its close."""
+        """Make the close of the connection a reset."""
         raw = self.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         linger = struct.pack("ii", 1, 0)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
 async def answer_done(exchange: Exchange) -> None:
-    """Answer as a healthy service does."""
+    """Respond like a healthy service."""
     await exchange.answer()
 
 
 class Hangup(Exception):
-    """Raised by a script to close its connection."""
+    """Raised by a script to close the connection."""
 
 
 class ScriptedUpstream:
-    """A TCP server that answers each request by the next script, then by the last."""
+    """A TCP server that runs one script per request and repeats the last script."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -120,9 +120,9 @@
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self.address = f"127.0.0.1:{port}"
         task_status.started()
-        await listener.serve(self._converse)
+        await listener.serve(self._serve_connection)
 
-    async def _converse(self, stream: anyio.abc.SocketStream) -> None:
+    async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         self.connections_count += 1
         self.open_count += 1
         try:
@@ -148,7 +148,7 @@
             self.requests.append(exchange)
             script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
             await script(exchange)
-            # The bytes of the answer are the script's; the parser begins anew.
+            # Scripts bypass the parser's sending side, so it is replaced by a new one.
             connection = h11.Connection(h11.SERVER)
 
     async def _read(
@@ -176,35 +176,35 @@
 
 
 class MemoryStore:
-    """The object API in memory, with watches and faults stepped by the test."""
+    """An in-memory object API with watches and fault injection."""
 
     def __init__(self) -> None:
         self.version = 0
         self.objects: dict[str, StoredObject] = {}
         self.log: list[StoredObject] = []
         self.changed = anyio.Event()
-        #: Raised by every call while it is set.
+        #: Raised by every call unless None.
         self.failure: Exception | None = None
         self.calls: list[str] = []
         self.era = 0
 
     def write(self, key: str, record) -> int:
-        """Write a record as others do."""
+        """Write a record on behalf of another client."""
         self.version += 1
         stored = StoredObject(key, self.version, encode_record(record))
         self.objects[key] = stored
-        self._tell(stored)
+        self._publish(stored)
         return self.version
 
     def delete(self, key: str) -> None:
-        """Delete a record as others do."""
+        """Delete a record on behalf of another client."""
         self.version += 1
-        gone = attrs.evolve(
+        tombstone = attrs.evolve(
             self.objects.pop(key), version=self.version, is_deleted=True
         )
-        self._tell(gone)
+        self._publish(tombstone)
 
-    def _tell(self, stored: StoredObject) -> None:
+    def _publish(self, stored: StoredObject) -> None:
         self.log.append(stored)
         self.changed.set()
         self.changed = anyio.Event()
@@ -220,12 +220,12 @@
 
     async def put(self, key: str, value: bytes, expected_version: int) -> int:
         self._begin(f"put {key}")
-        known = self.objects[key].version if key in self.objects else 0
-        if known != expected_version:
+        current = self.objects[key].version if key in self.objects else 0
+        if current != expected_version:
             raise VersionConflictError("changed", step="put")
         self.version += 1
         self.objects[key] = StoredObject(key, self.version, value)
-        self._tell(self.objects[key])
+        self._publish(self.objects[key])
         return self.version
 
     async def list_objects(self, prefix: str, after_key: str = "") -> Listing:
@@ -238,15 +238,16 @@
     ) -> Listing:
         self._begin(f"watch {prefix}")
         with anyio.move_on_after(timeout_seconds):
-            while not self._news(prefix, after_version):
+            while not self._changes_after(prefix, after_version):
                 await self.changed.wait()
                 if self.failure is not None:
                     raise self.failure
-        # Looked at again: a change may come in the very turn in which the time is out,
-        # and an answer with its version and without it would hide it for good.
-        return Listing(self.version, self._news(prefix, after_version))
+        # Read again, because a change may arrive in the loop iteration in which the
+        # time-out ends. A listing with its version but without the change would hide
+        # the change permanently.
+        return Listing(self.version, self._changes_after(prefix, after_version))
 
-    def _news(self, prefix: str, after_version: int) -> list[StoredObject]:
+    def _changes_after(self, prefix: str, after_version: int) -> list[StoredObject]:
         return [
             item
             for item in self.log
@@ -255,7 +256,7 @@
 
 
 class NativeReader:
-    """Reads rampwick's own records from a store."""
+    """Reads rampwick's native records from a store."""
 
     configuration_prefix = "config/"
     upstreams_prefix = "upstreams/"
@@ -306,7 +307,7 @@
 
 @attrs.define
 class RoutedHost:
-    """A routed daemon with its address."""
+    """A daemon with routes and its address."""
 
     daemon: object
     address: str
@@ -322,7 +323,7 @@
         key: str | None = KEY,
         headers: dict[str, str] | None = None,
     ) -> "CallerView":
-        """Send one request on a connection of its own; return what came back."""
+        """Send one request on a new connection and return the response."""
         sent = {
             "Host": HOST,
             "Rampwick-Request-Id": request_id,
@@ -340,7 +341,7 @@
 
 @attrs.define
 class CallerView:
-    """What a caller saw of one answer."""
+    """One response as the caller received it."""
 
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
@@ -349,7 +350,7 @@
 
 
 async def read_answer(stream: anyio.abc.SocketStream) -> CallerView:
-    """Read one answer to its end, whole or not."""
+    """Read one response until its end or the end of the connection."""
     connection = h11.Connection(h11.CLIENT)
     connection.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     connection.send(h11.EndOfMessage())
@@ -381,7 +382,7 @@
 
 
 class RestorableStore(HttpObjectApi):
-    """A client of a stand-in that can be restored, with the writes of others."""
+    """A client of a platform stand-in whose store can be restored from a copy."""
 
     def __init__(self, stand_in: PlatformStandIn | None = None) -> None:
         super().__init__(
@@ -393,10 +394,10 @@
         )
 
     def write(self, key: str, record) -> int:
-        """Write a record as others do."""
+        """Write a record on behalf of another client."""
         store = self.stand_in.store
-        known = store.get(key)
-        expected_version = known.version if known else 0
+        current = store.get(key)
+        expected_version = current.version if current else 0
         return store.put(key, encode_record(record), expected_version)
 
 
@@ -404,7 +405,7 @@
 async def run_routed(
     upstreams: dict[str, list[str]], platform: str = "", retry: str = "", store=None
 ) -> AsyncIterator[tuple[RoutedHost, dict[str, ScriptedUpstream]]]:
-    """Run a routed host before scripted upstreams, named by their service."""
+    """Run a host with scripted upstreams, whose names are given by service."""
     store = store or MemoryStore()
     store.write("config/main", make_tree())
     found: dict[str, ScriptedUpstream] = {}
@@ -445,7 +446,7 @@
 def list_upstream(
     store: MemoryStore, upstream: ScriptedUpstream, service: str, state: str = "live"
 ) -> None:
-    """Register an upstream as it would itself."""
+    """Write the store entry of an upstream."""
     entry = HostEntry(
         upstream.name,
         "service",
--- a/tests/test_configuration_refresh.py
+++ b/tests/test_configuration_refresh.py
@@ -1,4 +1,4 @@
-"""Requests that come before the configuration is confirmed wait for one look at it."""
+"""Requests without a confirmed configuration wait for one refresh from the store."""
 
 import random
 from types import SimpleNamespace
@@ -19,16 +19,16 @@
 
 
 class SlowApi:
-    """A store whose answers wait for the test."""
+    """A store whose responses are delayed by the test."""
 
     def __init__(self):
         self.calls_count = 0
-        self.may_answer = anyio.Event()
+        self.may_respond = anyio.Event()
         self.is_up = True
 
     async def list_objects(self, prefix, after_key=""):
         self.calls_count += 1
-        await self.may_answer.wait()
+        await self.may_respond.wait()
         if not self.is_up:
             raise PlatformUnavailableError("down", step="list objects")
         return Listing(5, [StoredObject("config/main", 5, b"{}")])
@@ -41,15 +41,16 @@
         return Tree(3, {"/": Node()})
 
 
-class LookAgainTest(TestCase):
-    """Symptom: of the first requests at hosts that came back all but one were refused.
+class RefreshTest(TestCase):
+    """Concurrent requests share one refresh of the configuration.
 
-    Sequence: a peer told the configuration and not how old it is; a dozen requests
-    asked for a look at the store at once; the first read, the others were told that
-    the last look was a moment ago, and nothing was confirmed yet.
+    Guards against refusals of all but one of the first requests at restarted hosts: a
+    peer sent the configuration without its age, and a dozen requests triggered a
+    refresh at once. The first one read the store; for the others the refresh was
+    skipped as too recent, although it had not confirmed anything yet.
     """
 
-    def look(self, scenario):
+    def run_scenario(self, scenario):
         async def main():
             clock = SimpleNamespace(now=100.0)
             scheduler = SchedulerTask(Scheduler(SETTINGS), lambda: clock.now)
@@ -67,52 +68,52 @@
 
         return anyio.run(main)
 
-    def test_all_that_ask_at_once_wait_for_one_look(self):
+    def test_concurrent_requests_wait_for_one_refresh(self):
         async def scenario(task, api, clock):
             ages = []
 
-            async def ask():
+            async def refresh():
                 await task.refresh()
                 ages.append(task.age_seconds(clock.now))
 
             async with anyio.create_task_group() as tasks:
                 for _ in range(10):
-                    tasks.start_soon(ask)
+                    tasks.start_soon(refresh)
                 await anyio.wait_all_tasks_blocked()
                 self.assertEqual([], ages)
-                api.may_answer.set()
+                api.may_respond.set()
             return ages, api.calls_count
 
-        ages, calls_count = self.look(scenario)
+        ages, calls_count = self.run_scenario(scenario)
         self.assertEqual([0.0] * 10, ages)
         self.assertEqual(1, calls_count)
 
-    def test_where_the_first_goes_away_the_next_one_looks(self):
+    def test_next_request_refreshes_if_the_first_is_cancelled(self):
         async def scenario(task, api, clock):
             async with anyio.create_task_group() as tasks:
                 first = anyio.CancelScope()
 
-                async def ask_and_leave():
+                async def refresh_until_cancelled():
                     with first:
                         await task.refresh()
 
-                tasks.start_soon(ask_and_leave)
+                tasks.start_soon(refresh_until_cancelled)
                 await anyio.wait_all_tasks_blocked()
                 tasks.start_soon(task.refresh)
                 await anyio.wait_all_tasks_blocked()
                 first.cancel()
                 await anyio.wait_all_tasks_blocked()
-                api.may_answer.set()
+                api.may_respond.set()
             return task.age_seconds(clock.now), api.calls_count
 
-        self.assertEqual((0.0, 2), self.look(scenario))
+        self.assertEqual((0.0, 2), self.run_scenario(scenario))
 
-    def test_while_the_store_is_away_looks_become_rare(self):
-        """Ten requests a second ask for a look through five seconds of outage."""
+    def test_refreshes_back_off_while_the_store_is_down(self):
+        """Ten requests a second trigger refreshes during an outage of five seconds."""
 
         async def scenario(task, api, clock):
             api.is_up = False
-            api.may_answer.set()
+            api.may_respond.set()
             for _ in range(50):
                 clock.now += 0.1
                 await task.refresh()
@@ -125,74 +126,75 @@
             await task.refresh()
             return failed_count, api.calls_count - failed_count
 
-        failed_count, after_count = self.look(scenario)
+        failed_count, after_count = self.run_scenario(scenario)
         self.assertLessEqual(failed_count, 6)
-        # Once it answers, looks are as near to each other as before.
+        # After the store has recovered, the back-off is reset.
         self.assertEqual(2, after_count)
 
-    def test_a_store_that_is_away_for_long_is_looked_for_all_the_while(self):
-        """Symptom: after 1,024 looks that failed, each request broke with an overflow.
+    def test_refreshes_continue_during_a_long_outage(self):
+        """Guards against an overflow after 1,024 failed refreshes.
 
-        Half an hour of outage does that; the pause was two to the power of the looks.
+        The back-off was two to the power of the number of failures, so that after half
+        an hour of outage every request failed.
         """
 
         async def scenario(task, api, clock):
             api.is_up = False
-            api.may_answer.set()
+            api.may_respond.set()
             for _ in range(1100):
                 clock.now += 2.0
                 await task.refresh()
             return api.calls_count
 
-        self.assertEqual(1100, self.look(scenario))
+        self.assertEqual(1100, self.run_scenario(scenario))
 
-    def test_a_store_that_is_away_is_not_asked_by_each(self):
+    def test_concurrent_requests_share_one_failed_refresh(self):
         async def scenario(task, api, clock):
             api.is_up = False
-            api.may_answer.set()
+            api.may_respond.set()
             async with anyio.create_task_group() as tasks:
                 for _ in range(10):
                     tasks.start_soon(task.refresh)
             return api.calls_count, task.problem
 
-        calls_count, problem = self.look(scenario)
+        calls_count, problem = self.run_scenario(scenario)
         self.assertEqual(1, calls_count)
         self.assertIn("down", problem)
 
 
-class BeforeAnyConfigurationTest(TestCase):
-    """What comes before a host knows any configuration has it looked for, too."""
+class RefreshOnRequestTest(TestCase):
+    """A request without a usable configuration triggers one refresh."""
 
     def check(self, verdict, after):
-        """Return the verdict that counts, and how often the source was asked."""
-        found = SimpleNamespace(verdict=verdict, looks_count=0)
+        """Return the final verdict and the number of refreshes."""
+        state = SimpleNamespace(verdict=verdict, refreshes_count=0)
 
         async def refresh():
-            found.looks_count += 1
-            found.verdict = after
+            state.refreshes_count += 1
+            state.verdict = after
 
-        parts = SimpleNamespace(
+        context = SimpleNamespace(
             configuration=SimpleNamespace(refresh=refresh),
-            check_access=lambda call: Access(found.verdict),
+            check_access=lambda call: Access(state.verdict),
         )
-        entry = RoutedEntry(parts)
+        entry = RoutedEntry(context)
         try:
             anyio.run(entry._check, None, b"", 0.0)
         except CallerError as error:
-            return error.code, found.looks_count
+            return error.code, state.refreshes_count
         raise AssertionError("no verdict")
 
-    def test_it_is_looked_for_once(self):
+    def test_missing_or_stale_configuration_is_refreshed_once(self):
         unknown = Verdict.UNKNOWN_ROUTE
         self.assertEqual(
             ("unknown_route", 1), self.check(Verdict.NO_CONFIGURATION, unknown)
         )
         self.assertEqual(("unknown_route", 1), self.check(Verdict.STALE, unknown))
 
-    def test_where_none_is_found_it_is_told(self):
+    def test_missing_configuration_after_the_refresh_is_reported(self):
         none = Verdict.NO_CONFIGURATION
         self.assertEqual(("no_configuration", 1), self.check(none, none))
 
-    def test_what_is_known_to_be_wrong_is_not_looked_for(self):
+    def test_unknown_key_triggers_no_refresh(self):
         unknown = Verdict.UNKNOWN_KEY
         self.assertEqual(("unknown_key", 0), self.check(unknown, unknown))
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -1,4 +1,4 @@
-"""Signals, settings that are read again, and logs that hold nobody up."""
+"""Signals, reload of settings, and non-blocking logs."""
 
 import os
 import signal
@@ -28,8 +28,8 @@
 
 class SignalTest(TestCase):
     def run_with_signals(self, *texts):
-        """Run a host, write each text and signal it; return its log lines."""
-        folder = Path(self.useFixture_folder())
+        """Run a host, reload each text as its settings and return its log lines."""
+        folder = Path(self.make_folder())
         path, log_path = folder / "host.toml", folder / "log"
         path.write_text(SETTINGS.format(seeds=""))
 
@@ -57,13 +57,13 @@
             anyio.run(main)
         return lines()
 
-    def useFixture_folder(self):
+    def make_folder(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         return folder.name
 
-    def test_a_hangup_reloads_and_does_not_end_the_host(self):
-        # Found by a hunt: the signal's default ended the process.
+    def test_sighup_reloads_settings(self):
+        # Without a handler, the default action of SIGHUP ends the process.
         changed = SETTINGS.format(seeds='"127.0.0.1:1"')
         lines = self.run_with_signals(changed, "nonsense")
         reloads = [item for item in lines if "reloaded" in item["message"]]
@@ -90,13 +90,13 @@
                 return data
             data += part
 
-    def test_a_full_pipe_holds_nobody_up_and_what_is_left_out_is_counted(self):
+    def test_full_pipe_does_not_block_and_dropped_lines_are_counted(self):
         self.addCleanup(os.close, self.writer)
         message = {"message": "x" * 1000}
         for _ in range(2 * MAX_BUFFERED_BYTES // 1000):
             self.sink(message)
-        left_out = self.sink.dropped_count
-        self.assertGreater(left_out, 0)
+        dropped_count = self.sink.dropped_count
+        self.assertGreater(dropped_count, 0)
         data = b""
         while part := self.read_all():
             data += part
@@ -105,21 +105,21 @@
         lines = (data + self.read_all()).splitlines()
         last = orjson.loads(lines[-1])
         self.assertEqual(
-            ("after", left_out), (last["message"], last["left_out_lines_count"])
+            ("after", dropped_count), (last["message"], last["left_out_lines_count"])
         )
         for line in lines:
             orjson.loads(line)
 
-    def test_a_reader_that_went_away_is_no_error(self):
+    def test_closed_reader_is_not_an_error(self):
         os.close(self.writer)
         self.sink({"message": "nobody reads"})
         self.assertEqual(0, self.sink._buffered_bytes)
 
 
-class LineBudgetTest(TestCase):
-    def test_a_storm_of_one_sentence_is_bounded_and_counted(self):
+class LineTokenBucketTest(TestCase):
+    def test_lines_of_one_message_are_limited_and_dropped_ones_counted(self):
         bucket = LineTokenBucket(at_seconds=10.0)
-        sent = sum(bucket.take(10.0) for _ in range(1000))
-        self.assertEqual(BURST_LINES, sent)
+        written_count = sum(bucket.take(10.0) for _ in range(1000))
+        self.assertEqual(BURST_LINES, written_count)
         self.assertEqual(1000 - BURST_LINES, bucket.dropped_count)
         self.assertTrue(bucket.take(11.0))
--- a/tests/test_restored_claims.py
+++ b/tests/test_restored_claims.py
@@ -1,4 +1,4 @@
-"""A store that is restored from a copy may lack claims whose requests have run."""
+"""Idempotency after a restore of the store, which loses claims of requests that ran."""
 
 import json
 from types import SimpleNamespace
@@ -14,8 +14,8 @@
 
 
 class RestoredClaimsTest(TestCase):
-    def play(self, scenario):
-        """Run two hosts that claim keys in one store."""
+    def run_scenario(self, scenario):
+        """Run a scenario with two hosts that claim keys in one store."""
 
         async def main():
             store = RestorableStore()
@@ -34,8 +34,8 @@
 
         anyio.run(main)
 
-    async def refuse(self, host, key):
-        """Claim a key in vain; return the code of the refusal."""
+    async def claim_refused(self, host, key):
+        """Claim a key that is refused; return the error code."""
         try:
             await host.claim("/w", key)
         except CallerError as error:
@@ -43,62 +43,66 @@
         raise AssertionError(f"{key} was claimed")
 
     def write_ids(self, store):
-        """Return the claims that the store holds."""
+        """Return the write ids of the claims in the store."""
         value = store.stand_in.store.get("claims/0000").value
         return [claim["write_id"] for claim in json.loads(value)["claims"]]
 
-    def test_a_key_that_ran_is_not_run_again_by_another_host(self):
+    def test_lost_claim_is_rewritten_and_blocks_another_host(self):
         async def scenario(store, clock, one, other):
             await other.claim("/w", "early")
             store.stand_in.keep_copy()
             await one.claim("/w", "lost")
             store.stand_in.restore()
             for host in (other, one):
-                self.assertEqual("claim_unavailable", await self.refuse(host, "lost"))
+                self.assertEqual(
+                    "claim_unavailable", await self.claim_refused(host, "lost")
+                )
                 self.assertEqual(RESTORED_WAIT_SECONDS, host.recovery_remaining_seconds)
             (lost,) = one._own_claims
             while lost not in self.write_ids(store):
                 await anyio.sleep(0.01)
             clock.now += RESTORED_WAIT_SECONDS
             for host in (other, one):
-                self.assertEqual("key_already_used", await self.refuse(host, "lost"))
+                self.assertEqual(
+                    "key_already_used", await self.claim_refused(host, "lost")
+                )
             await other.claim("/w", "new")
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_claim_is_refused_though_another_call_told_of_the_restore(self):
+    def test_claim_is_refused_if_another_call_detects_the_restore(self):
         async def scenario(store, clock, one, other):
             claim = one._store.claim
 
             async def claim_late(*arguments):
                 store.stand_in.restore()
                 await store.list_objects("k/")
-                # The host looks at the era while the claim is under way.
+                # The host detects the new era while the claim is in flight.
                 self.assertEqual(RESTORED_WAIT_SECONDS, one.recovery_remaining_seconds)
                 return await claim(*arguments)
 
             one._store.claim = claim_late
-            self.assertEqual("claim_unavailable", await self.refuse(one, "key"))
+            self.assertEqual("claim_unavailable", await self.claim_refused(one, "key"))
             while self.write_ids(store):
                 await anyio.sleep(0.01)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_a_claim_that_meets_the_restore_is_free_again(self):
+    def test_claim_during_the_restore_is_released(self):
         async def scenario(store, clock, one, other):
             await one.claim("/w", "early")
             store.stand_in.keep_copy()
             store.stand_in.restore()
-            self.assertEqual("claim_unavailable", await self.refuse(one, "key"))
-            self.assertEqual("claim_unavailable", await self.refuse(one, "key"))
+            self.assertEqual("claim_unavailable", await self.claim_refused(one, "key"))
+            self.assertEqual("claim_unavailable", await self.claim_refused(one, "key"))
             clock.now += RESTORED_WAIT_SECONDS
             while True:
                 try:
                     await one.claim("/w", "key")
                 except CallerError:
-                    # Until the claim that met it has been withdrawn.
+                    # The claim made during the restore is not withdrawn yet.
                     await anyio.sleep(0.01)
                 else:
                     return
 
-        self.play(scenario)
+        self.run_scenario(scenario)
--- a/tests/test_routed.py
+++ b/tests/test_routed.py
@@ -1,4 +1,4 @@
-"""Requests on routes, end to end: one final answer, its own, and no run too many."""
+"""End-to-end tests of requests on routes: response integrity and retry rules."""
 
 import hashlib
 from collections import Counter
@@ -31,33 +31,33 @@
 
 
 def ran(found):
-    """Return the names of the upstreams that saw a request, in no order."""
+    """Return the sorted names of upstreams, one for each request received."""
     return sorted(name for name, item in found.items() for _ in item.requests)
 
 
 def all_scripts(found, *scripts):
-    """Give every upstream the same scripts."""
+    """Set the same scripts for every upstream."""
     for upstream in found.values():
         upstream.scripts = list(scripts)
 
 
 async def cut(exchange):
-    """Close without an answer."""
+    """Close the connection without a response."""
     raise Hangup
 
 
 async def refuse(exchange):
-    """Say that the request was not run."""
+    """Respond that the request was not run."""
     await exchange.answer(b"", 503, b"Rampwick-Not-Run: refused")
 
 
 async def misdirect(exchange):
-    """Say that the request is for another upstream."""
+    """Respond that the request is for another upstream."""
     await exchange.answer(b"", 421, b"Rampwick-Not-Run: misdirected")
 
 
 class ForwardingTest(TestCase):
-    def test_method_path_query_and_body_go_on_unchanged(self):
+    def test_method_path_query_and_body_are_forwarded_unchanged(self):
         async def scenario(host, found):
             answer = await host.call(
                 "/once/a%2Fb?x=1&y=%20", body=b"\x00body", headers={"X-Own": "kept"}
@@ -75,7 +75,7 @@
         self.assertNotIn("authorization", seen.headers)
         self.assertEqual("t", seen.headers["rampwick-workspace"])
 
-    def test_what_a_caller_must_not_set_is_dropped(self):
+    def test_reserved_headers_from_callers_are_dropped(self):
         async def scenario(host, found):
             forged = {
                 "Rampwick-Workspace": "other",
@@ -96,7 +96,7 @@
         self.assertNotIn("x-hop", seen.headers)
         self.assertEqual(seen.upstream.name, seen.headers["rampwick-incarnation"])
 
-    def test_an_upstreams_own_failure_goes_through_as_it_is(self):
+    def test_error_response_of_upstream_is_forwarded_unchanged(self):
         async def scenario(host, found):
             async def fail(exchange):
                 await exchange.answer(b"broken", 500)
@@ -108,7 +108,7 @@
         self.assertEqual((500, b"broken"), (answer.status, answer.body))
         self.assertEqual(1, len(seen))
 
-    def test_unknown_route_and_key(self):
+    def test_unknown_route_and_key_are_rejected(self):
         async def scenario(host, found):
             return (
                 (await host.call("/nowhere/1")).status,
@@ -119,7 +119,7 @@
 
         self.assertEqual((404, 401, 401, 200), run(scenario))
 
-    def test_kept_connections_are_used_again(self):
+    def test_idle_connections_are_reused(self):
         async def scenario(host, found):
             for number in range(5):
                 await host.call("/once/1", request_id=f"r{number}")
@@ -128,15 +128,15 @@
         self.assertEqual(1, run(scenario, {"labels": ["a"]}))
 
 
-class LeavingHostTest(TestCase):
-    """A host that leaves takes only what it will surely answer whole.
+class StoppingHostTest(TestCase):
+    """A host that shuts down accepts only requests that fit before its exit.
 
-    Symptom: callers on kept connections saw answers cut in the middle while hosts were
-    stopped one by one. Sequence: the store had been away, answers took three times what
-    hosts reckon, and a host with four seconds left took requests that needed six.
+    Guards against truncated responses on persistent connections during a rolling
+    restart: after an outage of the store, responses took three times the estimate, and
+    a host with four seconds left accepted requests that took six.
     """
 
-    def leave(self, slow_seconds, left_seconds):
+    def call_during_shutdown(self, slow_seconds, left_seconds):
         async def scenario(host, found):
             daemon = host.daemon
             now_seconds = daemon._clocks.monotonic()
@@ -154,22 +154,22 @@
 
         return run(scenario)
 
-    def test_what_may_not_be_done_is_refused_while_it_has_not_run(self):
-        answer, seen = self.leave(slow_seconds=6.4, left_seconds=5.0)
+    def test_request_that_may_not_complete_is_rejected_before_it_runs(self):
+        answer, seen = self.call_during_shutdown(slow_seconds=6.4, left_seconds=5.0)
         self.assertEqual((503, []), (answer.status, seen))
         self.assertEqual("close", answer.headers["connection"])
-        # Whole seconds are what this dialect can say.
+        # Retry-After of this dialect has a resolution of one second.
         self.assertEqual("1", answer.headers["retry-after"])
 
-    def test_what_will_be_done_is_served(self):
-        answer, seen = self.leave(slow_seconds=0.0, left_seconds=5.0)
+    def test_request_that_fits_is_served(self):
+        answer, seen = self.call_during_shutdown(slow_seconds=0.0, left_seconds=5.0)
         self.assertEqual((200, 1), (answer.status, len(seen)))
 
 
 class NotRunTest(TestCase):
-    """What an answer says of whether a request ran is true."""
+    """The status of an error response matches whether the request ran."""
 
-    def test_a_cut_request_that_must_not_repeat_may_have_run(self):
+    def test_broken_request_that_is_not_repeatable_may_have_run(self):
         async def scenario(host, found):
             all_scripts(found, cut)
             return (await host.call("/once/1")).status, ran(found)
@@ -178,17 +178,17 @@
         self.assertEqual(502, status)
         self.assertEqual(1, len(seen))
 
-    def test_a_cut_repeatable_request_runs_at_another(self):
+    def test_broken_repeatable_request_is_retried_at_another_upstream(self):
         async def scenario(host, found):
             all_scripts(found, cut)
             return (await host.call("/again/1")).status, ran(found)
 
         status, seen = run(scenario)
-        # Two runs are allowed; both were cut.
+        # Both allowed attempts were broken off.
         self.assertEqual(502, status)
         self.assertEqual(["a", "b"], seen)
 
-    def test_a_refusal_is_tried_elsewhere_even_if_it_must_not_repeat(self):
+    def test_refused_request_is_retried_elsewhere_even_if_not_repeatable(self):
         async def scenario(host, found):
             found["a"].scripts = [refuse]
             found["b"].scripts = [refuse]
@@ -199,7 +199,7 @@
         self.assertEqual(503, status)
         self.assertEqual(["a", "b"], sorted(set(seen)))
 
-    def test_a_misdirected_request_is_not_taken_for_run(self):
+    def test_misdirected_request_counts_as_not_run(self):
         async def scenario(host, found):
             found["a"].scripts = [misdirect]
             found["b"].scripts = [misdirect]
@@ -207,7 +207,7 @@
 
         self.assertEqual(503, run(scenario))
 
-    def test_refused_after_it_may_have_run_is_not_called_not_run(self):
+    def test_refusal_after_a_possible_run_is_not_reported_as_not_run(self):
         async def scenario(host, found):
             found["a"].scripts = [cut, refuse]
             found["b"].scripts = [cut, refuse]
@@ -215,7 +215,7 @@
 
         self.assertEqual(502, run(scenario))
 
-    def test_no_upstream_is_told_at_once_and_as_not_run(self):
+    def test_lack_of_upstreams_is_reported_immediately_as_not_run(self):
         async def scenario(host, found):
             return await host.call("/once/1")
 
@@ -225,9 +225,9 @@
 
 
 class OwnAnswerTest(TestCase):
-    """A caller gets the answer to its own request or none."""
+    """A caller receives only the response to its own request."""
 
-    def test_an_answer_to_another_request_is_not_passed_on(self):
+    def test_response_to_another_request_is_not_forwarded(self):
         async def scenario(host, found):
             async def cross(exchange):
                 await exchange.answer(b"other's", request_id="other")
@@ -239,7 +239,7 @@
         self.assertEqual(502, answer.status)
         self.assertNotIn(b"other's", answer.body)
 
-    def test_a_success_without_proof_is_not_passed_on(self):
+    def test_unsigned_success_is_not_forwarded(self):
         async def scenario(host, found):
             async def forge(exchange):
                 await exchange.answer(b"forged", signed=False)
@@ -251,7 +251,7 @@
         self.assertEqual(502, answer.status)
         self.assertNotIn(b"forged", answer.body)
 
-    def test_bytes_after_an_answer_spoil_only_their_connection(self):
+    def test_surplus_bytes_after_a_response_close_the_connection(self):
         async def scenario(host, found):
             async def twice(exchange):
                 head = exchange.head(length=4)
@@ -264,7 +264,7 @@
 
         self.assertEqual((b"done", b"next", 2), run(scenario, {"labels": ["a"]}))
 
-    def test_a_surplus_answer_that_comes_late_is_not_taken_for_the_next(self):
+    def test_late_surplus_response_is_not_taken_for_the_next_one(self):
         async def scenario(host, found):
             async def twice(exchange):
                 await exchange.answer(b"done")
@@ -278,7 +278,7 @@
 
         self.assertEqual((b"done", b"next"), run(scenario, {"labels": ["a"]}))
 
-    def test_an_unframed_answer_that_is_closed_is_whole(self):
+    def test_unframed_response_is_complete_at_close(self):
         async def scenario(host, found):
             async def unframed(exchange):
                 await exchange.send(exchange.head() + b"to the end")
@@ -290,7 +290,7 @@
         answer = run(scenario)
         self.assertEqual((200, b"to the end"), (answer.status, answer.body))
 
-    def test_an_unframed_answer_that_is_reset_is_not_whole(self):
+    def test_unframed_response_is_incomplete_at_reset(self):
         async def scenario(host, found):
             async def unframed(exchange):
                 await exchange.send(exchange.head() + b"not to the")
@@ -303,7 +303,7 @@
 
         self.assertEqual(502, run(scenario).status)
 
-    def test_an_answer_cut_short_is_not_whole(self):
+    def test_truncated_response_is_incomplete(self):
         async def scenario(host, found):
             async def short(exchange):
                 await exchange.send(exchange.head(length=10) + b"half")
@@ -316,7 +316,7 @@
 
 
 def event(number):
-    """Return one event of a stream."""
+    """Return one server-sent event."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
@@ -324,12 +324,12 @@
 
 
 def chunk(data):
-    """Return one chunk."""
+    """Return one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def stream_of(first, last, stop_after=None, half=b""):
-    """Return a script that streams events, whole or cut after one of them."""
+    """Return a script that streams events, optionally truncated after one of them."""
 
     async def script(exchange):
         await exchange.send(exchange.head(extra=CHUNKED))
@@ -345,12 +345,12 @@
 
 
 class StreamTest(TestCase):
-    """Streams come whole and in order, or visibly not whole."""
+    """Streams arrive complete and in order, or are recognizably incomplete."""
 
     def expect(self, last):
         return b"".join(event(number) for number in range(1, last + 1))
 
-    def test_a_whole_stream_goes_through(self):
+    def test_complete_stream_is_forwarded(self):
         async def scenario(host, found):
             all_scripts(found, stream_of(1, 5))
             return await host.call("/stream/1")
@@ -360,41 +360,41 @@
             (200, self.expect(5), True), (answer.status, answer.body, answer.is_whole)
         )
 
-    def test_a_broken_stream_goes_on_at_another_after_the_last_whole_event(self):
+    def test_broken_stream_resumes_elsewhere_after_the_last_complete_event(self):
         async def scenario(host, found):
-            asked = []
+            resumed_after = []
 
             async def resume(exchange):
-                asked.append(exchange.headers.get("last-event-id"))
+                resumed_after.append(exchange.headers.get("last-event-id"))
                 await stream_of(4, 6)(exchange)
 
-            # Whichever is asked second goes on where the first one broke off.
-            found["c"].scripts = [self.breaks_then(found, "d", resume)]
-            found["d"].scripts = [self.breaks_then(found, "c", resume)]
-            return await host.call("/stream/1"), asked
+            # Whichever upstream is second resumes where the first one broke off.
+            found["c"].scripts = [self.break_then_resume(found, "d", resume)]
+            found["d"].scripts = [self.break_then_resume(found, "c", resume)]
+            return await host.call("/stream/1"), resumed_after
 
-        answer, asked = run(scenario)
-        self.assertEqual(["3"], asked)
+        answer, resumed_after = run(scenario)
+        self.assertEqual(["3"], resumed_after)
         self.assertEqual((self.expect(6), True), (answer.body, answer.is_whole))
 
-    def breaks_then(self, found, other, resume):
+    def break_then_resume(self, found, other, resume):
         async def script(exchange):
             found[other].scripts = [resume]
             await stream_of(1, 9, stop_after=3, half=b"id: 4\ndata: ha")(exchange)
 
         return script
 
-    def test_events_that_come_again_are_left_out(self):
+    def test_repeated_events_are_dropped(self):
         async def scenario(host, found):
             again = stream_of(1, 6)
-            found["c"].scripts = [self.breaks_then(found, "d", again)]
-            found["d"].scripts = [self.breaks_then(found, "c", again)]
+            found["c"].scripts = [self.break_then_resume(found, "d", again)]
+            found["d"].scripts = [self.break_then_resume(found, "c", again)]
             return await host.call("/stream/1")
 
         answer = run(scenario)
         self.assertEqual((self.expect(6), True), (answer.body, answer.is_whole))
 
-    def test_a_stream_that_may_not_go_on_elsewhere_ends_visibly_cut(self):
+    def test_stream_that_is_not_resumable_ends_truncated(self):
         async def scenario(host, found):
             all_scripts(found, stream_of(1, 9, stop_after=3, half=b"id: 4\ndata: h"))
             return await host.call("/brittle/1"), ran(found)
@@ -403,18 +403,18 @@
         self.assertEqual((self.expect(3), False), (answer.body, answer.is_whole))
         self.assertEqual(1, len(seen))
 
-    def test_a_caller_that_comes_back_is_given_the_rest(self):
+    def test_returning_caller_receives_the_remaining_events(self):
         async def scenario(host, found):
             all_scripts(found, stream_of(4, 6))
             answer = await host.call("/stream/1", headers={"Last-Event-Id": "3"})
             (seen,) = [item for one in found.values() for item in one.requests]
             return answer, seen.headers["last-event-id"]
 
-        answer, asked = run(scenario)
-        self.assertEqual("3", asked)
+        answer, resumed_after = run(scenario)
+        self.assertEqual("3", resumed_after)
         self.assertEqual(b"".join(event(number) for number in (4, 5, 6)), answer.body)
 
-    def test_a_caller_that_leaves_stops_the_upstream(self):
+    def test_disconnect_of_the_caller_stops_the_upstream(self):
         async def scenario(host, found):
             async def endless(exchange):
                 await exchange.send(exchange.head(extra=CHUNKED))
@@ -435,7 +435,7 @@
 
 
 class ConfigurationAgeTest(TestCase):
-    def test_a_key_is_not_honoured_once_the_store_is_lost_for_too_long(self):
+    def test_key_is_rejected_after_a_long_outage_of_the_store(self):
         async def scenario(host, found):
             before = (await host.call("/once/1")).status
             host.store.failure = PlatformUnavailableError("away", step="test")
@@ -455,7 +455,7 @@
         self.assertEqual((200, 503, 200), (before, refused.status, open_status))
         self.assertIn("retry-after", refused.headers)
 
-    def test_a_key_taken_away_is_refused_as_soon_as_it_is_heard(self):
+    def test_revoked_key_is_rejected_once_the_change_is_received(self):
         async def scenario(host, found):
             before = (await host.call("/once/1")).status
             tree = make_tree(2, nodes={"/": make_tree().nodes["/"]})
@@ -466,7 +466,7 @@
 
         self.assertEqual((200, 401), run(scenario))
 
-    def test_an_invalid_configuration_is_refused_whole_and_confirms_nothing(self):
+    def test_invalid_configuration_is_rejected_and_confirms_no_keys(self):
         async def scenario(host, found):
             bad = attrs.evolve(make_tree().routing.routes[0], path_prefix="no slash")
             host.store.write("config/main", make_tree(2, routes=[bad]))
@@ -486,7 +486,7 @@
 
 
 class LeavingUpstreamTest(TestCase):
-    def test_a_leaving_upstream_gets_nothing_new(self):
+    def test_leaving_upstream_receives_no_new_requests(self):
         async def scenario(host, found):
             list_upstream(host.store, found["a"], "labels", "leaving")
             upstreams = host.daemon.scheduler._scheduler.upstreams
@@ -503,10 +503,10 @@
 
 
 class CheapRefusalTest(TestCase):
-    """A hot workspace is refused by the thousand: that must not cost what serving does.
+    """Refusals are cheap, since a busy workspace gets thousands of them.
 
-    Each refusal named the state of every upstream, had its caller watched by a task of
-    its own, and told the scheduler that a request was cancelled which it had refused.
+    Guards against three costs: the state of every upstream in each refusal, a task that
+    watches the caller, and a cancellation event for a request that was refused already.
     """
 
     def refuse(self, count):
@@ -550,7 +550,7 @@
         answers, refusal = run(scenario, {"labels": ["a"]})
         return answers, refusal, events, tasks
 
-    def test_it_is_one_event_and_no_task(self):
+    def test_refusal_takes_one_event_and_no_task(self):
         answers, refusal, events, tasks = self.refuse(5)
         refused = [item for item in answers if item.status == 429]
         served = len(answers) - len(refused)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a host does first: it listens, finds others, and learns what it decides by."""
+"""Start of a host: early listener, peer discovery and transfer of cache contents."""
 
 import random
 import socket
@@ -61,7 +61,7 @@
 
 
 class EarlyListenerTest(TestCase):
-    """Callers of a host that still loads wait instead of being refused."""
+    """Connections are queued and not refused while the daemon is being imported."""
 
     def bind(self, text):
         folder = self.make_folder()
@@ -77,7 +77,7 @@
         self.addCleanup(folder.cleanup)
         return folder.name
 
-    def test_a_caller_is_let_in_before_anything_is_loaded(self):
+    def test_connection_is_accepted_before_the_daemon_is_imported(self):
         listener = self.bind('[listen]\nentry = "127.0.0.1:0"\n')
         address = listener.getsockname()
         with socket.create_connection(address, timeout=5.0) as caller:
@@ -87,7 +87,7 @@
             with accepted:
                 self.assertEqual(b"x", accepted.recv(1))
 
-    def test_what_is_wrong_is_left_to_the_daemon(self):
+    def test_invalid_settings_and_addresses_are_ignored(self):
         taken = self.bind('[listen]\nentry = "127.0.0.1:0"\n')
         _, port = taken.getsockname()
         texts = [
@@ -100,7 +100,7 @@
         self.assertEqual([None] * len(texts), [self.bind(text) for text in texts])
         self.assertIsNone(bind_early(Path("no such file")))
 
-    def test_a_module_is_loaded_by_its_name(self):
+    def test_load_returns_the_module(self):
         self.assertIs(socket, load("socket"))
 
 
@@ -109,9 +109,9 @@
 
 
 class DirectoryTest(TestCase):
-    """Where all hosts come back at once, the seeds may be the last ones to listen."""
+    """Peer discovery through the store, as seeds may be the last hosts to restart."""
 
-    def test_a_host_that_hears_nobody_looks_for_others_at_once(self):
+    def test_host_without_peers_reads_the_directory_immediately(self):
         api = FakeApi()
         found = []
 
@@ -136,7 +136,7 @@
         anyio.run(main)
         self.assertEqual(["k"], found)
 
-    def test_a_reader_records_itself_again_in_a_restored_store(self):
+    def test_reader_rewrites_its_record_after_a_restore_of_the_store(self):
         api = FakeApi()
 
         async def main():
@@ -160,7 +160,7 @@
 
 @attrs.define
 class RecordingLink:
-    """Stands for a link to a host that has just started."""
+    """Fake link to a host that has just started."""
 
     sent: list = attrs.field(factory=list)
 
@@ -168,10 +168,10 @@
         self.sent.append(message)
 
 
-class GreetingTest(TestCase):
-    """A host that starts is told what the caches hold, not only what changes."""
+class InitialSyncTest(TestCase):
+    """A new peer receives the contents of caches, not only their changes."""
 
-    def mail(self, names, hosts_count=3):
+    def make_outbox(self, names, hosts_count=3):
         settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
         scheduler = SchedulerTask(Scheduler(settings), lambda: 10.0)
         entry = HostEntry(
@@ -182,32 +182,32 @@
         scheduler.post(CacheSeen("r", (changes,)))
         table = MemberTable(Member("e", "h", "e:1"))
         table.learn(Member(f"k{n}", "h", f"k{n}:1") for n in range(hosts_count - 1))
-        mail = CacheOutbox(table, None, scheduler, set)
-        mail.list_read = lambda: names
-        return mail
+        outbox = CacheOutbox(table, None, scheduler, set)
+        outbox.list_read = lambda: names
+        return outbox
 
-    def test_the_caches_read_here_are_told(self):
+    def test_contents_of_caches_read_by_this_host_are_sent(self):
         link = RecordingLink()
-        self.mail({"r"}).greet(link)
+        self.make_outbox({"r"}).greet(link)
         (seen,) = cache_events(link.sent[0])
         self.assertEqual("r", seen.upstream)
         (changes,) = seen.changes
-        told = dict(zip(changes.prefixes, changes.tokens, strict=True))
-        self.assertEqual({b"x" * 8: 2500, b"y" * 8: 3700}, told)
+        contents = dict(zip(changes.prefixes, changes.tokens, strict=True))
+        self.assertEqual({b"x" * 8: 2500, b"y" * 8: 3700}, contents)
         self.assertEqual(life_label(Life("r", 1)), changes.label)
 
-    def test_nothing_is_told_of_caches_that_others_read(self):
+    def test_contents_of_caches_read_by_other_hosts_are_not_sent(self):
         link = RecordingLink()
-        self.mail(set()).greet(link)
-        self.mail({"other"}).greet(link)
+        self.make_outbox(set()).greet(link)
+        self.make_outbox({"other"}).greet(link)
         self.assertEqual([], link.sent)
 
-    def test_in_a_large_fleet_the_changes_alone_are_told(self):
+    def test_contents_are_not_sent_in_a_large_fleet(self):
         link = RecordingLink()
-        self.mail({"r"}, hosts_count=30).greet(link)
+        self.make_outbox({"r"}, hosts_count=30).greet(link)
         self.assertEqual([], link.sent)
 
-    def test_of_a_store_only_its_own_word_is_told(self):
+    def test_only_entries_reported_by_the_store_itself_are_sent(self):
         kept = KeptKnowledge()
         kept.note_saved(1, b"x" * 8, 2500, 10.0)
         kept.note_change(2, b"y" * 8, 3700, 10.0)
@@ -217,32 +217,32 @@
 
 
 class LongPromptTest(TestCase):
-    """Peers are told at once of a prompt that keeps a runner busy for a while."""
+    """A prompt that occupies a runner for long is published immediately."""
 
-    def told(self, missing_tokens):
+    def is_published(self, missing_tokens):
         settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
         task = SchedulerTask(Scheduler(settings), lambda: 10.0)
-        told = []
-        task.on_long_prompt = partial(told.append, True)
+        calls = []
+        task.on_long_prompt = partial(calls.append, True)
         choice = Choice("r", 0, missing_tokens, 0.0, 0.0, 0.0, True)
         dispatch = Dispatch("q", "q.1", "r", "r:1", "r", 1, choice)
         task._execute(dispatch, 10.0)
-        return bool(told)
+        return bool(calls)
 
-    def test_only_long_ones_are_news(self):
-        self.assertTrue(self.told(3000))
-        self.assertFalse(self.told(300))
+    def test_only_long_prompts_are_published(self):
+        self.assertTrue(self.is_published(3000))
+        self.assertFalse(self.is_published(300))
 
 
 class PagedCache:
-    """Stands for a cache that tells its events a page at a time, the oldest first."""
+    """Fake cache that returns its events in pages, oldest first."""
 
     def __init__(self, pages):
         self.pages = pages
-        self.asked = []
+        self.positions = []
 
     def events(self, address, since, wait_seconds):
-        self.asked.append(since)
+        self.positions.append(since)
         return since
 
     async def call(self, channels, name, address, request, timeout_seconds):
@@ -256,13 +256,13 @@
 
 
 class CatchUpTest(TestCase):
-    """A host that starts learns all that a cache holds before it waits for more."""
+    """A new host reads all events of a cache before it waits for further ones."""
 
     def catch_up(self, pages=(), cache=None):
         cache = cache or PagedCache(pages)
         own = Member("e", "h", "e:1")
         reader = CacheReaderTask(
-            own, self, None, cache, SaltBook("s"), self.told.append, Neighbours
+            own, self, None, cache, SaltBook("s"), self.published.append, Neighbours
         )
         source = Source("r", "h", "r:1", "r")
         reader._knows_any = True
@@ -279,22 +279,22 @@
             "rampwick_router.upstream._cache_reader.call_upstream", cache.call
         ):
             anyio.run(main)
-        return cache.asked
+        return cache.positions
 
     def setUp(self):
         super().setUp()
-        self.told = []
+        self.published = []
 
     def post(self, event):
-        """Take what the reader hands to the scheduler."""
+        """Accept the events that the reader posts to the scheduler."""
 
-    def test_full_pages_are_asked_for_one_after_another(self):
+    def test_pages_are_read_until_one_is_not_full(self):
         self.assertEqual([0, 1, 2], self.catch_up([500, 500, 20]))
 
-    def test_few_events_are_all_there_is(self):
+    def test_page_that_is_not_full_is_the_last(self):
         self.assertEqual([0], self.catch_up([20, 20]))
 
-    def test_a_cache_that_does_not_go_on_is_not_asked_in_a_loop(self):
+    def test_cache_that_repeats_a_page_is_not_read_in_a_loop(self):
         cache = PagedCache([500, 500])
         cache.read_events = lambda head, since: CacheEvents(
             1, 0, False, [CacheEvent("salt", f"part {n}", 64) for n in range(500)]
@@ -303,7 +303,7 @@
 
 
 class ChurningCache(PagedCache):
-    """Tells how most of what it ever held gave way to something else."""
+    """Fake cache that reports the eviction of most of its earlier entries."""
 
     def __init__(self, pages, salt):
         super().__init__(pages)
@@ -321,14 +321,15 @@
 
 
 class HistoryTest(CatchUpTest):
-    """Peers are told what came of a cache's history, not the history.
+    """Peers receive the net result of a cache's event history.
 
-    All hosts of a large fleet came back at once, and each cache's reader told thousands
-    of events: 12 MB between halls, and half a megabyte for each host to read at half a
-    core while its callers waited.
+    Guards against broadcasts of the whole history at a simultaneous restart of a large
+    fleet: the reader of each cache sent thousands of events, which made 12 MB between
+    halls, and half a megabyte for each host to process with half a core while its
+    callers waited.
     """
 
-    def told_prefixes(self, pages):
+    def published_tokens(self, pages):
         scope = Scope("wall", "model")
         salt = SaltBook("s").salt(scope, 1)
         book = SaltBook("s")
@@ -336,28 +337,28 @@
         with mock.patch.object(SaltBook, "find", book.find):
             self.catch_up(cache=ChurningCache(pages, salt))
         tokens = {}
-        for seen in self.told:
+        for seen in self.published:
             for change in seen.changes:
                 pairs = zip(change.prefixes, change.tokens, strict=True)
                 tokens.update(pairs)
         return tokens
 
-    def test_what_is_told_does_not_grow_with_the_history(self):
-        few = self.told_prefixes([500])
-        self.told.clear()
-        many = self.told_prefixes([500] * 8)
+    def test_published_changes_do_not_grow_with_the_history(self):
+        few = self.published_tokens([500])
+        self.published.clear()
+        many = self.published_tokens([500] * 8)
         self.assertLessEqual(len(many), len(few) + 3 * 8)
-        self.assertEqual(1, len(self.told))
+        self.assertEqual(1, len(self.published))
 
-    def test_all_that_is_kept_is_told_and_what_went_last(self):
-        tokens = self.told_prefixes([500])
+    def test_cached_entries_and_the_last_evictions_are_published(self):
+        tokens = self.published_tokens([500])
         self.assertEqual(3, sum(count > 0 for count in tokens.values()))
         lost = sum(count == 0 for count in tokens.values())
         self.assertEqual(TOLD_LOSSES_COUNT, lost)
 
 
 class FirstRolesTest(TestCase):
-    """In its first moments a host reads its own hall's caches and no others."""
+    """During its warm-up a host reads only the caches of its own hall."""
 
     def wanted(self, at_seconds):
         settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
@@ -377,13 +378,13 @@
         found = reader._list_sources(scheduler, at_seconds)
         return {source.name for source in found}
 
-    def test_other_halls_are_left_to_their_hosts(self):
+    def test_caches_of_other_halls_are_not_read_during_the_warm_up(self):
         self.assertEqual({"h"}, self.wanted(0.5))
 
-    def test_who_still_hears_nobody_reads_all(self):
+    def test_host_without_peers_reads_all_caches_after_the_warm_up(self):
         self.assertEqual({"h", "k"}, self.wanted(1.5))
 
-    def test_looks_are_frequent_only_until_caches_are_known(self):
+    def test_role_checks_are_frequent_until_caches_are_known(self):
         reader = CacheReaderTask(
             Member("e", "h", "e:1"), None, None, None, SaltBook("s"), None, Neighbours
         )
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A leaving upstream gets no work; a planned stop cuts nothing; a restart serves."""
+"""Draining upstreams, planned shutdown and restart of hosts, health, membership."""
 
 import tempfile
 from contextlib import contextmanager
@@ -29,8 +29,8 @@
 
 
 class LeavingUpstreamTest(ScenarioCase):
-    def leave(self):
-        """Return which runner took each request sent after one was leaving."""
+    def count_new_requests(self):
+        """Return how many requests a runner receives after its state is leaving."""
 
         async def scenario(bench):
             bench.add_runner("lektor-1")
@@ -47,17 +47,17 @@
 
         return self.run_scenario(scenario)
 
-    def test_leaving_upstream_gets_no_new_work(self):
-        self.assertEqual(0, self.leave())
+    def test_leaving_upstream_receives_no_new_requests(self):
+        self.assertEqual(0, self.count_new_requests())
 
-    def test_table_that_ignores_the_state_is_caught(self):
+    def test_table_that_ignores_the_state_is_detected(self):
         def is_leaving(self, upstream, now_seconds):
             return False
 
         with mock.patch.object(UpstreamTable, "is_leaving", is_leaving):
-            self.assertNotEqual(0, self.leave())
+            self.assertNotEqual(0, self.count_new_requests())
 
-    def test_host_cut_off_from_the_platform_hears_it_from_a_peer(self):
+    def test_host_without_platform_receives_the_state_from_a_peer(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
             bench.add_runner("lektor-2")
@@ -67,8 +67,8 @@
             ):
                 for host in (one, two):
                     await host.until_ready("lektor-1", "lektor-2")
-                    await until(lambda host=host: peers_of(host))
-                # Cut only the second host off: its list stays as it was.
+                    await until(lambda host=host: known_peers(host))
+                # Only the second host loses the platform, so its list is not updated.
                 source = two.daemon._hosts.source
                 with mock.patch.object(source, "_api", BrokenApi()):
                     await until(lambda: two.daemon._hosts.problem)
@@ -83,7 +83,7 @@
 
         self.assertEqual(0, self.run_scenario(scenario))
 
-    def test_work_under_way_at_a_leaving_upstream_is_served_out(self):
+    def test_open_requests_at_a_leaving_upstream_complete(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.02)
             seen = []
@@ -110,13 +110,13 @@
         raise PlatformUnavailableError("cut off", step="read host list")
 
 
-def peers_of(host):
-    """Return the peers that a host hears."""
+def known_peers(host):
+    """Return the peers whose state a host has received."""
     return list(host.daemon.scheduler._scheduler.peers._views)
 
 
 class PlannedStopTest(ScenarioCase):
-    def test_stop_under_load_cuts_no_stream(self):
+    def test_shutdown_under_load_truncates_no_stream(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.02)
             seen = []
@@ -143,7 +143,7 @@
         self.assertTrue(all(saw.is_whole for saw in seen))
         self.assertEqual(("leaving", "no"), (late.error_code, late.was_run))
 
-    def test_one_host_after_another_loses_nothing(self):
+    def test_rolling_shutdown_loses_no_request(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.005)
             seen, sent = [], []
@@ -177,7 +177,7 @@
         self.assert_holds(check_final_answers(seen, sent))
         self.assertTrue(all(saw.is_whole for saw in seen))
 
-    def test_second_signal_ends_open_streams_with_a_word(self):
+    def test_second_signal_ends_open_streams_with_an_error_event(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.05)
             seen = []
@@ -201,7 +201,7 @@
 
 
 class RestartTest(ScenarioCase):
-    def test_restarted_host_serves_from_its_peers_while_the_platform_is_down(self):
+    def test_restarted_host_gets_its_state_from_peers_while_the_platform_is_down(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
             async with bench.run_host("entry-1") as one:
@@ -216,7 +216,7 @@
 
         self.assertTrue(self.run_scenario(scenario).is_whole)
 
-    def test_host_alone_serves_what_its_settings_name(self):
+    def test_isolated_host_serves_from_the_fallback_file(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             address = bench.entries["lektor-1"].address
@@ -226,7 +226,7 @@
             async with bench.run_host(extra=extra) as host:
                 await until(lambda: host.is_available("lektor-1"))
                 saw = await host.stream("all alone")
-                # The platform comes back with a newer tree and a real list.
+                # The platform recovers and provides a newer tree and host list.
                 bench.platform.set_faults(PlatformFaults())
                 await until(lambda: host.daemon.follower.source == "platform")
             return saw, runner.engine.started
@@ -247,7 +247,7 @@
                 ):
                     for host in (one, two, three):
                         await host.until_ready("lektor-1")
-                        saw = await host.stream("after the herd")
+                        saw = await host.stream("after the restart")
                         sources.append(saw.is_whole)
             return sources
 
@@ -256,7 +256,7 @@
 
 @contextmanager
 def fallback_file(address):
-    """Yield the path of a fallback with one workspace and one runner."""
+    """Yield the path of a fallback file with one workspace and one runner."""
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(
             f"""
@@ -276,7 +276,7 @@
 
 
 class HealthTest(TestCase):
-    def test_new_life_comes_back_on_a_ramp(self):
+    def test_new_incarnation_recovers_gradually(self):
         health = Health(0.05, 6.0)
         health.note_failure("reset", 10.0)
         self.assertEqual(0.0, health.admit_ratio(10.1))
@@ -288,13 +288,13 @@
         self.assertAlmostEqual(0.05, ratios[0])
         self.assertEqual(1.0, ratios[-1])
 
-    def test_old_life_comes_back_at_once(self):
+    def test_unchanged_incarnation_recovers_immediately(self):
         health = Health(0.05, 6.0)
         health.note_failure("reset", 10.0)
         health.note_probe(True, 10.3)
         self.assertEqual(1.0, health.admit_ratio(10.3))
 
-    def test_failures_in_a_row_pause_for_longer(self):
+    def test_consecutive_failures_increase_the_pause(self):
         health = Health(0.05, 6.0)
         now_seconds, pauses = 0.0, []
         for _ in range(8):
@@ -321,14 +321,14 @@
 
 
 class MembershipTest(TestCase):
-    def test_older_news_never_override_newer(self):
+    def test_older_summary_never_replaces_a_newer_one(self):
         peers = Membership(1.0)
         self.assertTrue(peers.hear("a", "h", 5, summary(3), 0.0))
         self.assertFalse(peers.hear("a", "h", 5, summary(2), 0.1))
         self.assertFalse(peers.hear("a", "h", 4, summary(9), 0.1))
         self.assertTrue(peers.hear("a", "h", 6, summary(0), 0.1))
 
-    def test_silent_peer_is_gone_and_its_load_with_it(self):
+    def test_unresponsive_peer_expires_with_its_load(self):
         peers = Membership(1.0)
         usage = UpstreamUsage("r", "life", 4, 100)
         peers.hear("a", "h", 1, summary(1, upstreams=[usage]), 0.0)
@@ -337,7 +337,7 @@
         self.assertEqual(0, peers.load_of("r", "life").running_count)
         self.assertFalse(peers.hears_anyone(1.5))
 
-    def test_host_that_hears_nobody_keeps_to_its_part(self):
+    def test_isolated_host_limits_itself_to_its_share(self):
         peers = Membership(1.0)
         for name in "abc":
             peers.hear(name, "h", 1, summary(1), 0.0)
@@ -345,7 +345,7 @@
         peers.expire(2.0)
         self.assertEqual(0.25, peers.own_part_ratio(2.0))
 
-    def test_flapping_list_ends_with_its_newest_version(self):
+    def test_newest_version_of_a_flapping_host_list_wins(self):
         table = UpstreamTable("h", RetrySettings(), PlacementSettings(), 1.0)
         states = ["live", "leaving", "live", "leaving"]
         lists = [
@@ -358,11 +358,11 @@
         assert found is not None
         self.assertEqual("leaving", found.entry.state)
 
-    def test_two_hosts_of_a_hall_watch_and_a_lone_one_does(self):
+    def test_two_hosts_of_a_hall_are_watchers_and_so_is_a_single_one(self):
         names = [f"entry-{number}" for number in range(6)]
-        watching = []
+        watchers = []
         for name in names:
             others = [other for other in names if other != name]
-            watching.append(is_watcher(name, others))
-        self.assertEqual(2, sum(watching))
+            watchers.append(is_watcher(name, others))
+        self.assertEqual(2, sum(watchers))
         self.assertTrue(is_watcher("alone", []))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Every stream arrives complete and in order, and goes to its own caller."""
+"""Streams arrive complete and in order at the caller that requested them."""
 
 from unittest import mock
 
@@ -20,7 +20,7 @@
 
 class CutStreamTest(ScenarioCase):
     def cut_everywhere(self):
-        """Return what callers saw of streams cut at every position."""
+        """Return the responses to streams that are cut at each position."""
 
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
@@ -35,14 +35,14 @@
 
         return self.run_scenario(scenario)
 
-    def test_stream_cut_at_every_position_is_resumed_or_ends_with_an_error(self):
+    def test_stream_cut_at_any_position_is_resumed_or_ends_with_an_error(self):
         seen = self.cut_everywhere()
         self.assert_holds(check_answers(seen, LENGTH))
-        # Three resumes carry a stream over cuts after every second event or more.
+        # Three resumptions suffice for cuts after every second event or more.
         self.assertEqual([True] * 5, [saw.is_whole for saw in seen[1:]])
 
     def repeat_an_event(self):
-        """Return what a caller saw of a stream with one event sent twice."""
+        """Return the response to a stream with one event sent twice."""
 
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
@@ -56,7 +56,7 @@
     def test_repeated_event_is_delivered_once(self):
         self.assert_holds(check_answers(self.repeat_an_event(), LENGTH))
 
-    def test_relay_without_order_is_caught(self):
+    def test_checker_detects_a_relay_that_ignores_event_order(self):
         def admit_all(self, event):
             self.next_position += 1
             return True
@@ -65,7 +65,7 @@
             seen = self.repeat_an_event()
         self.assertNotEqual([], check_answers(seen, LENGTH))
 
-    def test_engine_that_dies_in_mid_stream_ends_it_with_an_explicit_error(self):
+    def test_engine_crash_in_mid_stream_ends_it_with_an_explicit_error(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.05)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
@@ -87,7 +87,7 @@
         self.assertFalse(saw.is_whole)
         self.assertEqual("upstream_failed", saw.error_code)
 
-    def test_frozen_engine_is_given_up_and_another_one_answers(self):
+    def test_request_at_a_frozen_engine_is_retried_at_another_one(self):
         async def scenario(bench):
             frozen = bench.add_runner("lektor-1")
             extra = "[retry]\nsilence_timeout_seconds = 0.2\n"
@@ -117,7 +117,7 @@
 
 class ResumeElsewhereTest(ScenarioCase):
     async def first_events(self, host, prompt, count):
-        """Read some events, then break off; return them and the last id."""
+        """Read some events, then disconnect; return them, the token and the last id."""
         body = {
             "model": "lektor",
             "prompt": prompt,
@@ -142,7 +142,7 @@
         headers = {"Authorization": f"Bearer {key}", "Last-Event-ID": last_id}
         return await host.client.get(f"/v1/streams/{token}", headers=headers)
 
-    def test_caller_comes_back_to_another_host(self):
+    def test_caller_resumes_at_another_host(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.02)
             async with (
@@ -152,32 +152,32 @@
                 await one.until_ready("lektor-1")
                 await two.until_ready("lektor-1")
                 got, token, last_id = await self.first_events(one, "moving", 2)
-                # The engine goes on although the first host's caller is gone: the
-                # cancellation that it sends is what ends such streams.
+                # The engine continues although the caller has disconnected, because the
+                # host's cancellation is patched out below.
                 rest = await self.resume(two, token, last_id)
-                stranger = await self.resume(two, token, last_id, OTHER_KEY)
+                other_workspace = await self.resume(two, token, last_id, OTHER_KEY)
                 forged = await self.resume(two, token[:-2] + "xx", last_id)
-                return got, rest, stranger, forged
+                return got, rest, other_workspace, forged
 
         with mock.patch(
             "rampwick_router.upstream._client.UpstreamClient.cancel", do_nothing
         ):
-            got, rest, stranger, forged = self.run_scenario(scenario)
+            got, rest, other_workspace, forged = self.run_scenario(scenario)
         self.assertEqual(200, rest.status_code, rest.text)
         saw = read_stream("moving", 200, got + rest.content)
         self.assert_holds(check_answers([saw], LENGTH))
         self.assertTrue(saw.is_whole)
-        self.assertEqual(410, stranger.status_code)
+        self.assertEqual(410, other_workspace.status_code)
         self.assertEqual(410, forged.status_code)
 
-    def test_host_dies_in_mid_stream_and_the_caller_goes_to_another(self):
+    def test_caller_resumes_elsewhere_after_a_crash_of_the_host(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.1)
             async with bench.run_host("entry-2") as two:
                 async with bench.run_host("entry-1") as one:
                     await one.until_ready("lektor-1")
                     await two.until_ready("lektor-1")
-                    # A dead host tells nobody that its callers are gone.
+                    # A crashed host does not cancel the attempts of its callers.
                     drop_cancellations(one.daemon.scheduler)
                     got, token, last_id = await self.first_events(one, "orphan", 2)
                 return got, await self.resume(two, token, last_id)
@@ -187,7 +187,7 @@
         self.assert_holds(check_answers([saw], LENGTH))
         self.assertTrue(saw.is_whole)
 
-    def test_resumed_twice_at_once_gives_both_the_same(self):
+    def test_concurrent_resumptions_receive_the_same_events(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.02)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
@@ -215,7 +215,7 @@
 
 
 class OwnAnswerTest(ScenarioCase):
-    def test_many_callers_each_get_their_own_answer(self):
+    def test_many_callers_receive_their_own_responses(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
             bench.add_runner("lektor-2")
@@ -237,7 +237,7 @@
         self.assert_holds(check_final_answers(seen, sent))
         self.assertTrue(all(saw.is_whole for saw in seen))
 
-    def test_answer_to_another_attempt_is_not_passed_on(self):
+    def test_response_to_another_attempt_is_not_forwarded(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             async with bench.run_host() as host:
@@ -249,7 +249,7 @@
         saw = self.run_scenario(scenario)
         self.assertEqual((502, "maybe"), (saw.status, saw.was_run))
 
-    def test_cancellation_that_races_the_end_hurts_nobody(self):
+    def test_cancellation_that_races_the_end_affects_no_other_request(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             async with bench.run_host() as host:
@@ -266,7 +266,7 @@
         self.assert_holds(check_answers(seen, LENGTH))
         self.assertTrue(seen[0].is_whole)
 
-    def test_caller_that_goes_away_has_its_attempt_cancelled(self):
+    def test_disconnect_of_the_caller_cancels_the_attempt(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.05)
             async with bench.run_host() as host:
@@ -277,7 +277,7 @@
 
         self.run_scenario(scenario)
 
-    def test_ids_differ_after_a_restart(self):
+    def test_attempt_ids_differ_after_a_restart(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             for _ in range(2):
@@ -291,7 +291,7 @@
 
 
 def drop_cancellations(scheduler):
-    """Have a scheduler's task not hear of callers that go away."""
+    """Make a scheduler task ignore cancelled requests."""
     post = scheduler.post
 
     def post_others(event):
@@ -302,13 +302,13 @@
 
 
 async def do_nothing(*arguments, **options):
-    """Stand in for a call that shall have no effect."""
+    """Replace a call that must have no effect."""
 
 
 class EventSplitterTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.data())
-    def test_events_are_the_same_however_bytes_are_grouped(self, data):
+    def test_events_do_not_depend_on_the_boundaries_of_reads(self, data):
         count = data.draw(st.integers(0, 8))
         whole = b"".join(b"id: %d\ndata: x%d\n\n" % (at, at) for at in range(count))
         cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=6)))
@@ -321,22 +321,22 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes_give_events_or_an_attempt_error(self, data):
+    def test_arbitrary_bytes_give_events_or_an_attempt_error(self, data):
         splitter = EventSplitter(64, "peer")
         try:
             splitter.feed(data)
         except AttemptError as error:
             self.assertEqual("peer", error.peer)
 
-    def test_gap_is_an_error(self):
+    def test_gap_in_positions_is_an_error(self):
         keeper = OrderKeeper(0, "peer")
         self.assertTrue(keeper.admit(StreamEvent(0, b"")))
         self.assertFalse(keeper.admit(StreamEvent(0, b"")))
         self.assertRaises(AttemptError, keeper.admit, StreamEvent(2, b""))
 
 
-class StrangerTest(ScenarioCase):
-    def test_hostile_requests_get_a_clear_error(self):
+class InvalidRequestTest(ScenarioCase):
+    def test_invalid_requests_get_a_client_error(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
             answers = []
@@ -361,7 +361,7 @@
                             "/v1/completions", content=body, headers=headers
                         )
                     )
-                slow = await send_half(host.addresses.entry)
+                slow = await send_incomplete(host.addresses.entry)
                 self.assertEqual(200, (await host.complete()).status_code)
             return answers, slow
 
@@ -372,8 +372,8 @@
             self.assertEqual("no", answer.json()["error"]["was_run"])
 
 
-async def send_half(address):
-    """Send a request whose body never comes whole; return the answer's head."""
+async def send_incomplete(address):
+    """Send a request with an incomplete body; return the start of the response."""
     host, _, port = address.rpartition(":")
     head = (
         f"POST /v1/completions HTTP/1.1\r\nHost: {address}\r\n"
