--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -155,7 +155,8 @@
         claims_seconds = self._context.claims.recovery_remaining_seconds
         if claims_seconds > 0.0:
             problems.append(
-                f"claims: the store was restored, no key for {claims_seconds:.1f} s"
+                "claims: the store was restored, claims are rejected for "
+                f"{claims_seconds:.1f} s"
             )
         if self._context.follower.revision == 0:
             problems.append("configuration: no tree is known; requests are rejected")
@@ -244,7 +245,7 @@
             "workspace": suspect.workspace_path,
             "state": book.suspicion(suspect.fingerprint).name.lower(),
             "ends_count": suspect.ends_count,
-            "upstreams": [life.upstream for life in suspect.ends],
+            "upstreams": [incarnation.upstream for incarnation in suspect.ends],
             "refused_count": suspect.refused_count,
             "seen_seconds_ago": round(now_seconds - suspect.seen_at_seconds, 1),
         }
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -64,7 +64,7 @@
 class DecisionChannel(Shown):
     """Delivers the decisions about an open request."""
 
-    decisions: MemoryObjectSendStream[Dispatch | Refuse]
+    sender: MemoryObjectSendStream[Dispatch | Refuse]
     caller_request_id: str
 
 
@@ -170,7 +170,7 @@
         """Stop the delivery of decisions for a request with a final response."""
         channel = self._decision_channels.pop(request_id, None)
         if channel is not None:
-            channel.decisions.close()
+            channel.sender.close()
 
     def run_query(self, query: Callable[[Scheduler, float], Any]) -> Any:
         """Call a function with the scheduler and the current time."""
@@ -237,7 +237,7 @@
         if channel is None:
             return
         try:
-            channel.decisions.send_nowait(action)
+            channel.sender.send_nowait(action)
         except anyio.BrokenResourceError:
             self.close_decisions(action.request_id)
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -18,7 +18,7 @@
 STEP = "claim key"
 
 #: Pending claims at which further ones are rejected.
-MAX_QUEUED = 1000
+MAX_PENDING_CLAIMS = 1000
 
 #: Retry-after for callers whose claim the platform did not confirm.
 RETRY_AFTER_SECONDS = 2.0
@@ -53,7 +53,7 @@
 class _PendingClaim(Shown):
     shard: int
     claim: Claim
-    answer: MemoryObjectSendStream[bool | RampwickError]
+    result: MemoryObjectSendStream[bool | RampwickError]
 
 
 @attrs.frozen(repr=False)
@@ -84,7 +84,7 @@
         self._pending_sender: MemoryObjectSendStream[_PendingClaim]
         self._pending: MemoryObjectReceiveStream[_PendingClaim]
         self._pending_sender, self._pending = anyio.create_memory_object_stream(
-            MAX_QUEUED
+            MAX_PENDING_CLAIMS
         )
         self._withdrawal_sender: MemoryObjectSendStream[AcquiredClaim]
         self._withdrawals: MemoryObjectReceiveStream[AcquiredClaim]
@@ -105,8 +105,8 @@
             write_id=secrets.token_hex(8),
             expires_at_seconds=self._read_wall_clock() + self._settings.window_seconds,
         )
-        is_won = await self._decide(shard, claim)
-        if not is_won:
+        is_acquired = await self._submit(shard, claim)
+        if not is_acquired:
             raise CallerError(
                 "another request with this key came first and may have run",
                 status=409,
@@ -119,17 +119,17 @@
         usable_until = began_seconds + self._settings.window_seconds / 2
         return AcquiredClaim(shard, claim.write_id, usable_until)
 
-    async def _decide(self, shard: int, claim: Claim) -> bool:
-        outgoing, incoming = anyio.create_memory_object_stream[bool | RampwickError](1)
-        with incoming:
+    async def _submit(self, shard: int, claim: Claim) -> bool:
+        sender, receiver = anyio.create_memory_object_stream[bool | RampwickError](1)
+        with receiver:
             try:
-                self._pending_sender.send_nowait(_PendingClaim(shard, claim, outgoing))
+                self._pending_sender.send_nowait(_PendingClaim(shard, claim, sender))
             except anyio.WouldBlock:
                 raise _unavailable("too many claims are waiting") from None
-            answer = await incoming.receive()
-        if isinstance(answer, RampwickError):
-            raise _unavailable(str(answer))
-        return answer
+            result = await receiver.receive()
+        if isinstance(result, RampwickError):
+            raise _unavailable(str(result))
+        return result
 
     def withdraw(self, claim: AcquiredClaim) -> None:
         """Release the key of a request that is known not to have run."""
@@ -247,9 +247,9 @@
                 log.problem("failed to release a key", error=str(error))
 
 
-def _send_result(pending: _PendingClaim, answer: bool | RampwickError) -> None:
+def _send_result(pending: _PendingClaim, result: bool | RampwickError) -> None:
     try:
-        pending.answer.send_nowait(answer)
+        pending.result.send_nowait(result)
     except anyio.BrokenResourceError:
         # The caller disconnected; the claim stays in the store until it expires.
         return
--- a/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
@@ -73,7 +73,7 @@
         """Raise a CallerError if the request is no longer allowed."""
         return
 
-    async def answer_error(self, error: CallerError) -> None:
+    async def send_error(self, error: CallerError) -> None:
         """Send an error to the caller as the final response."""
         await self.responder.send_error(error)
 
@@ -93,7 +93,7 @@
                 if isinstance(decision, Refuse):
                     # The disconnect watcher would double the cost of an immediate
                     # refusal.
-                    await self._answer_error(self._refusal(decision))
+                    await self._end_with_error(self._refusal(decision))
                 else:
                     await self._serve_watched(decision, decisions)
             finally:
@@ -142,13 +142,13 @@
             while isinstance(decision, Dispatch):
                 decision = await self._run_attempt(decision, decisions)
             if decision is not None:
-                await self._answer_error(self._refusal(decision))
+                await self._end_with_error(self._refusal(decision))
         except CallerError as error:
             if not self._has_result:
                 # The scheduler did not make this decision, so the request is still
                 # open there.
                 self.context.scheduler.post(RequestCancelled(self.request_id))
-            await self._answer_error(error)
+            await self._end_with_error(error)
 
     async def _run_attempt(
         self, dispatch: Dispatch, decisions: Decisions
@@ -162,7 +162,7 @@
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._attempt, dispatch, task_group.cancel_scope)
             decision = await decisions.receive()
-            # A decision during the attempt leaves its outcome unknown.
+            # Decided while the attempt was running, so it is unknown whether it ran.
             self.may_have_run |= self._is_attempt_running
             task_group.cancel_scope.cancel()
         return None if self.responder.has_ended else decision
@@ -228,7 +228,7 @@
             evidence=refuse.evidence,
         )
 
-    async def _answer_error(self, error: CallerError) -> None:
+    async def _end_with_error(self, error: CallerError) -> None:
         if self._claim and error.run_state <= RunState.REFUSED:
             self.context.claims.withdraw(self._claim)
         if not self._has_result:
@@ -244,7 +244,7 @@
             error=str(error),
             evidence=error.evidence,
         )
-        await self.answer_error(error)
+        await self.send_error(error)
 
     async def _watch_disconnect(self, scope: anyio.CancelScope) -> None:
         await wait_disconnect(self._receive)
@@ -302,9 +302,9 @@
     def _count_attempt(self, dispatch: Dispatch, outcome: str) -> None:
         self.context.metrics.attempts.labels(dispatch.upstream, outcome).inc()
 
-    def _record_result(self, answer: str) -> None:
+    def _record_result(self, result: str) -> None:
         self._has_result = True
-        self.context.metrics.requests.labels(*self.labels, answer).inc()
+        self.context.metrics.requests.labels(*self.labels, result).inc()
 
 
 def _receive_nowait(decisions: Decisions) -> Dispatch | Refuse | None:
--- a/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
@@ -65,7 +65,7 @@
         )
         relay = Relay(target, dispatch)
         await relay.run(self._engine_body(dispatch))
-        usage = relay.answer.usage or {}
+        usage = relay.response.usage or {}
         details = usage.get("prompt_tokens_details") or {}
         done = AttemptDone(
             request_id=self.request_id,
--- a/packages/rampwick-router/src/rampwick_router/entry/_rates.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_rates.py
@@ -6,13 +6,13 @@
 from .._scheduler_task import SchedulerTask
 
 
-def note_rate(
+def post_rate_limit(
     scheduler: SchedulerTask,
     dispatch: Dispatch,
     rate: RequestRate,
     *,
-    asked_at_seconds: float,
-    is_proved: bool,
+    sent_at_seconds: float,
+    is_verified: bool,
 ) -> None:
     """Post the rate limit in a response, or that a known limit is no longer reported.
 
@@ -21,11 +21,11 @@
     """
     if not rate.is_readable:
         return
-    removes_limit = is_proved and scheduler.has_request_rate(dispatch.upstream)
+    removes_limit = is_verified and scheduler.has_request_rate(dispatch.upstream)
     if rate.per_second is None and not removes_limit:
         return
     scheduler.post(
         RateNamed(
-            dispatch.upstream, dispatch.incarnation, rate.per_second, asked_at_seconds
+            dispatch.upstream, dispatch.incarnation, rate.per_second, sent_at_seconds
         )
     )
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -16,9 +16,9 @@
 from ..upstream import DONE, OrderKeeper, StreamEvent, UpstreamStream, format_event
 from ._call import ModelCall
 from ._context import EntryContext
-from ._rates import note_rate
+from ._rates import post_rate_limit
 from ._responder import EVENT_STREAM, Responder
-from ._signals import check_not_withdrawn, note_signals
+from ._signals import check_not_withdrawn, post_signals
 from ._stream_tokens import StreamReference
 
 #: Number of times that a broken stream is resumed before its attempt fails.
@@ -31,11 +31,11 @@
 
 
 @attrs.define(repr=False)
-class Answer(Shown):
+class ReceivedResponse(Shown):
     """The content of a response received so far."""
 
     usage: dict[str, Any] | None = None
-    pieces: list[dict[str, Any]] = attrs.field(factory=list)
+    chunks: list[dict[str, Any]] = attrs.field(factory=list)
 
 
 @attrs.frozen(repr=False)
@@ -62,7 +62,7 @@
         self._order = OrderKeeper(0, dispatch.upstream)
         self._has_delivered = False
         self._is_complete = False
-        self.answer = Answer()
+        self.response = ReceivedResponse()
         reference = StreamReference(
             workspace=target.call.terms.workspace.path,
             upstream=dispatch.upstream,
@@ -84,9 +84,9 @@
         client = self._context.upstreams
         path = self._target.path
         check_not_withdrawn(self._context.scheduler, self._dispatch)
-        asked_at_seconds = self._context.read_clock()
+        sent_at_seconds = self._context.read_clock()
         async with client.start_stream(self._dispatch, path, content) as stream:
-            await self._receive(stream, asked_at_seconds)
+            await self._receive(stream, sent_at_seconds)
 
     async def _resume_after(self, error: AttemptError) -> None:
         was_closed = error.was_closed
@@ -107,7 +107,7 @@
 
     async def _resume(self) -> None:
         dispatch = self._dispatch
-        asked_at_seconds = self._context.read_clock()
+        sent_at_seconds = self._context.read_clock()
         async with self._context.upstreams.resume_stream(
             dispatch.address,
             dispatch.upstream,
@@ -115,19 +115,19 @@
             self._order.next_position,
             is_chat=self._target.call.is_chat,
         ) as stream:
-            await self._receive(stream, asked_at_seconds)
+            await self._receive(stream, sent_at_seconds)
 
-    async def _receive(self, stream: UpstreamStream, asked_at_seconds: float) -> None:
+    async def _receive(self, stream: UpstreamStream, sent_at_seconds: float) -> None:
         dispatch = self._dispatch
         start = stream.check_start(dispatch.attempt_id, dispatch.incarnation)
-        note_rate(
+        post_rate_limit(
             self._context.scheduler,
             dispatch,
             read_request_rate(stream.head, REQUEST_RATE),
-            asked_at_seconds=asked_at_seconds,
-            is_proved=True,
+            sent_at_seconds=sent_at_seconds,
+            is_verified=True,
         )
-        note_signals(
+        post_signals(
             self._context.scheduler, dispatch, read_signals(stream.head, LEAVING)
         )
         if start.weights_version != dispatch.weights_version:
@@ -145,21 +145,21 @@
     async def _forward(self, events: list[StreamEvent]) -> None:
         if self._order.next_position == 0:
             self._check_fingerprint(events[0])
-        pieces = [event for event in events if self._admit(event)]
-        if not pieces:
+        chunks = [event for event in events if self._admit(event)]
+        if not chunks:
             return
         self._target.on_chunk()
         if not self._target.call.is_streamed:
-            self.answer.pieces += [orjson.loads(event.data) for event in pieces]
+            self.response.chunks += [orjson.loads(event.data) for event in chunks]
             return
         await self._start_response()
-        first = self._order.next_position - len(pieces)
-        if self.answer.usage is not None and not self._target.call.wants_usage:
+        first = self._order.next_position - len(chunks)
+        if self.response.usage is not None and not self._target.call.wants_usage:
             # The usage event occupies a position but is not sent to this caller.
             first -= 1
         body = b"".join(
             format_event(self._token, first + index, event.data)
-            for index, event in enumerate(pieces)
+            for index, event in enumerate(chunks)
         )
         await self._target.responder.send(body)
 
@@ -177,7 +177,7 @@
 
     def _admit(self, event: StreamEvent) -> bool:
         if event.is_done:
-            self._is_complete = self.answer.usage is not None
+            self._is_complete = self.response.usage is not None
             return False
         if self._is_complete or not self._order.admit(event):
             return False
@@ -185,7 +185,7 @@
             return True
         usage = orjson.loads(event.data).get("usage")
         if usage:
-            self.answer.usage = usage
+            self.response.usage = usage
             return self._target.call.wants_usage
         return True
 
@@ -209,7 +209,7 @@
             await self._start_response()
             await self._target.responder.end(b"data: " + DONE + b"\n\n")
             return
-        body = _build_response(self._target, self.answer)
+        body = _build_response(self._target, self.response)
         headers = [
             (b"x-request-id", self._target.request_id.encode()),
             (b"rampwick-upstream", self._dispatch.upstream.encode()),
@@ -222,8 +222,8 @@
         )
 
 
-def _build_response(target: RelayTarget, answer: Answer) -> dict[str, Any]:
-    choices = [piece["choices"][0] for piece in answer.pieces if piece.get("choices")]
+def _build_response(target: RelayTarget, response: ReceivedResponse) -> dict[str, Any]:
+    choices = [chunk["choices"][0] for chunk in response.chunks if chunk.get("choices")]
     reason = choices[-1].get("finish_reason") if choices else "stop"
     choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
     if target.call.is_chat:
@@ -237,7 +237,7 @@
         "object": kind,
         "model": target.call.scope.model,
         "choices": [choice],
-        "usage": answer.usage,
+        "usage": response.usage,
     }
 
 
@@ -260,13 +260,13 @@
     stream: UpstreamStream, token: bytes, order: OrderKeeper
 ) -> AsyncIterator[bytes | None]:
     async for events in stream.batches():
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         for event in events:
             if event.is_done:
-                yield b"".join(pieces)
+                yield b"".join(chunks)
                 yield None
                 return
             at = order.next_position
             if order.admit(event):
-                pieces.append(format_event(token, at, event.data))
-        yield b"".join(pieces)
+                chunks.append(format_event(token, at, event.data))
+        yield b"".join(chunks)
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -23,9 +23,9 @@
 from .._logs import ComponentLogger
 from ..upstream import Channel, Listening
 from ._context import EntryContext
-from ._rates import note_rate
+from ._rates import post_rate_limit
 from ._routed_request import RoutedRequest
-from ._signals import check_not_withdrawn, note_signals
+from ._signals import check_not_withdrawn, post_signals
 
 #: Time without a response head after which an upstream is reported as unresponsive:
 #: well above the response time of a busy engine, well below what callers tolerate.
@@ -39,7 +39,7 @@
 class RoutedAttempt:
     """One attempt at one upstream.
 
-    ``open`` sends the request; ``pieces`` yields the body of the response.
+    ``open`` sends the request; ``chunks`` yields the body of the response.
     """
 
     def __init__(
@@ -77,12 +77,12 @@
             dispatch.upstream, dispatch.address, self._max_connections()
         ) as self._channel:
             check_not_withdrawn(self._context.scheduler, dispatch)
-            asked_at_seconds = self._context.read_clock()
+            sent_at_seconds = self._context.read_clock()
             await self._channel.send(call.method, call.target, headers, body)
             head = await self._receive_head()
             facts = dialect.read_answer(head, self._expected_incarnation)
             self._update_channel(facts)
-            self._post_upstream_state(facts, asked_at_seconds)
+            self._post_upstream_state(facts, sent_at_seconds)
             self._check(head, facts)
             with self._context.silences.listen(
                 self._stall_timeout_seconds()
@@ -93,14 +93,14 @@
                 raise self.failed(Outcome.BROKEN, "the response stream is stalled")
         self.idle_timeout_seconds = self._channel.max_rest_seconds
 
-    async def pieces(self) -> AsyncIterator[bytes]:
+    async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the chunks of the body as they arrive."""
         listening = self._listening
         self._context.silences.note_waiting(listening)
-        async for piece in self._channel.receive_pieces():
+        async for chunk in self._channel.receive_pieces():
             # Time that a slow caller takes must not count as a stall of the upstream.
             listening.waiting_since_seconds = None
-            yield piece
+            yield chunk
             self._context.silences.note_waiting(listening)
 
     def failed(
@@ -197,19 +197,19 @@
         accepted = AttemptAccepted(self._request_id, self.dispatch.attempt_id)
         self._context.scheduler.post(accepted)
 
-    def _post_upstream_state(self, facts: AnswerFacts, asked_at_seconds: float) -> None:
+    def _post_upstream_state(self, facts: AnswerFacts, sent_at_seconds: float) -> None:
         """Post rate limit and signals of a response from the intended upstream."""
         if facts.is_misdirected or facts.is_other_incarnation:
             return
         if facts.request_id != self._request.call.request_id:
             return
-        note_signals(self._context.scheduler, self.dispatch, facts.signals)
-        note_rate(
+        post_signals(self._context.scheduler, self.dispatch, facts.signals)
+        post_rate_limit(
             self._context.scheduler,
             self.dispatch,
             facts.request_rate,
-            asked_at_seconds=asked_at_seconds,
-            is_proved=facts.is_signed,
+            sent_at_seconds=sent_at_seconds,
+            is_verified=facts.is_signed,
         )
 
     def _post_weights(self, facts: AnswerFacts) -> None:
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -119,8 +119,8 @@
         events = EventFramer(
             limits.max_event_bytes, dispatch.upstream, self._resume_after
         )
-        async for piece in attempt.pieces():
-            batch = events.feed(piece)
+        async for chunk in attempt.chunks():
+            batch = events.feed(chunk)
             if not batch.count:
                 continue
             await self._start_response(head, dispatch)
@@ -135,8 +135,8 @@
     async def _forward_buffered(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
         dispatch = attempt.dispatch
         buffer = b""
-        async for piece in attempt.pieces():
-            buffer += piece
+        async for chunk in attempt.chunks():
+            buffer += chunk
             if self.responder.has_started or len(buffer) > MAX_BUFFERED_BYTES:
                 await self._start_response(head, dispatch)
                 await self.responder.send(buffer)
@@ -200,7 +200,7 @@
             connection_rest_seconds=attempt.idle_timeout_seconds,
         )
 
-    async def answer_error(self, error: CallerError) -> None:
+    async def send_error(self, error: CallerError) -> None:
         """Send the final response, or truncate a response that has started."""
         if self.responder.has_started:
             # Only a connection closed early marks the response as incomplete.
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -22,9 +22,9 @@
 from ._call import CallTerms
 from ._context import EntryContext
 from ._exchange import Exchange
-from ._rates import note_rate
+from ._rates import post_rate_limit
 from ._responder import Receive, Responder
-from ._signals import check_not_withdrawn, note_signals
+from ._signals import check_not_withdrawn, post_signals
 
 #: Idempotent methods of HTTP, which are repeatable by default.
 REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
@@ -109,7 +109,7 @@
         ]
         headers.append((b"x-request-id", dispatch.attempt_id.encode()))
         check_not_withdrawn(self.context.scheduler, dispatch)
-        asked_at_seconds = self.context.read_clock()
+        sent_at_seconds = self.context.read_clock()
         async with self.context.upstreams.request(
             self._call.method,
             dispatch.address,
@@ -119,15 +119,15 @@
             headers=headers,
             body=self._call.body,
         ) as answer:
-            note_rate(
+            post_rate_limit(
                 self.context.scheduler,
                 dispatch,
                 read_request_rate(answer.head, REQUEST_RATE),
-                asked_at_seconds=asked_at_seconds,
-                is_proved=answer.status < HTTPStatus.INTERNAL_SERVER_ERROR,
+                sent_at_seconds=sent_at_seconds,
+                is_verified=answer.status < HTTPStatus.INTERNAL_SERVER_ERROR,
             )
             signals = read_signals(answer.head, LEAVING)
-            note_signals(self.context.scheduler, dispatch, signals)
+            post_signals(self.context.scheduler, dispatch, signals)
             if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
                 raise AttemptError(
                     "the service answered with status 429",
@@ -152,13 +152,13 @@
         self.context.metrics.first_token.labels(*self.labels).observe(waited)
         # The response starts once its first chunk has arrived, so that the call can be
         # retried if the service fails before.
-        pieces = answer.pieces
-        first = await anext(pieces, b"")
+        chunks = answer.pieces
+        first = await anext(chunks, b"")
         self.context.scheduler.post(
             AttemptDelivered(self.request_id, dispatch.attempt_id)
         )
         await self.responder.start(answer.status, headers)
         await self.responder.send(first)
-        async for piece in pieces:
-            await self.responder.send(piece)
+        async for chunk in chunks:
+            await self.responder.send(chunk)
         await self.responder.end()
--- a/packages/rampwick-router/src/rampwick_router/entry/_signals.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_signals.py
@@ -7,7 +7,7 @@
 from .._scheduler_task import SchedulerTask
 
 
-def note_signals(
+def post_signals(
     scheduler: SchedulerTask, dispatch: Dispatch, signals: UpstreamSignals
 ) -> None:
     """Post the signals in a response to the dispatch, if there are any."""
