--- a/packages/rampwick-router/src/rampwick_router/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/__init__.py
@@ -6,15 +6,15 @@
     run_daemon as run_daemon,
 )
 from ._dialects import (
-    AnswerFacts as AnswerFacts,
     AttemptTerms as AttemptTerms,
     CacheEvent as CacheEvent,
     CacheEvents as CacheEvents,
     ControlRequest as ControlRequest,
     Dialects as Dialects,
-    ErrorAnswer as ErrorAnswer,
+    ErrorResponse as ErrorResponse,
     RawCall as RawCall,
     RequestRate as RequestRate,
+    ResponseInfo as ResponseInfo,
     RoutedCall as RoutedCall,
     UpstreamSignals as UpstreamSignals,
     read_request_rate as read_request_rate,
@@ -22,8 +22,8 @@
 )
 from ._errors import CallerError as CallerError
 from ._headers import (
-    AnswerHead as AnswerHead,
     Header as Header,
+    ResponseHead as ResponseHead,
     end_to_end_headers as end_to_end_headers,
     find as find,
     has_connection_close as has_connection_close,
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         context: EntryContext,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         configuration: ConfigurationTask,
         hosts: HostListTask,
         steward: StewardTask,
@@ -41,7 +41,7 @@
     ) -> None:
         self._context = context
         self._needs_configuration = needs_configuration
-        self._life = life
+        self._lifecycle = lifecycle
         self._configuration = configuration
         self._hosts = hosts
         self._steward = steward
@@ -72,7 +72,7 @@
         return Response("ok\n")
 
     async def _readyz(self, request: Request) -> Response:
-        if not self._life.is_ready:
+        if not self._lifecycle.is_ready:
             return Response("leaving\n", status_code=503)
         if self._lacks_configuration:
             return Response("no configuration yet\n", status_code=503)
@@ -124,7 +124,7 @@
         status = self._context.scheduler.run_query(_read_status)
         host = self._context.settings.host
         status["host"] = attrs.asdict(host)
-        status["is_ready"] = self._life.is_ready
+        status["is_ready"] = self._lifecycle.is_ready
         status["revision"] = self._context.follower.revision
         status["revision_era"] = self._context.follower.version.store_era
         status["revision_source"] = self._context.follower.source
@@ -179,7 +179,7 @@
         return JSONResponse([_describe_decision(item) for item in decisions])
 
     async def _drain(self, request: Request) -> Response:
-        self._life.begin_stop()
+        self._lifecycle.begin_stop()
         return Response(status_code=202)
 
     async def _list_suspects(self, request: Request) -> Response:
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -69,7 +69,7 @@
         self.clocks = clocks
         self.channels = channels
         self._metrics = Metrics()
-        self.life = Lifecycle()
+        self.lifecycle = Lifecycle()
         self.follower = ConfigurationFollower()
         incarnation = time.time_ns()
         host = settings.host
@@ -136,7 +136,7 @@
             metrics=self._metrics,
             tokens=StreamTokens(settings.peers.secret),
             ids=RequestIdGenerator(host.name, incarnation),
-            life=self.life,
+            lifecycle=self.lifecycle,
             read_clock=read_clock,
             configuration=self.configuration,
             channels=channels,
@@ -147,7 +147,7 @@
         self.entry = EntryApp(self.context, serves_routes=integration is not None)
         self.admin = AdminApp(
             self.context,
-            self.life,
+            self.lifecycle,
             self.configuration,
             self.hosts,
             self.steward,
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -55,7 +55,7 @@
         self._configuration = assembly.configuration
         self._gossip = assembly.gossip
         self._context = assembly.context
-        self.life = assembly.life
+        self.lifecycle = assembly.lifecycle
         self.follower = assembly.follower
         self.scheduler = assembly.scheduler
         self.steward = assembly.steward
@@ -158,20 +158,20 @@
 
     async def stop(self) -> None:
         """Wait for the start of a planned shutdown and carry it out."""
-        await self.life.wait_stopping()
+        await self.lifecycle.wait_stopping()
         began_seconds = self._clocks.monotonic()
         stop_within_seconds = self._settings.life.stop_within_seconds
         if stop_within_seconds:
             exit_deadline_seconds = (
                 began_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
             )
-            self.life.exit_deadline_seconds = exit_deadline_seconds
+            self.lifecycle.exit_deadline_seconds = exit_deadline_seconds
         log.info("not ready, waiting for the balancer to stop routing here")
         self._gossip.summaries.is_leaving = True
         await self.steward.give_up()
         self._gossip.summaries.publish_own()
-        await self.life.pause(self._settings.life.balancer_delay_seconds)
-        self.life.balancer_delay_elapsed = True
+        await self.lifecycle.pause(self._settings.life.balancer_delay_seconds)
+        self.lifecycle.balancer_delay_elapsed = True
         self.entry.is_closed = self._settings.life.refuses_while_leaving
         log.info("draining open requests", open_count=self.entry.open_count)
         with anyio.move_on_after(self._drain_seconds()):
@@ -187,9 +187,9 @@
     def _drain_seconds(self) -> float:
         """Return the maximum time to wait for open requests."""
         drain_seconds = self._settings.life.drain_timeout_seconds
-        if self.life.exit_deadline_seconds is None:
+        if self.lifecycle.exit_deadline_seconds is None:
             return drain_seconds
-        left_seconds = self.life.exit_deadline_seconds - self._clocks.monotonic()
+        left_seconds = self.lifecycle.exit_deadline_seconds - self._clocks.monotonic()
         return max(0.0, min(drain_seconds, left_seconds))
 
 
@@ -210,7 +210,7 @@
 ) -> AsyncIterator[tuple[Daemon, Addresses]]:
     """Run a daemon for the duration of the context; the exit stops it immediately.
 
-    For a graceful shutdown, call ``daemon.life.begin_stop()`` and await
+    For a graceful shutdown, call ``daemon.lifecycle.begin_stop()`` and await
     ``daemon.stop()`` within the context.
     """
     async with AsyncExitStack() as stack:
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -15,7 +15,7 @@
 from rampwick_schema import HostEntry, LoadReport, Order, Shown
 
 from ._errors import CallerError
-from ._headers import AnswerHead, Header, find_all
+from ._headers import Header, ResponseHead, find_all
 
 #: Accepted decimal numbers: without sign or exponent, and short, since any other number
 #: is not a plausible rate.
@@ -122,7 +122,7 @@
         return self.is_leaving or self.pause_seconds is not None
 
 
-def read_signals(head: AnswerHead, leaving_name: bytes) -> UpstreamSignals:
+def read_signals(head: ResponseHead, leaving_name: bytes) -> UpstreamSignals:
     """Return the signals in a response; ``leaving_name`` is a lower-case header name.
 
     The longest of several pauses applies. Any shutdown header with a value other than
@@ -142,7 +142,7 @@
 
 
 @attrs.frozen(repr=False)
-class AnswerFacts(Shown):
+class ResponseInfo(Shown):
     """Information in a response head about the attempt and the upstream."""
 
     #: Id of the request that the response belongs to; empty if it contains none.
@@ -165,7 +165,7 @@
     signals: UpstreamSignals = UpstreamSignals()
 
 
-def read_request_rate(head: AnswerHead, name: bytes) -> RequestRate:
+def read_request_rate(head: ResponseHead, name: bytes) -> RequestRate:
     """Return the rate limit under a lower-case header name, the lowest of several."""
     values = find_all(head.headers, name)
     if not values:
@@ -176,7 +176,7 @@
 
 
 @attrs.frozen(repr=False)
-class ErrorAnswer(Shown):
+class ErrorResponse(Shown):
     """An error response to a caller."""
 
     status: int
@@ -190,7 +190,7 @@
     def read_call(self, raw: RawCall) -> RoutedCall:
         """Return the request, or raise a CallerError of status 400."""
 
-    def write_error(self, error: CallerError, request_id: str) -> ErrorAnswer:
+    def write_error(self, error: CallerError, request_id: str) -> ErrorResponse:
         """Return the error response of this dialect."""
 
 
@@ -200,10 +200,10 @@
     def request_headers(self, call: RoutedCall, terms: AttemptTerms) -> list[Header]:
         """Return the headers of an attempt, without Content-Length."""
 
-    def read_answer(self, head: AnswerHead, incarnation: str) -> AnswerFacts:
+    def read_response(self, head: ResponseHead, incarnation: str) -> ResponseInfo:
         """Parse a response head; ``incarnation`` is the one that was addressed."""
 
-    def answer_headers(self, head: AnswerHead) -> list[Header]:
+    def response_headers(self, head: ResponseHead) -> list[Header]:
         """Return the response headers for the caller."""
 
 
@@ -226,17 +226,17 @@
         """Return the request that probes an upstream."""
 
     def read_probe(
-        self, entry: HostEntry, head: AnswerHead, body: bytes
+        self, entry: HostEntry, head: ResponseHead, body: bytes
     ) -> LoadReport | None:
         """Return a runner's report, None for a healthy service, or raise DataError."""
 
-    def read_signals(self, head: AnswerHead, body: bytes) -> UpstreamSignals:
+    def read_signals(self, head: ResponseHead, body: bytes) -> UpstreamSignals:
         """Return the signals in a response verified to come from the upstream."""
 
     def order(self, entry: HostEntry, order: Order) -> ControlRequest:
         """Return the request that sends an order."""
 
-    def read_order(self, head: AnswerHead) -> OrderResult:
+    def read_order(self, head: ResponseHead) -> OrderResult:
         """Return a runner's result for an order."""
 
 
@@ -269,7 +269,7 @@
     def events(self, address: str, since: int, wait_seconds: float) -> ControlRequest:
         """Return the long-polling request for the events after a number."""
 
-    def read_events(self, head: AnswerHead, body: bytes) -> CacheEvents:
+    def read_events(self, head: ResponseHead, body: bytes) -> CacheEvents:
         """Return the events in a response, or raise DataError."""
 
 
--- a/packages/rampwick-router/src/rampwick_router/_headers.py
+++ b/packages/rampwick-router/src/rampwick_router/_headers.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(repr=False)
-class AnswerHead(Shown):
+class ResponseHead(Shown):
     """Status line and headers of an upstream's response."""
 
     status: int
--- a/packages/rampwick-router/src/rampwick_router/_main.py
+++ b/packages/rampwick-router/src/rampwick_router/_main.py
@@ -128,7 +128,7 @@
         if number == signal.SIGHUP:
             _reload(daemon, path)
         else:
-            daemon.life.begin_stop()
+            daemon.lifecycle.begin_stop()
 
 
 def _reload(daemon: Daemon, path: Path) -> None:
--- a/packages/rampwick-router/src/rampwick_router/_native_dialect.py
+++ b/packages/rampwick-router/src/rampwick_router/_native_dialect.py
@@ -18,15 +18,15 @@
 )
 
 from ._dialects import (
-    AnswerFacts,
     AttemptTerms,
     CacheEvent,
     CacheEvents,
     ControlRequest,
     Dialects,
-    ErrorAnswer,
+    ErrorResponse,
     Header,
     RawCall,
+    ResponseInfo,
     RoutedCall,
     UpstreamSignals,
     read_request_rate,
@@ -36,7 +36,7 @@
 from ._headers import (
     LEAVING,
     REQUEST_RATE,
-    AnswerHead,
+    ResponseHead,
     end_to_end_headers,
     find,
     has_connection_close,
@@ -96,7 +96,7 @@
             last_event_id=(raw.get(LAST_EVENT_ID) or b"").decode("latin-1"),
         )
 
-    def write_error(self, error: CallerError, request_id: str) -> ErrorAnswer:
+    def write_error(self, error: CallerError, request_id: str) -> ErrorResponse:
         """Return a JSON error response."""
         headers: list[Header] = [JSON, (REQUEST_ID, request_id.encode("latin-1"))]
         if error.retry_after_seconds is not None:
@@ -104,7 +104,7 @@
             headers.append((b"retry-after", str(seconds).encode()))
         body = orjson.dumps(error.body)
         headers.append((b"content-length", str(len(body)).encode()))
-        return ErrorAnswer(error.status, headers, body)
+        return ErrorResponse(error.status, headers, body)
 
 
 class NativeUpstreamDialect:
@@ -133,13 +133,13 @@
             headers.append((WEIGHTS, str(terms.weights_version).encode()))
         return headers
 
-    def read_answer(self, head: AnswerHead, incarnation: str) -> AnswerFacts:
+    def read_response(self, head: ResponseHead, incarnation: str) -> ResponseInfo:
         """Parse a response head; ``incarnation`` is the one that was addressed."""
         headers = head.headers
         not_run = find(headers, NOT_RUN)
         reported = (find(headers, INCARNATION) or b"").decode("latin-1")
         weights = find(headers, WEIGHTS)
-        return AnswerFacts(
+        return ResponseInfo(
             request_id=(find(headers, REQUEST_ID) or b"").decode("latin-1"),
             was_refused=not_run is not None,
             is_misdirected=not_run == b"misdirected",
@@ -152,7 +152,7 @@
             signals=read_signals(head, LEAVING),
         )
 
-    def answer_headers(self, head: AnswerHead) -> list[Header]:
+    def response_headers(self, head: ResponseHead) -> list[Header]:
         """Return the response headers for the caller."""
         return end_to_end_headers(head.headers)
 
@@ -166,7 +166,7 @@
         return ControlRequest("probe upstream", "GET", "/load", [host])
 
     def read_probe(
-        self, entry: HostEntry, head: AnswerHead, body: bytes
+        self, entry: HostEntry, head: ResponseHead, body: bytes
     ) -> LoadReport | None:
         """Return a runner's report, None for a healthy service, or raise DataError."""
         if not body:
@@ -175,7 +175,7 @@
             orjson.loads(body), LoadReport, step="probe upstream", peer=entry.name
         )
 
-    def read_signals(self, head: AnswerHead, body: bytes) -> UpstreamSignals:
+    def read_signals(self, head: ResponseHead, body: bytes) -> UpstreamSignals:
         """Return no signals: control responses carry no incarnation to verify."""
         return UpstreamSignals()
 
@@ -185,7 +185,7 @@
         body = orjson.dumps(unstructure(order))
         return ControlRequest("send order", "PUT", "/orders", headers, body)
 
-    def read_order(self, head: AnswerHead) -> OrderResult:
+    def read_order(self, head: ResponseHead) -> OrderResult:
         """Return a runner's result for an order."""
         results = {
             200: OrderResult.HOLDS,
@@ -205,7 +205,7 @@
         host = (b"host", address.encode())
         return ControlRequest("read cache events", "GET", path, [host])
 
-    def read_events(self, head: AnswerHead, body: bytes) -> CacheEvents:
+    def read_events(self, head: ResponseHead, body: bytes) -> CacheEvents:
         """Return the events in a response, or raise DataError."""
         step = "read cache events"
         if head.status != 200:
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -67,7 +67,7 @@
     metrics: Metrics
     tokens: StreamTokens
     ids: RequestIdGenerator
-    life: Lifecycle
+    lifecycle: Lifecycle
     read_clock: Callable[[], float]
     configuration: ConfigurationTask
     channels: ChannelPool
--- a/packages/rampwick-router/src/rampwick_router/entry/_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_entry.py
@@ -67,8 +67,8 @@
             if not self._open:
                 self._has_open = anyio.Event()
                 await self._has_open.wait()
-            await self._context.life.pause(SLOW_CALLER_CHECK_SECONDS)
-            is_forced = self._context.life.is_forced
+            await self._context.lifecycle.pause(SLOW_CALLER_CHECK_SECONDS)
+            is_forced = self._context.lifecycle.is_forced
             oldest = self._context.read_clock() - (
                 self._context.settings.limits.write_timeout_seconds
             )
@@ -83,9 +83,9 @@
         """Serve one request with exactly one final response."""
         if scope["type"] != "http":
             return
-        life = self._context.life
+        lifecycle = self._context.lifecycle
         responder = Responder(
-            send, self._context.read_clock, is_draining=lambda: not life.is_ready
+            send, self._context.read_clock, is_draining=lambda: not lifecycle.is_ready
         )
         cancel_scope = anyio.CancelScope()
         self._open[responder] = cancel_scope
@@ -110,7 +110,7 @@
             await responder.send_error(_internal_error(error))
 
     async def _end_cancelled(self, responder: Responder, path: str) -> None:
-        if not self._context.life.is_forced:
+        if not self._context.lifecycle.is_forced:
             log.problem("caller does not read, request cancelled", path=path)
             return
         await responder.send_error(_forced_shutdown_error(responder.was_dispatched))
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -17,9 +17,9 @@
     WeightsSeen,
 )
 
-from .._dialects import AnswerFacts, AttemptTerms
+from .._dialects import AttemptTerms, ResponseInfo
 from .._errors import AttemptError
-from .._headers import AnswerHead
+from .._headers import ResponseHead
 from .._logs import ComponentLogger
 from ..upstream import Channel, Listening
 from ._context import EntryContext
@@ -65,7 +65,7 @@
         self.idle_timeout_seconds = 0.0
 
     @asynccontextmanager
-    async def open(self, remaining_seconds: float) -> AsyncIterator[AnswerHead]:
+    async def open(self, remaining_seconds: float) -> AsyncIterator[ResponseHead]:
         """Send the request and yield the response head, or raise AttemptError."""
         call, dispatch = self._request.call, self.dispatch
         dialect = self._context.dialects.upstream
@@ -80,7 +80,7 @@
             sent_at_seconds = self._context.read_clock()
             await self._channel.send(call.method, call.target, headers, body)
             head = await self._receive_head()
-            facts = dialect.read_answer(head, self._expected_incarnation)
+            facts = dialect.read_response(head, self._expected_incarnation)
             self._update_channel(facts)
             self._post_upstream_state(facts, sent_at_seconds)
             self._check(head, facts)
@@ -104,7 +104,7 @@
             self._context.silences.note_waiting(listening)
 
     def failed(
-        self, outcome: Outcome, message: str, facts: AnswerFacts | None = None
+        self, outcome: Outcome, message: str, facts: ResponseInfo | None = None
     ) -> AttemptError:
         """Return the error for an attempt that ended with an outcome."""
         return AttemptError(
@@ -142,7 +142,7 @@
         max_count = self._request.service.max_connections_count
         return max(1, max_count // self._context.count_hosts())
 
-    async def _receive_head(self) -> AnswerHead:
+    async def _receive_head(self) -> ResponseHead:
         stall_timeout_seconds = self._stall_timeout_seconds()
         with anyio.move_on_after(
             min(UNRESPONSIVE_AFTER_SECONDS, stall_timeout_seconds)
@@ -173,13 +173,13 @@
             return float("inf")
         return self._context.settings.retry.silence_timeout_seconds
 
-    def _update_channel(self, facts: AnswerFacts) -> None:
+    def _update_channel(self, facts: ResponseInfo) -> None:
         if facts.is_closing:
             self._channel.max_rest_seconds = 0.0
         elif facts.max_rest_seconds is not None:
             self._channel.note_rest_bound(facts.max_rest_seconds)
 
-    def _check(self, head: AnswerHead, facts: AnswerFacts) -> None:
+    def _check(self, head: ResponseHead, facts: ResponseInfo) -> None:
         """Raise unless the response belongs to this attempt and may be forwarded."""
         self._post_weights(facts)
         status = f"status {head.status}"
@@ -197,7 +197,7 @@
         accepted = AttemptAccepted(self._request_id, self.dispatch.attempt_id)
         self._context.scheduler.post(accepted)
 
-    def _post_upstream_state(self, facts: AnswerFacts, sent_at_seconds: float) -> None:
+    def _post_upstream_state(self, facts: ResponseInfo, sent_at_seconds: float) -> None:
         """Post rate limit and signals of a response from the intended upstream."""
         if facts.is_misdirected or facts.is_other_incarnation:
             return
@@ -212,7 +212,7 @@
             is_verified=facts.is_signed,
         )
 
-    def _post_weights(self, facts: AnswerFacts) -> None:
+    def _post_weights(self, facts: ResponseInfo) -> None:
         dispatch = self.dispatch
         if facts.weights_version is None or not dispatch.weights_version:
             return
@@ -225,6 +225,6 @@
             self._context.scheduler.post(seen)
 
 
-def is_success(head: AnswerHead) -> bool:
+def is_success(head: ResponseHead) -> bool:
     """Return whether a response has a 2xx status."""
     return 200 <= head.status < 300
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
@@ -78,17 +78,17 @@
 
     def _check_exit_deadline(self, route: Route, call: RoutedCall) -> None:
         """Raise if this host may exit before the response is complete."""
-        life, now_seconds = self._context.life, self._context.read_clock()
-        if life.exit_deadline_seconds is None:
+        lifecycle, now_seconds = self._context.lifecycle, self._context.read_clock()
+        if lifecycle.exit_deadline_seconds is None:
             return
         # While the balancer still routes callers here, only requests that would not fit
         # at the usual pace are rejected. Later requests arrive on persistent
         # connections and are rejected if they would not fit at the slowest recent pace.
         pace_ratio = 1.0
-        if life.balancer_delay_elapsed:
+        if lifecycle.balancer_delay_elapsed:
             pace_ratio = self._context.pace.worst_ratio(now_seconds)
         if fits_before(
-            life.exit_deadline_seconds,
+            lifecycle.exit_deadline_seconds,
             latency_target_seconds=route.latency_target_seconds,
             max_answer_tokens=call.max_answer_tokens,
             now_seconds=now_seconds,
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -17,7 +17,7 @@
 )
 
 from .._errors import CallerError, access_error
-from .._headers import AnswerHead
+from .._headers import ResponseHead
 from .._logs import ComponentLogger
 from ._call import CallTerms
 from ._context import EntryContext
@@ -107,13 +107,13 @@
             return self._done(attempt)
         raise attempt.failed(Outcome.EXPIRED, "response incomplete at the deadline")
 
-    async def _forward(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
+    async def _forward(self, attempt: RoutedAttempt, head: ResponseHead) -> None:
         if self._request.route.is_stream and is_success(head):
             await self._forward_stream(attempt, head)
         else:
             await self._forward_buffered(attempt, head)
 
-    async def _forward_stream(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
+    async def _forward_stream(self, attempt: RoutedAttempt, head: ResponseHead) -> None:
         dispatch = attempt.dispatch
         limits = self.context.settings.limits
         events = EventFramer(
@@ -132,7 +132,9 @@
         await self._start_response(head, dispatch)
         await self.responder.end(events.rest)
 
-    async def _forward_buffered(self, attempt: RoutedAttempt, head: AnswerHead) -> None:
+    async def _forward_buffered(
+        self, attempt: RoutedAttempt, head: ResponseHead
+    ) -> None:
         dispatch = attempt.dispatch
         buffer = b""
         async for chunk in attempt.chunks():
@@ -148,7 +150,7 @@
 
     async def _start_response(
         self,
-        head: AnswerHead,
+        head: ResponseHead,
         dispatch: Dispatch,
         extra: tuple[tuple[bytes, bytes], ...] = (),
     ) -> None:
@@ -163,7 +165,7 @@
         self.context.metrics.first_token.labels(*self.labels).observe(
             self._first_seconds
         )
-        headers = [*self.context.dialects.upstream.answer_headers(head), *extra]
+        headers = [*self.context.dialects.upstream.response_headers(head), *extra]
         await self.responder.start(head.status, headers)
 
     def _record_response(self, dispatch: Dispatch) -> None:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
@@ -20,7 +20,7 @@
 from rampwick_schema import Shown
 
 from .._errors import AttemptError
-from .._headers import AnswerHead, RawHeaders
+from .._headers import RawHeaders, ResponseHead
 from ._tcp_socket import TcpSocket
 
 #: Longest wait for a connection: some ten round trips within a region, and short
@@ -98,13 +98,13 @@
         except OSError as error:
             raise self._broken("send request", error) from error
 
-    async def receive_head(self) -> AnswerHead:
+    async def receive_head(self) -> ResponseHead:
         """Return the head of the answer; informational ones are passed over."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 headers = list(event.headers)
-                return AnswerHead(event.status_code, headers, _is_framed(headers))
+                return ResponseHead(event.status_code, headers, _is_framed(headers))
             if not isinstance(event, h11.InformationalResponse):
                 raise self._broken("read answer", "the connection closed")
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -24,7 +24,7 @@
 
 from .._dialects import ControlRequest, read_signals
 from .._errors import AttemptError
-from .._headers import LEAVING, AnswerHead, RawHeaders
+from .._headers import LEAVING, RawHeaders, ResponseHead
 from ._channels import Channel, ChannelPool
 from ._control import CONTROL_TIMEOUT_SECONDS, call_upstream
 from ._sse import EventSplitter, StreamEvent
@@ -166,7 +166,7 @@
 
     async def _call(
         self, upstream: str, address: str, request: ControlRequest
-    ) -> tuple[AnswerHead, bytes]:
+    ) -> tuple[ResponseHead, bytes]:
         return await call_upstream(
             self._channels, upstream, address, request, CONTROL_TIMEOUT_SECONDS
         )
@@ -198,7 +198,7 @@
 class UpstreamAnswer(Shown):
     """An answer under way."""
 
-    head: AnswerHead
+    head: ResponseHead
     #: Pieces of its body as they come.
     pieces: AsyncIterator[bytes]
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/_control.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_control.py
@@ -10,7 +10,7 @@
 
 from .._dialects import ControlDialect, ControlRequest
 from .._errors import AttemptError
-from .._headers import AnswerHead
+from .._headers import ResponseHead
 from .._scheduler_task import SchedulerTask
 from ._channels import ChannelPool
 
@@ -78,7 +78,7 @@
 
     async def _call(
         self, entry: HostEntry, request: ControlRequest
-    ) -> tuple[AnswerHead, bytes]:
+    ) -> tuple[ResponseHead, bytes]:
         head, body = await call_upstream(
             self._channels, entry.name, entry.address, request, CONTROL_TIMEOUT_SECONDS
         )
@@ -102,7 +102,7 @@
     address: str,
     request: ControlRequest,
     timeout_seconds: float,
-) -> tuple[AnswerHead, bytes]:
+) -> tuple[ResponseHead, bytes]:
     """Make a small call to an upstream; every failure is an AttemptError."""
     headers = list(request.headers)
     if request.body:
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -336,7 +336,7 @@
         host, _, port = self.address.partition(":")
         async with await anyio.connect_tcp(host, int(port)) as stream:
             await stream.send("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-            return await read_answer(stream)
+            return await read_response(stream)
 
 
 @attrs.define
@@ -349,7 +349,7 @@
     is_whole: bool = False
 
 
-async def read_answer(stream: anyio.abc.SocketStream) -> CallerView:
+async def read_response(stream: anyio.abc.SocketStream) -> CallerView:
     """Read one response until its end or the end of the connection."""
     connection = h11.Connection(h11.CLIENT)
     connection.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -19,11 +19,11 @@
 )
 from rampwick_policy import OrderResult, TreeView
 from rampwick_router import (
-    AnswerHead,
     AttemptTerms,
     CallerError,
     RawCall,
     RequestRate,
+    ResponseHead,
 )
 from rampwick_schema import (
     DataError,
@@ -364,8 +364,8 @@
     def test_the_rate_that_an_upstream_names_is_a_short_decimal_number(self):
         def rate(*values):
             headers = [(b"Server-Limit", value) for value in values]
-            facts = UpstreamTranslation().read_answer(
-                AnswerHead(200, headers, True), "i-1"
+            facts = UpstreamTranslation().read_response(
+                ResponseHead(200, headers, True), "i-1"
             )
             return facts.request_rate
 
@@ -386,10 +386,10 @@
         self.assertEqual(unreadable, rate(b"2", b"x"))
 
     def test_answers_say_what_they_prove(self):
-        read = UpstreamTranslation().read_answer
+        read = UpstreamTranslation().read_response
 
         def facts(status, *headers):
-            return read(AnswerHead(status, list(headers), True), "i-1")
+            return read(ResponseHead(status, list(headers), True), "i-1")
 
         refused = facts(503, (b"X-Rampwick-Not-Executed", b"1"))
         self.assertTrue(refused.was_refused and not refused.is_misdirected)
@@ -455,7 +455,7 @@
 
     def test_answers_to_orders(self):
         results = [
-            self.control.read_order(AnswerHead(status, [], True))
+            self.control.read_order(ResponseHead(status, [], True))
             for status in (200, 202, 400, 409, 412, 421)
         ]
         self.assertEqual(
@@ -483,7 +483,7 @@
                 "kv_total": 90000,
             }
         )
-        head = AnswerHead(200, [], True)
+        head = ResponseHead(200, [], True)
         report = self.control.read_probe(self.entry, head, body)
         self.assertEqual(
             (3, "loading", 2),
@@ -493,8 +493,8 @@
 
     def test_a_service_is_well_only_if_it_is_the_one(self):
         entry = HostEntry("i-2", "service", "b", "10.0.0.9:1", incarnation="i-2")
-        own = AnswerHead(200, [(b"X-Rampwick-Instance-Id", b"i-2")], True)
-        other = AnswerHead(200, [(b"X-Rampwick-Instance-Id", b"i-3")], True)
+        own = ResponseHead(200, [(b"X-Rampwick-Instance-Id", b"i-2")], True)
+        other = ResponseHead(200, [(b"X-Rampwick-Instance-Id", b"i-3")], True)
         self.assertIsNone(self.control.read_probe(entry, own, b""))
         self.assertRaises(DataError, self.control.read_probe, entry, other, b"")
 
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -19,7 +19,7 @@
 )
 from rampwick_policy._departures import Incarnation
 from rampwick_policy._prefix import PromptPart, Scope
-from rampwick_router import AnswerHead, AttemptTerms, RoutedCall
+from rampwick_router import AttemptTerms, ResponseHead, RoutedCall
 from rampwick_schema import (
     DataError,
     HostEntry,
@@ -85,8 +85,8 @@
         self.assertEqual(b"i-1", sent[b"x-rampwick-target-instance"])
         probe = ControlTranslation("h", StewardSettings()).probe(read(ENTRY), "/health")
         self.assertIn((b"x-rampwick-target-instance", b"i-1"), probe.headers)
-        head = AnswerHead(421, [(b"x-rampwick-instance-id", b"i-1")], True)
-        facts = UpstreamTranslation().read_answer(head, "i-1@1777752651000")
+        head = ResponseHead(421, [(b"x-rampwick-instance-id", b"i-1")], True)
+        facts = UpstreamTranslation().read_response(head, "i-1@1777752651000")
         self.assertFalse(facts.is_other_incarnation)
 
 
@@ -102,7 +102,7 @@
     def probe(self, **fields):
         body = orjson.dumps({**self.REPORT, **fields})
         control = ControlTranslation("h", StewardSettings())
-        return control.read_probe(read(ENTRY), AnswerHead(200, [], True), body)
+        return control.read_probe(read(ENTRY), ResponseHead(200, [], True), body)
 
     def test_a_report_of_the_same_start_is_taken(self):
         self.assertEqual(4, self.probe(born=1777752651000).weights_version)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -112,7 +112,7 @@
                 )
                 self.assertEqual(1, refused[0])
                 self.assertEqual(0, (await run("drain", *admin))[0])
-                await until(lambda: not host.daemon.life.is_ready)
+                await until(lambda: not host.daemon.lifecycle.is_ready)
 
         self.run_scenario(scenario)
 
@@ -126,7 +126,7 @@
                 async with httpx.AsyncClient(base_url=url, trust_env=False) as client:
                     health = await client.get("/healthz")
                     metrics = (await client.get("/metrics")).text
-                    host.daemon.life.begin_stop()
+                    host.daemon.lifecycle.begin_stop()
                     ready = await client.get("/readyz")
             return health.status_code, metrics, ready.status_code
 
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -26,7 +26,7 @@
     Departures,
     Incarnation,
 )
-from rampwick_router import AnswerHead
+from rampwick_router import ResponseHead
 from rampwick_schema import (
     HostEntry,
     HostList,
@@ -248,7 +248,7 @@
 class ControlAnswersTest(TestCase):
     def is_leaving(self, status, headers=(), body=b""):
         control = ControlTranslation("entry-1", StewardSettings())
-        head = AnswerHead(status, headers, is_framed=True)
+        head = ResponseHead(status, headers, is_framed=True)
         return control.read_signals(head, body).is_leaving
 
     def test_answers_to_control_calls_count_unless_another_gave_them(self):
--- a/tests/test_routed.py
+++ b/tests/test_routed.py
@@ -147,9 +147,9 @@
                     answer_tokens=0,
                     now_seconds=now_seconds,
                 )
-            daemon.life.begin_stop()
-            daemon.life.exit_deadline_seconds = now_seconds + left_seconds
-            daemon.life.balancer_delay_elapsed = True
+            daemon.lifecycle.begin_stop()
+            daemon.lifecycle.exit_deadline_seconds = now_seconds + left_seconds
+            daemon.lifecycle.balancer_delay_elapsed = True
             return await host.call("/again/1"), ran(found)
 
         return run(scenario)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -130,7 +130,7 @@
                 for prompt in sent:
                     tasks.start_soon(ask, prompt)
                 await until(lambda: len(runner.engine.started) == len(sent))
-                host.daemon.life.begin_stop()
+                host.daemon.lifecycle.begin_stop()
                 await host.daemon.stop()
                 open_count = host.daemon.entry.open_count
                 late = await host.stream("too late")
@@ -165,7 +165,7 @@
                             sent.append(prompt)
                             tasks.start_soon(ask, leaving, prompt)
                         await until(lambda h=leaving: h.daemon.entry.open_count == 5)
-                        leaving.daemon.life.begin_stop()
+                        leaving.daemon.lifecycle.begin_stop()
                         await leaving.daemon.stop()
                     if staying is two:
                         sent.append("at the other")
@@ -189,8 +189,8 @@
 
                 tasks.start_soon(ask)
                 await until(lambda: runner.engine.started)
-                host.daemon.life.begin_stop()
-                host.daemon.life.begin_stop()
+                host.daemon.lifecycle.begin_stop()
+                host.daemon.lifecycle.begin_stop()
                 await host.daemon.stop()
                 await until(lambda: seen)
             return seen
--- a/tests/test_upstream_signals.py
+++ b/tests/test_upstream_signals.py
@@ -5,7 +5,7 @@
 
 from rampwick_adapter._requests import UpstreamTranslation
 from rampwick_policy import UpstreamSignalled
-from rampwick_router import AnswerHead, UpstreamSignals, read_signals
+from rampwick_router import ResponseHead, UpstreamSignals, read_signals
 
 from .scripted import run_routed
 
@@ -15,7 +15,7 @@
 
 
 def signals(*headers, status=200):
-    return read_signals(AnswerHead(status, headers, is_framed=True), LEAVING)
+    return read_signals(ResponseHead(status, headers, is_framed=True), LEAVING)
 
 
 class ReadSignalsTest(TestCase):
@@ -63,10 +63,10 @@
         self.assertTrue(both.is_leaving)
 
     def test_the_adapter_reads_the_platform_s_headers(self):
-        head = AnswerHead(
+        head = ResponseHead(
             503, [(b"Server-Leaving", b"1"), (b"Retry-After", b"3")], is_framed=True
         )
-        facts = UpstreamTranslation().read_answer(head, "i-1")
+        facts = UpstreamTranslation().read_response(head, "i-1")
         self.assertEqual(UpstreamSignals(True, 3.0), facts.signals)
 
 
