--- a/packages/rampwick-router/src/rampwick_router/_headers.py
+++ b/packages/rampwick-router/src/rampwick_router/_headers.py
@@ -50,13 +50,13 @@
     Headers listed in a Connection header are hop-by-hop as well.
     """
     known = list(headers)
-    named = {
+    listed = {
         token.strip().lower()
         for name, value in known
         if name.lower() == b"connection"
         for token in value.split(b",")
     }
-    hop_by_hop = CONNECTION_HEADERS | named
+    hop_by_hop = CONNECTION_HEADERS | listed
     return [(name, value) for name, value in known if name.lower() not in hop_by_hop]
 
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_entry.py
@@ -273,8 +273,8 @@
     last_id = headers.get("last-event-id")
     if last_id is None:
         return 0
-    named, _, position = last_id.rpartition(".")
-    if named != token or not position.isdigit() or len(position) > 12:
+    token_in_id, _, position = last_id.rpartition(".")
+    if token_in_id != token or not position.isdigit() or len(position) > 12:
         raise bad_request("last-event-id is not of this stream")
     return int(position) + 1
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_event_framing.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_event_framing.py
@@ -36,18 +36,18 @@
     def __init__(self, max_event_bytes: int, peer: str, after_id: str = "") -> None:
         self._max_event_bytes = max_event_bytes
         self._peer = peer
-        self._rest = b""
+        self._remainder = b""
         #: Events with ids up to this one are dropped; None if ids are not numeric.
         self._after_id = int(after_id) if after_id.isdigit() else None
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes of the last, incomplete event."""
-        return self._rest
+        return self._remainder
 
     def feed(self, data: bytes) -> EventBatch:
         """Add bytes and return the events that they complete."""
-        buffer = self._rest + data
+        buffer = self._remainder + data
         new_events = []
         last_id = ""
         start = 0
@@ -59,8 +59,8 @@
                 continue
             new_events.append(event)
             last_id = event_id or last_id
-        self._rest = buffer[start:]
-        if len(self._rest) > self._max_event_bytes:
+        self._remainder = buffer[start:]
+        if len(self._remainder) > self._max_event_bytes:
             raise AttemptError(
                 f"event larger than {self._max_event_bytes} bytes",
                 outcome=Outcome.BROKEN,
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -130,7 +130,7 @@
             self._events_count += batch.count
             await self.responder.send(batch.data)
         await self._start_response(head, dispatch)
-        await self.responder.end(events.rest)
+        await self.responder.end(events.remainder)
 
     async def _forward_buffered(
         self, attempt: RoutedAttempt, head: ResponseHead
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -230,8 +230,8 @@
 
     async def list_objects(self, prefix: str, after_key: str = "") -> Listing:
         self._begin(f"list {prefix}")
-        found = [item for key, item in self.objects.items() if key.startswith(prefix)]
-        return Listing(self.version, found)
+        items = [item for key, item in self.objects.items() if key.startswith(prefix)]
+        return Listing(self.version, items)
 
     async def watch(
         self, prefix: str, after_version: int, timeout_seconds: float
@@ -408,13 +408,13 @@
     """Run a host with scripted upstreams, whose names are given by service."""
     store = store or MemoryStore()
     store.write("config/main", make_tree())
-    found: dict[str, ScriptedUpstream] = {}
+    servers: dict[str, ScriptedUpstream] = {}
     async with anyio.create_task_group() as tasks:
         for service, names in upstreams.items():
             for name in names:
-                found[name] = ScriptedUpstream(name)
-                await tasks.start(found[name].serve)
-                list_upstream(store, found[name], service)
+                servers[name] = ScriptedUpstream(name)
+                await tasks.start(servers[name].serve)
+                list_upstream(store, servers[name], service)
         settings = parse_settings(
             '[host]\nname = "entry-1"\nhall = "trnava"\n'
             "[life]\nbalancer_delay_seconds = 0.0\n"
@@ -435,10 +435,10 @@
             with anyio.fail_after(20.0):
                 while daemon.follower.revision < 1 or len(
                     list(daemon.scheduler._scheduler.upstreams)
-                ) < len(found):
+                ) < len(servers):
                     await anyio.sleep(0.005)
             try:
-                yield host, found
+                yield host, servers
             finally:
                 tasks.cancel_scope.cancel()
 
--- a/tests/test_fingerprints.py
+++ b/tests/test_fingerprints.py
@@ -44,8 +44,8 @@
         async def close_connection(exchange):
             raise Hangup
 
-        async def scenario(host, found):
-            all_scripts(found, close_connection)
+        async def scenario(host, servers):
+            all_scripts(servers, close_connection)
             for number, body in enumerate((b"one", b"one", b"two")):
                 await host.call("/once/1", request_id=f"r{number}", body=body)
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -88,8 +88,8 @@
                 self.assertEqual(b"x", accepted.recv(1))
 
     def test_invalid_settings_and_addresses_are_ignored(self):
-        taken = self.bind('[listen]\nentry = "127.0.0.1:0"\n')
-        _, port = taken.getsockname()
+        bound = self.bind('[listen]\nentry = "127.0.0.1:0"\n')
+        _, port = bound.getsockname()
         texts = [
             "not = = toml",
             "",
@@ -314,9 +314,9 @@
         events = []
         for number in range(count):
             part = f"part {since} {number}".encode()
-            gone = f"part {since} {number - 3}".encode()
+            evicted = f"part {since} {number - 3}".encode()
             events.append(CacheEvent(self.salt, part, 64))
-            events.append(CacheEvent(self.salt, gone, 0))
+            events.append(CacheEvent(self.salt, evicted, 0))
         return CacheEvents(1, since + bool(count), False, events)
 
 
@@ -360,7 +360,7 @@
 class FirstRolesTest(TestCase):
     """During its warm-up a host reads only the caches of its own hall."""
 
-    def wanted(self, at_seconds):
+    def source_names(self, at_seconds):
         settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
         scheduler = Scheduler(settings)
         service = Service("s", is_engine=True, link_bits_per_second=1e9)
@@ -379,10 +379,10 @@
         return {source.name for source in found}
 
     def test_caches_of_other_halls_are_not_read_during_the_warm_up(self):
-        self.assertEqual({"h"}, self.wanted(0.5))
+        self.assertEqual({"h"}, self.source_names(0.5))
 
     def test_host_without_peers_reads_all_caches_after_the_warm_up(self):
-        self.assertEqual({"h", "k"}, self.wanted(1.5))
+        self.assertEqual({"h", "k"}, self.source_names(1.5))
 
     def test_role_checks_are_frequent_until_caches_are_known(self):
         reader = CacheReaderTask(
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -86,21 +86,21 @@
     def test_open_requests_at_a_leaving_upstream_complete(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.02)
-            seen = []
+            responses = []
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
 
-                async def ask():
-                    seen.append(await host.stream("long", max_tokens=LENGTH))
+                async def send_request():
+                    responses.append(await host.stream("long", max_tokens=LENGTH))
 
-                tasks.start_soon(ask)
+                tasks.start_soon(send_request)
                 await until(lambda: runner.engine.started)
                 bench.set_state("lektor-1", "leaving")
-                await until(lambda: seen)
-            return seen
+                await until(lambda: responses)
+            return responses
 
-        seen = self.run_scenario(scenario)
-        self.assertTrue(seen[0].is_whole)
+        responses = self.run_scenario(scenario)
+        self.assertTrue(responses[0].is_whole)
 
 
 class BrokenApi:
@@ -119,34 +119,34 @@
     def test_shutdown_under_load_truncates_no_stream(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.02)
-            seen = []
+            responses = []
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
 
-                async def ask(prompt):
-                    seen.append(await host.stream(prompt, max_tokens=LENGTH))
+                async def send_request(prompt):
+                    responses.append(await host.stream(prompt, max_tokens=LENGTH))
 
                 sent = [f"open {number}" for number in range(6)]
                 for prompt in sent:
-                    tasks.start_soon(ask, prompt)
+                    tasks.start_soon(send_request, prompt)
                 await until(lambda: len(runner.engine.started) == len(sent))
                 host.daemon.lifecycle.begin_stop()
                 await host.daemon.stop()
                 open_count = host.daemon.entry.open_count
                 late = await host.stream("too late")
-            return sent, seen, open_count, late
+            return sent, responses, open_count, late
 
-        sent, seen, open_count, late = self.run_scenario(scenario)
+        sent, responses, open_count, late = self.run_scenario(scenario)
         self.assertEqual(0, open_count)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assert_holds(check_final_answers(seen, sent))
-        self.assertTrue(all(saw.is_whole for saw in seen))
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_final_answers(responses, sent))
+        self.assertTrue(all(response.is_whole for response in responses))
         self.assertEqual(("leaving", "no"), (late.error_code, late.was_run))
 
     def test_rolling_shutdown_loses_no_request(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.005)
-            seen, sent = [], []
+            responses, sent = [], []
             async with (
                 bench.run_host("entry-1") as one,
                 bench.run_host("entry-2") as two,
@@ -157,47 +157,51 @@
                 for leaving, staying in ((one, two), (two, one)):
                     async with anyio.create_task_group() as tasks:
 
-                        async def ask(host, prompt):
-                            seen.append(await host.stream(prompt, max_tokens=LENGTH))
+                        async def send_request(host, prompt):
+                            responses.append(
+                                await host.stream(prompt, max_tokens=LENGTH)
+                            )
 
                         for number in range(5):
                             prompt = f"{number} at {leaving.addresses.entry}"
                             sent.append(prompt)
-                            tasks.start_soon(ask, leaving, prompt)
+                            tasks.start_soon(send_request, leaving, prompt)
                         await until(lambda h=leaving: h.daemon.entry.open_count == 5)
                         leaving.daemon.lifecycle.begin_stop()
                         await leaving.daemon.stop()
                     if staying is two:
                         sent.append("at the other")
-                        seen.append(await two.stream("at the other", max_tokens=LENGTH))
-            return sent, seen
+                        responses.append(
+                            await two.stream("at the other", max_tokens=LENGTH)
+                        )
+            return sent, responses
 
-        sent, seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assert_holds(check_final_answers(seen, sent))
-        self.assertTrue(all(saw.is_whole for saw in seen))
+        sent, responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_final_answers(responses, sent))
+        self.assertTrue(all(response.is_whole for response in responses))
 
     def test_second_signal_ends_open_streams_with_an_error_event(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.05)
-            seen = []
+            responses = []
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
 
-                async def ask():
-                    seen.append(await host.stream("endless", max_tokens=2000))
+                async def send_request():
+                    responses.append(await host.stream("endless", max_tokens=2000))
 
-                tasks.start_soon(ask)
+                tasks.start_soon(send_request)
                 await until(lambda: runner.engine.started)
                 host.daemon.lifecycle.begin_stop()
                 host.daemon.lifecycle.begin_stop()
                 await host.daemon.stop()
-                await until(lambda: seen)
-            return seen
+                await until(lambda: responses)
+            return responses
 
-        seen = self.run_scenario(scenario)
-        self.assertFalse(seen[0].is_whole)
-        self.assertEqual("leaving", seen[0].error_code)
+        responses = self.run_scenario(scenario)
+        self.assertFalse(responses[0].is_whole)
+        self.assertEqual("leaving", responses[0].error_code)
 
 
 class RestartTest(ScenarioCase):
@@ -225,14 +229,14 @@
             extra = f'fallback_tree = "{path}"\n'
             async with bench.run_host(extra=extra) as host:
                 await until(lambda: host.is_available("lektor-1"))
-                saw = await host.stream("all alone")
+                response = await host.stream("all alone")
                 # The platform recovers and provides a newer tree and host list.
                 bench.platform.set_faults(PlatformFaults())
                 await until(lambda: host.daemon.follower.source == "platform")
-            return saw, runner.engine.started
+            return response, runner.engine.started
 
-        saw, started = self.run_scenario(scenario)
-        self.assertTrue(saw.is_whole)
+        response, started = self.run_scenario(scenario)
+        self.assertTrue(response.is_whole)
         self.assertEqual(1, len(started))
 
     def test_all_hosts_restart_at_once(self):
@@ -247,8 +251,8 @@
                 ):
                     for host in (one, two, three):
                         await host.until_ready("lektor-1")
-                        saw = await host.stream("after the restart")
-                        sources.append(saw.is_whole)
+                        response = await host.stream("after the restart")
+                        sources.append(response.is_whole)
             return sources
 
         self.assertEqual([True] * 6, self.run_scenario(scenario))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,27 +19,27 @@
 
 
 class CutStreamTest(ScenarioCase):
-    def cut_everywhere(self):
+    def cut_at_each_position(self):
         """Return the responses to streams that are cut at each position."""
 
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
-            seen = []
+            responses = []
             async with bench.run_host() as host:
                 await host.until_ready("lektor-1")
                 for position in range(1, LENGTH + 1):
                     runner.engine.faults = EngineFaults(cut_after_count=position)
                     prompt = f"cut after {position}"
-                    seen.append(await host.stream(prompt, max_tokens=LENGTH))
-            return seen
+                    responses.append(await host.stream(prompt, max_tokens=LENGTH))
+            return responses
 
         return self.run_scenario(scenario)
 
     def test_stream_cut_at_any_position_is_resumed_or_ends_with_an_error(self):
-        seen = self.cut_everywhere()
-        self.assert_holds(check_answers(seen, LENGTH))
+        responses = self.cut_at_each_position()
+        self.assert_holds(check_answers(responses, LENGTH))
         # Three resumptions suffice for cuts after every second event or more.
-        self.assertEqual([True] * 5, [saw.is_whole for saw in seen[1:]])
+        self.assertEqual([True] * 5, [response.is_whole for response in responses[1:]])
 
     def repeat_an_event(self):
         """Return the response to a stream with one event sent twice."""
@@ -62,30 +62,30 @@
             return True
 
         with mock.patch.object(OrderKeeper, "admit", admit_all):
-            seen = self.repeat_an_event()
-        self.assertNotEqual([], check_answers(seen, LENGTH))
+            responses = self.repeat_an_event()
+        self.assertNotEqual([], check_answers(responses, LENGTH))
 
     def test_engine_crash_in_mid_stream_ends_it_with_an_explicit_error(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.05)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
-                seen = []
+                responses = []
 
-                async def ask():
-                    seen.append(await host.stream("to be cut", max_tokens=LENGTH))
+                async def send_request():
+                    responses.append(await host.stream("to be cut", max_tokens=LENGTH))
 
-                tasks.start_soon(ask)
+                tasks.start_soon(send_request)
                 await until(lambda: runner.engine.started)
                 await until(lambda: len(runner.engine.started[0].tokens) >= 2)
                 runner.engine.crash()
-                await until(lambda: seen)
-            return seen
+                await until(lambda: responses)
+            return responses
 
-        (saw,) = self.run_scenario(scenario)
-        self.assert_holds(check_answers([saw], LENGTH))
-        self.assertFalse(saw.is_whole)
-        self.assertEqual("upstream_failed", saw.error_code)
+        (response,) = self.run_scenario(scenario)
+        self.assert_holds(check_answers([response], LENGTH))
+        self.assertFalse(response.is_whole)
+        self.assertEqual("upstream_failed", response.error_code)
 
     def test_request_at_a_frozen_engine_is_retried_at_another_one(self):
         async def scenario(bench):
@@ -96,23 +96,23 @@
                 anyio.create_task_group() as tasks,
             ):
                 await host.until_ready("lektor-1")
-                seen = []
+                responses = []
 
-                async def ask():
-                    seen.append(
+                async def send_request():
+                    responses.append(
                         await host.stream("through a freeze", max_tokens=LENGTH)
                     )
 
                 frozen.engine.faults = EngineFaults(is_frozen=True)
-                tasks.start_soon(ask)
+                tasks.start_soon(send_request)
                 bench.add_runner("lektor-2")
-                await until(lambda: seen)
+                await until(lambda: responses)
                 frozen.engine.faults = EngineFaults()
-            return seen
+            return responses
 
-        seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assertTrue(seen[0].is_whole)
+        responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assertTrue(responses[0].is_whole)
 
 
 class ResumeElsewhereTest(ScenarioCase):
@@ -125,16 +125,16 @@
             "stream": True,
         }
         headers = {"Authorization": f"Bearer {KEY}"}
-        got = b""
+        received = b""
         async with host.client.stream(
             "POST", "/v1/completions", json=body, headers=headers
         ) as response:
             token = response.headers["rampwick-stream"]
             async for data in response.aiter_raw():
-                got += data
-                if got.count(b"\n\n") >= count:
+                received += data
+                if received.count(b"\n\n") >= count:
                     break
-        events = got.split(b"\n\n")[:count]
+        events = received.split(b"\n\n")[:count]
         last_id = events[-1].split(b"\n")[0].removeprefix(b"id: ").decode()
         return b"\n\n".join(events) + b"\n\n", token, last_id
 
@@ -151,22 +151,22 @@
             ):
                 await one.until_ready("lektor-1")
                 await two.until_ready("lektor-1")
-                got, token, last_id = await self.first_events(one, "moving", 2)
+                received, token, last_id = await self.first_events(one, "moving", 2)
                 # The engine continues although the caller has disconnected, because the
                 # host's cancellation is patched out below.
-                rest = await self.resume(two, token, last_id)
+                remainder = await self.resume(two, token, last_id)
                 other_workspace = await self.resume(two, token, last_id, OTHER_KEY)
                 forged = await self.resume(two, token[:-2] + "xx", last_id)
-                return got, rest, other_workspace, forged
+                return received, remainder, other_workspace, forged
 
         with mock.patch(
             "rampwick_router.upstream._client.UpstreamClient.cancel", do_nothing
         ):
-            got, rest, other_workspace, forged = self.run_scenario(scenario)
-        self.assertEqual(200, rest.status_code, rest.text)
-        saw = read_stream("moving", 200, got + rest.content)
-        self.assert_holds(check_answers([saw], LENGTH))
-        self.assertTrue(saw.is_whole)
+            received, remainder, other_workspace, forged = self.run_scenario(scenario)
+        self.assertEqual(200, remainder.status_code, remainder.text)
+        response = read_stream("moving", 200, received + remainder.content)
+        self.assert_holds(check_answers([response], LENGTH))
+        self.assertTrue(response.is_whole)
         self.assertEqual(410, other_workspace.status_code)
         self.assertEqual(410, forged.status_code)
 
@@ -179,39 +179,43 @@
                     await two.until_ready("lektor-1")
                     # A crashed host does not cancel the attempts of its callers.
                     drop_cancellations(one.daemon.scheduler)
-                    got, token, last_id = await self.first_events(one, "orphan", 2)
-                return got, await self.resume(two, token, last_id)
+                    received, token, last_id = await self.first_events(one, "orphan", 2)
+                return received, await self.resume(two, token, last_id)
 
-        got, rest = self.run_scenario(scenario)
-        saw = read_stream("orphan", rest.status_code, got + rest.content)
-        self.assert_holds(check_answers([saw], LENGTH))
-        self.assertTrue(saw.is_whole)
+        received, remainder = self.run_scenario(scenario)
+        response = read_stream(
+            "orphan", remainder.status_code, received + remainder.content
+        )
+        self.assert_holds(check_answers([response], LENGTH))
+        self.assertTrue(response.is_whole)
 
     def test_concurrent_resumptions_receive_the_same_events(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.02)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
-                got, token, last_id = await self.first_events(host, "twice", 1)
-                rests = []
+                received, token, last_id = await self.first_events(host, "twice", 1)
+                remainders = []
 
-                async def ask():
-                    rests.append(await self.resume(host, token, last_id))
+                async def send_request():
+                    remainders.append(await self.resume(host, token, last_id))
 
-                tasks.start_soon(ask)
-                tasks.start_soon(ask)
-                await until(lambda: len(rests) == 2)
+                tasks.start_soon(send_request)
+                tasks.start_soon(send_request)
+                await until(lambda: len(remainders) == 2)
                 return [
-                    read_stream("twice", rest.status_code, got + rest.content)
-                    for rest in rests
+                    read_stream(
+                        "twice", remainder.status_code, received + remainder.content
+                    )
+                    for remainder in remainders
                 ]
 
         with mock.patch(
             "rampwick_router.upstream._client.UpstreamClient.cancel", do_nothing
         ):
-            seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assertTrue(all(saw.is_whole for saw in seen))
+            responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assertTrue(all(response.is_whole for response in responses))
 
 
 class OwnAnswerTest(ScenarioCase):
@@ -220,22 +224,22 @@
             bench.add_runner("lektor-1")
             bench.add_runner("lektor-2")
             sent = [f"prompt number {number}" for number in range(40)]
-            seen = []
+            responses = []
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1", "lektor-2")
 
-                async def ask(prompt):
-                    seen.append(await host.stream(prompt, max_tokens=LENGTH))
+                async def send_request(prompt):
+                    responses.append(await host.stream(prompt, max_tokens=LENGTH))
 
                 for prompt in sent:
-                    tasks.start_soon(ask, prompt)
-                await until(lambda: len(seen) == len(sent))
-            return sent, seen
+                    tasks.start_soon(send_request, prompt)
+                await until(lambda: len(responses) == len(sent))
+            return sent, responses
 
-        sent, seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assert_holds(check_final_answers(seen, sent))
-        self.assertTrue(all(saw.is_whole for saw in seen))
+        sent, responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_final_answers(responses, sent))
+        self.assertTrue(all(response.is_whole for response in responses))
 
     def test_response_to_another_attempt_is_not_forwarded(self):
         async def scenario(bench):
@@ -246,8 +250,8 @@
                 extra = {"Rampwick-Repeat": "never"}
                 return await host.stream("crossed", max_tokens=LENGTH, headers=extra)
 
-        saw = self.run_scenario(scenario)
-        self.assertEqual((502, "maybe"), (saw.status, saw.was_run))
+        response = self.run_scenario(scenario)
+        self.assertEqual((502, "maybe"), (response.status, response.was_run))
 
     def test_cancellation_that_races_the_end_affects_no_other_request(self):
         async def scenario(bench):
@@ -257,14 +261,14 @@
                 for number in range(8):
                     with anyio.move_on_after(0.004 * number):
                         await host.stream(f"left {number}", max_tokens=LENGTH)
-                seen = [await host.stream("stays", max_tokens=LENGTH)]
+                responses = [await host.stream("stays", max_tokens=LENGTH)]
                 await until(lambda: not host.upstream("lektor-1").own_attempts)
                 await until(lambda: runner.engine.running_count == 0)
-            return seen
+            return responses
 
-        seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assertTrue(seen[0].is_whole)
+        responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assertTrue(responses[0].is_whole)
 
     def test_disconnect_of_the_caller_cancels_the_attempt(self):
         async def scenario(bench):
@@ -339,7 +343,7 @@
     def test_invalid_requests_get_a_client_error(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
-            answers = []
+            responses = []
             extra = "[limits]\nmax_body_bytes = 2048\nbody_timeout_seconds = 0.1\n"
             async with bench.run_host(extra=extra) as host:
                 await host.until_ready("lektor-1")
@@ -356,20 +360,20 @@
                     b"x" * 4096,
                     b"[" * 2000,
                 ):
-                    answers.append(
+                    responses.append(
                         await host.client.post(
                             "/v1/completions", content=body, headers=headers
                         )
                     )
                 slow = await send_incomplete(host.addresses.entry)
                 self.assertEqual(200, (await host.complete()).status_code)
-            return answers, slow
+            return responses, slow
 
-        answers, slow = self.run_scenario(scenario)
+        responses, slow = self.run_scenario(scenario)
         self.assertIn(b" 408 ", slow)
-        for answer in answers:
-            self.assertTrue(400 <= answer.status_code < 500, answer.text)
-            self.assertEqual("no", answer.json()["error"]["was_run"])
+        for response in responses:
+            self.assertTrue(400 <= response.status_code < 500, response.text)
+            self.assertEqual("no", response.json()["error"]["was_run"])
 
 
 async def send_incomplete(address):
