--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -33,7 +33,7 @@
         lifecycle: Lifecycle,
         configuration: ConfigurationTask,
         hosts: HostListTask,
-        steward: StewardTask,
+        rollout_controller: StewardTask,
         read_platform_calls: Callable[[], Mapping[str, int]],
         read_store_era: Callable[[], int],
         read_roles: Callable[[], RolesView],
@@ -44,7 +44,7 @@
         self._lifecycle = lifecycle
         self._configuration = configuration
         self._hosts = hosts
-        self._steward = steward
+        self._rollout_controller = rollout_controller
         self._read_platform_calls = read_platform_calls
         self._read_store_era = read_store_era
         self._read_roles = read_roles
@@ -106,7 +106,7 @@
         metrics.revision.set(self._context.follower.revision)
         metrics.store_era.set(self._read_store_era())
         metrics.targets_age.set(self._context.scheduler.targets_age_seconds())
-        metrics.outdated_runners.set(self._steward.outdated_count())
+        metrics.outdated_runners.set(self._rollout_controller.outdated_count())
         for purpose, count in self._read_platform_calls().items():
             metrics.platform_calls.labels(purpose).set(count)
         for reason, count in self._context.channels.opened_counts().items():
@@ -114,7 +114,7 @@
         roles = self._read_roles()
         metrics.roles.labels("relay").set(roles.is_relay)
         metrics.roles.labels("reader").set(roles.is_reader)
-        metrics.roles.labels("steward").set(self._steward.is_holder)
+        metrics.roles.labels("steward").set(self._rollout_controller.is_holder)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         metrics.processor_seconds.set(usage.ru_utime + usage.ru_stime)
         body = generate_latest(metrics.registry)
@@ -137,11 +137,11 @@
         return JSONResponse(status)
 
     def _describe_lease(self) -> dict[str, Any]:
-        lease = self._steward.lease
+        lease = self._rollout_controller.lease
         return {
             "holder": lease.record.holder if lease.record else "",
             "fencing_number": lease.version,
-            "is_held_here": self._steward.is_holder,
+            "is_held_here": self._rollout_controller.is_holder,
         }
 
     def _list_problems(self, status: dict[str, Any]) -> list[str]:
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -91,7 +91,7 @@
                 self._find_health_path,
                 self.scheduler,
             )
-        self.steward = StewardTask(
+        self.rollout_controller = StewardTask(
             api, settings, self.scheduler, control, read_clock, rng
         )
         self.hosts = HostListTask(self.scheduler)
@@ -106,9 +106,9 @@
             self._metrics,
             read_clock,
             self.hosts,
-            self.steward,
+            self.rollout_controller,
         )
-        self.steward.notify_peers = self.gossip.broadcast_rollout
+        self.rollout_controller.notify_peers = self.gossip.broadcast_rollout
         self.scheduler.on_long_prompt = self.gossip.early.note_load
         self.scheduler.on_burst = self.gossip.early.note_burst
         self._connect_sources(api, rng, integration)
@@ -126,7 +126,7 @@
             self.gossip.roles.neighbours_at_work,
         )
         self.gossip.cache_outbox.list_read = self.cache_reader.read_names
-        self.silences = SilenceWatch(read_clock)
+        self.stall_detector = SilenceWatch(read_clock)
         self.context = EntryContext(
             settings=settings,
             scheduler=self.scheduler,
@@ -142,7 +142,7 @@
             channels=channels,
             dialects=dialects,
             salts=salts,
-            silences=self.silences,
+            stall_detector=self.stall_detector,
         )
         self.entry = EntryApp(self.context, serves_routes=integration is not None)
         self.admin = AdminApp(
@@ -150,7 +150,7 @@
             self.lifecycle,
             self.configuration,
             self.hosts,
-            self.steward,
+            self.rollout_controller,
             lambda: getattr(api, "calls", {}),
             lambda: api.era if api else 0,
             self.gossip.roles.describe,
@@ -168,7 +168,11 @@
         self.directory: PeerDirectory | None = None
         if api is None:
             return
-        settings, scheduler, steward = self.settings, self.scheduler, self.steward
+        settings, scheduler, rollout_controller = (
+            self.settings,
+            self.scheduler,
+            self.rollout_controller,
+        )
         read_clock = self.clocks.monotonic
         if integration is None:
             self.configuration.source = TreeStoreSource(
@@ -177,7 +181,11 @@
             interval_seconds = settings.platform.host_list_interval_seconds
             self.hosts.source = PolledHosts(api, interval_seconds)
             self.targets = PolledTargets(
-                api, scheduler, lambda: steward.is_holder, steward.wake, read_clock
+                api,
+                scheduler,
+                lambda: rollout_controller.is_holder,
+                rollout_controller.wake,
+                read_clock,
             )
             return
         role = ReadingRole(
@@ -188,7 +196,7 @@
             lambda: self.gossip.ages.answered_at_seconds,
             self.configuration,
             self.hosts,
-            lambda: steward.is_holder,
+            lambda: rollout_controller.is_holder,
             read_clock,
         )
         reader = integration.reader
@@ -198,14 +206,20 @@
         self.configuration.ask_peer = self.gossip.ages.ask_reader
         self.hosts.source = WatchedHosts(api, reader, role.wants_hosts, read_clock, rng)
         self.targets = WatchedTargets(
-            api, reader, scheduler, steward.wake, role.wants_targets, read_clock, rng
+            api,
+            reader,
+            scheduler,
+            rollout_controller.wake,
+            role.wants_targets,
+            read_clock,
+            rng,
         )
         self.directory = PeerDirectory(
             api, self.gossip.roles.table.own, role.is_lonely, role.is_reader, rng
         )
         self.directory.note_found = self.gossip.look_for_peers
         self.gossip.directory = self.directory
-        steward.is_candidate = role.is_candidate
+        rollout_controller.is_candidate = role.is_candidate
 
     def _find_health_path(self, service: str) -> str:
         found = self.follower.view.routes.service(service)
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -58,7 +58,7 @@
         self.lifecycle = assembly.lifecycle
         self.follower = assembly.follower
         self.scheduler = assembly.scheduler
-        self.steward = assembly.steward
+        self.rollout_controller = assembly.rollout_controller
         self.entry = assembly.entry
         self.admin = assembly.admin
 
@@ -91,7 +91,7 @@
         tasks.start_soon(self._components.claims.run)
         tasks.start_soon(self._components.probes.run)
         tasks.start_soon(self._components.cancels.run)
-        tasks.start_soon(self.steward.run)
+        tasks.start_soon(self.rollout_controller.run)
         tasks.start_soon(self._channels.sweep)
         tasks.start_soon(self._components.cache_reader.run)
         if self._components.targets is not None:
@@ -99,7 +99,7 @@
         if self._components.directory is not None:
             tasks.start_soon(self._components.directory.run)
         tasks.start_soon(self.entry.watch_callers)
-        tasks.start_soon(self._components.silences.run)
+        tasks.start_soon(self._components.stall_detector.run)
         tasks.start_soon(self._log_state)
         tasks.start_soon(self._gossip.run, listeners.peer)
         log.info("started", host=self._settings.host.name)
@@ -136,7 +136,7 @@
                 ),
                 host_list_age_ms=milliseconds(self._hosts.age_seconds(now_seconds)),
                 is_reader=self._gossip.roles.is_reader(),
-                is_steward=self.steward.is_holder,
+                is_steward=self.rollout_controller.is_holder,
                 **self._describe_targets(),
                 hosts_heard_count=len(self._gossip.roles.live_names),
                 connections_opened=self._channels.opened_counts(),
@@ -152,8 +152,8 @@
                 for target in self.scheduler.targets()
             },
             "targets_read_age_ms": milliseconds(self.scheduler.targets_age_seconds()),
-            "outdated_runners_count": self.steward.outdated_count(),
-            "loads_count": len(self.steward.loads()),
+            "outdated_runners_count": self.rollout_controller.outdated_count(),
+            "loads_count": len(self.rollout_controller.loads()),
         }
 
     async def stop(self) -> None:
@@ -168,7 +168,7 @@
             self.lifecycle.exit_deadline_seconds = exit_deadline_seconds
         log.info("not ready, waiting for the balancer to stop routing here")
         self._gossip.summaries.is_leaving = True
-        await self.steward.give_up()
+        await self.rollout_controller.give_up()
         self._gossip.summaries.publish_own()
         await self.lifecycle.pause(self._settings.life.balancer_delay_seconds)
         self.lifecycle.balancer_delay_elapsed = True
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -73,7 +73,7 @@
     channels: ChannelPool
     dialects: Dialects
     salts: SaltBook
-    silences: SilenceWatch
+    stall_detector: SilenceWatch
     #: Recent response times, to decide during a shutdown which requests still fit.
     pace: AnswerPace = attrs.field(factory=AnswerPace)
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -60,7 +60,7 @@
         #: Whether the caller received part of a response that this attempt continues.
         self._is_resumed = is_resumed
         self._channel: Channel
-        self._listening: Listening
+        self._read_monitor: Listening
         #: Time for which the connection may stay idle after the response.
         self.idle_timeout_seconds = 0.0
 
@@ -84,24 +84,24 @@
             self._update_channel(facts)
             self._post_upstream_state(facts, sent_at_seconds)
             self._check(head, facts)
-            with self._context.silences.listen(
+            with self._context.stall_detector.listen(
                 self._stall_timeout_seconds()
-            ) as listening:
-                self._listening = listening
+            ) as monitor:
+                self._read_monitor = monitor
                 yield head
-            if listening.is_silent:
+            if monitor.is_silent:
                 raise self.failed(Outcome.BROKEN, "the response stream is stalled")
         self.idle_timeout_seconds = self._channel.max_rest_seconds
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the chunks of the body as they arrive."""
-        listening = self._listening
-        self._context.silences.note_waiting(listening)
+        monitor = self._read_monitor
+        self._context.stall_detector.note_waiting(monitor)
         async for chunk in self._channel.receive_pieces():
             # Time that a slow caller takes must not count as a stall of the upstream.
-            listening.waiting_since_seconds = None
+            monitor.waiting_since_seconds = None
             yield chunk
-            self._context.silences.note_waiting(listening)
+            self._context.stall_detector.note_waiting(monitor)
 
     def failed(
         self, outcome: Outcome, message: str, facts: ResponseInfo | None = None
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -154,9 +154,9 @@
             extra = "[steward]\nlease_seconds = 1.5\n"
             async with bench.run_host(extra=extra) as host:
                 await host.until_ready("lektor-1")
-                await until(lambda: host.daemon.steward.is_holder)
+                await until(lambda: host.daemon.rollout_controller.is_holder)
                 bench.platform.set_faults(PlatformFaults(is_down=True))
-                await until(lambda: not host.daemon.steward.is_holder)
+                await until(lambda: not host.daemon.rollout_controller.is_holder)
                 return bench.runners["lektor-1"].engine.orders
 
         self.assertEqual([], self.run_scenario(scenario))
@@ -169,7 +169,7 @@
                 runner.engine.fencing_number = 1_000_000
                 async with bench.open_api() as api:
                     await WeightsStore(api).set_target(TARGET[0])
-                client = host.daemon.steward._control
+                client = host.daemon.rollout_controller._control
                 results = []
 
                 async def send_order(entry, order):
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -194,7 +194,7 @@
         async def main():
             daemon = make_daemon(Member("h0", "h", "h0:1"))
             if is_holder:
-                lease = daemon.steward.lease
+                lease = daemon.rollout_controller.lease
                 record = LeaseRecord("h0", "w", 10.0)
                 lease.note_written(record, 7, write_began_seconds=NOW_SECONDS)
             link = Wire(peer=Member("h1", "h", "h1:1"))
@@ -244,7 +244,7 @@
                     daemon.scheduler.post(
                         PeerSummaryReceived(member.name, "h", 1, summary)
                     )
-            return daemon.steward.is_candidate()
+            return daemon.rollout_controller.is_candidate()
 
         return anyio.run(main)
 
