--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -14,30 +14,30 @@
     AttemptDelivered,
     AttemptDone,
     CacheChanges,
-    CacheSeen,
+    CacheGeneration,
+    CacheReported,
     CancelAttempt,
     Dispatch,
     Event,
     HostListRead,
-    Life,
-    Neighbours,
-    NeighboursSeen,
+    LivePeers,
+    PeersChanged,
     PeerSummaryReceived,
+    RateLimitReported,
     RateLimitUpdateReceived,
-    RateNamed,
     Refuse,
     RequestArrived,
     Scheduler,
     Tick,
-    TreeInForce,
+    TreeChanged,
     TreeView,
     Workspace,
+    _cache_transfers,
     _dispatcher,
-    _moves,
-    _reading_speed,
+    _prefill_speed,
     chain_from_parts,
-    kept_life,
-    life_label,
+    generation_label,
+    store_generation,
 )
 from rampwick_schema import (
     HostEntry,
@@ -111,11 +111,11 @@
         )
         self.scheduler = Scheduler(settings)
         self.scheduler.pool.rates.on_update = self._tell_rates
-        self.handle(NeighboursSeen(self._neighbours(), is_leaving=False))
-        self.handle(TreeInForce(self._lab.view))
+        self.handle(PeersChanged(self._neighbours(), is_leaving=False))
+        self.handle(TreeChanged(self._lab.view))
         self.handle(HostListRead(self._lab.host_list))
 
-    def _neighbours(self) -> Neighbours:
+    def _neighbours(self) -> LivePeers:
         halls = {
             f"host-{index}": HALLS[index % len(HALLS)]
             for index in range(self._lab.pattern.hosts_count)
@@ -125,7 +125,7 @@
             for name, hall in halls.items()
             if hall == self.hall and name != self.name
         )
-        return Neighbours(mates, mates, frozenset(halls.values()))
+        return LivePeers(mates, mates, frozenset(halls.values()))
 
     def _tell_rates(self) -> None:
         self._lab.clock.after(RATE_NEWS_SECONDS, self._broadcast_rates)
@@ -206,7 +206,7 @@
         rate = self._lab.engines[dispatch.upstream].rate_per_second
         if rate is not None:
             now_seconds = self._lab.clock.now_seconds
-            named = RateNamed(
+            named = RateLimitReported(
                 dispatch.upstream, dispatch.incarnation, rate, now_seconds
             )
             self.handle(named)
@@ -224,7 +224,7 @@
                 cached_tokens=max(0, tokens - missing),
                 prompt_tokens=tokens,
                 answer_tokens=sample.call.kind.answer_tokens,
-                connection_rest_seconds=4.0,
+                connection_idle_seconds=4.0,
             )
         )
 
@@ -319,14 +319,18 @@
 
     def _caches(self) -> Iterator[tuple[str, str, Cache]]:
         for engine in self.engines.values():
-            yield engine.name, life_label(Life(engine.name, 1)), engine.cache
-        yield STORE, life_label(kept_life(1)), self.store
+            yield (
+                engine.name,
+                generation_label(CacheGeneration(engine.name, 1)),
+                engine.cache,
+            )
+        yield STORE, generation_label(store_generation(1)), self.store
 
     def _hear(self, name: str, label: str, changed: dict[bytes, int]) -> None:
         changes = CacheChanges(label, tuple(changed), tuple(changed.values()))
         for host in self.hosts:
             if not self.is_off:
-                host.handle(CacheSeen(name, (changes,)))
+                host.handle(CacheReported(name, (changes,)))
 
     def _turn_off(self) -> None:
         self.is_off = True
@@ -380,13 +384,15 @@
             stack.enter_context(mock.patch.object(target, name, value))
 
         if "order" in names:
-            replace(_dispatcher, "is_spent", lambda item, now_seconds: False)
-            replace(_dispatcher, "in_time_until_seconds", lambda item: float("inf"))
+            replace(_dispatcher, "cannot_meet_target", lambda item, now_seconds: False)
+            replace(
+                _dispatcher, "latest_answer_start_seconds", lambda item: float("inf")
+            )
             replace(_dispatcher, "late_queue_ratio", lambda *_: 1.0)
         if "speed" in names:
-            replace(_reading_speed.ReadingSpeed, "note", lambda *_: None)
+            replace(_prefill_speed.PrefillSpeed, "note", lambda *_: None)
         if "link-queue" in names:
-            replace(_moves.Moves, "waiting_tokens", lambda *_: 0)
+            replace(_cache_transfers.CacheTransfers, "waiting_tokens", lambda *_: 0)
         yield
 
 
--- a/measure/_limit_ways.py
+++ b/measure/_limit_ways.py
@@ -7,7 +7,7 @@
 
 from rampwick_policy import RequestArrived, TreeView, Workspace
 from rampwick_policy._fleet_limit import OverLimit
-from rampwick_policy._limit_book import LimitBook
+from rampwick_policy._limit_tracker import LimitTracker
 from rampwick_schema import Node, QuotaSettings, Summary, Tree
 
 from ._limit_patterns import LimitPattern
@@ -72,7 +72,7 @@
         settings = QuotaSettings(
             over_ratio=pattern.over_ratio, slack_tokens=pattern.slack_tokens
         )
-        self.book = LimitBook(settings, name)
+        self.book = LimitTracker(settings, name)
         self._workspace = workspace(pattern)
         self.book.apply({PATH: self._workspace}, now_seconds)
 
@@ -84,12 +84,17 @@
         """Return whether a request may go."""
         arrival = self._arrival(tokens, now_seconds)
         arrival = attrs.evolve(arrival, was_held=was_held)
-        return not isinstance(self.book.ask(arrival, now_seconds), OverLimit)
+        return not isinstance(self.book.admit(arrival, now_seconds), OverLimit)
 
     def _arrival(self, tokens: int, now_seconds: float) -> RequestArrived:
         deadline_seconds = now_seconds + 9.0
         return RequestArrived(
-            "r", self._workspace, "portal", deadline_seconds, False, named_tokens=tokens
+            "r",
+            self._workspace,
+            "portal",
+            deadline_seconds,
+            False,
+            declared_tokens=tokens,
         )
 
     def change(self, ratio: float, now_seconds: float) -> None:
@@ -108,7 +113,7 @@
             [],
             [],
             [],
-            limits=self.book.words(now_seconds),
+            limits=self.book.usages(now_seconds),
             limits_known_seconds=self.book.known_seconds(now_seconds),
         )
 
@@ -116,7 +121,7 @@
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
         """Take what is told it."""
-        self.book.hear(peer, summary, age_seconds, now_seconds)
+        self.book.receive_summary(peer, summary, age_seconds, now_seconds)
 
     def note_time(self, hosts_count: int, now_seconds: float) -> None:
         """Note the present time."""
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -13,17 +13,17 @@
 
 import attrs
 
-from rampwick_policy import Health, Neighbours
+from rampwick_policy import Health, LivePeers
 from rampwick_policy._fleet_limit import FleetLimit
-from rampwick_policy._notices import NoticeBook
 from rampwick_policy._request_rates import RateObservation, RequestRates
-from rampwick_policy._request_turns import (
-    FewSenders,
-    RequestTurns,
-    SenderRule,
-    Standpoint,
-)
+from rampwick_policy._state_changes import StateChangeTracker
 from rampwick_policy._upstream import Upstream
+from rampwick_policy._upstream_rate_limiter import (
+    LocalView,
+    SenderCountPolicy,
+    SendersByRate,
+    UpstreamRateLimiter,
+)
 from rampwick_schema import HostEntry, Shown
 
 from ._rate_patterns import RatePattern
@@ -56,7 +56,7 @@
     hall: str
     rates: RequestRates
     gate: Gate
-    turns: RequestTurns | None = None
+    rate_limiter: UpstreamRateLimiter | None = None
     known_since: dict[str, float] = attrs.field(factory=dict)
     #: Part of the fleet that it hears.
     heard_ratio: float = 1.0
@@ -133,7 +133,7 @@
         return _Named(Upstream(entry, Health(0.1, 1.0)), rates)
 
     def _make_host(self, index: int) -> _Host:
-        rates = RequestRates(NoticeBook())
+        rates = RequestRates(StateChangeTracker())
         host = _Host(
             f"e{index}", f"h{index % self._pattern.halls_count}", rates, OpenGate()
         )
@@ -187,9 +187,9 @@
             )
             halls = frozenset(other.hall for other in heard)
             host.heard_ratio = len(heard) / len(self._hosts)
-            if host.turns is not None:
-                near = Neighbours(mates, mates, halls)
-                host.turns.standpoint = Standpoint(host.name, host.hall, near)
+            if host.rate_limiter is not None:
+                near = LivePeers(mates, mates, halls)
+                host.rate_limiter.local_view = LocalView(host.name, host.hall, near)
 
     def _cut(self, is_cut: bool) -> None:
         self._is_cut = is_cut
@@ -205,7 +205,7 @@
     def _greet(self) -> None:
         for item in self._named:
             for host in self._hosts[1::2]:
-                word = host.rates.word(item.upstream.name)
+                word = host.rates.observation(item.upstream.name)
                 if word is not None:
                     self._hear(host, item.upstream.name, word)
                     break
@@ -267,7 +267,7 @@
         now_seconds = self._clock.now_seconds
         for name in {name for host in self._hosts for name in _limits(host)}:
             said = {
-                host.name: limit.word(now_seconds)
+                host.name: limit.usage(now_seconds)
                 for host in self._hosts
                 if (limit := _limits(host).get(name)) is not None
             }
@@ -286,7 +286,7 @@
             for teller, usage in said.items():
                 if teller != host.name and usage is not None:
                     self.result.messages_count += 1
-                    limit.hear(teller, usage, at_seconds)  # type: ignore[arg-type]
+                    limit.receive_usage(teller, usage, at_seconds)  # type: ignore[arg-type]
 
 
 def _limits(host: _Host) -> dict[str, FleetLimit]:
@@ -294,17 +294,17 @@
 
 
 def _with_turns(
-    make_rule: Callable[[int], SenderRule],
+    make_rule: Callable[[int], SenderCountPolicy],
 ) -> Callable[[_Host, RateLab], None]:
     def equip(host: _Host, lab: RateLab) -> None:
         count = lab._pattern.hosts_count
-        host.turns = RequestTurns(
+        host.rate_limiter = UpstreamRateLimiter(
             host.rates,
-            Standpoint(host.name, host.hall),
+            LocalView(host.name, host.hall),
             lambda now_seconds: host.heard_ratio,
             make_rule(count),
         )
-        host.gate = TurnGate(host.turns)
+        host.gate = TurnGate(host.rate_limiter)
 
     return equip
 
@@ -328,5 +328,5 @@
     "equal parts": _with_turns(EachHost),
     "sums": _with_sums,
     "one sender": _with_turns(lambda count: OneSender()),
-    "few senders": _with_turns(lambda count: FewSenders()),
+    "few senders": _with_turns(lambda count: SendersByRate()),
 }
--- a/packages/rampwick-policy/src/rampwick_policy/__init__.py
+++ b/packages/rampwick-policy/src/rampwick_policy/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of rampwick: pure state machines that know no I/O and no clock."""
+"""Policies of rampwick: pure state machines without I/O or clock access."""
 
 from ._access import (
     Access as Access,
@@ -6,18 +6,11 @@
     Verdict as Verdict,
     decide_access as decide_access,
 )
-from ._blame import (
-    BlameBook as BlameBook,
-    BlameRule as BlameRule,
-    LifeName as LifeName,
-    MostEnds as MostEnds,
-    Suspect as Suspect,
-    Suspicion as Suspicion,
-)
+from ._burst_detector import BurstDetector as BurstDetector
 from ._cache_events import (
-    CacheBox as CacheBox,
-    SaltBook as SaltBook,
-    SaltMeaning as SaltMeaning,
+    CacheEventBuffer as CacheEventBuffer,
+    SaltContext as SaltContext,
+    SaltTable as SaltTable,
     is_cache_reader as is_cache_reader,
 )
 from ._claims import (
@@ -31,7 +24,18 @@
     ConfigurationFollower as ConfigurationFollower,
     TreeVersion as TreeVersion,
 )
-from ._departures import Departures as Departures
+from ._crash_attribution import (
+    AttributionRule as AttributionRule,
+    CrashTracker as CrashTracker,
+    IncarnationKey as IncarnationKey,
+    MostCrashes as MostCrashes,
+    QuarantineState as QuarantineState,
+    SuspectRequest as SuspectRequest,
+)
+from ._drain_admission import (
+    SlowAnswerTracker as SlowAnswerTracker,
+    can_finish_before as can_finish_before,
+)
 from ._errors import (
     ConflictError as ConflictError,
     LifecycleError as LifecycleError,
@@ -45,53 +49,39 @@
     AttemptDelivered as AttemptDelivered,
     AttemptDone as AttemptDone,
     AttemptFailed as AttemptFailed,
-    AttemptSilent as AttemptSilent,
-    CacheSeen as CacheSeen,
+    AttemptStalled as AttemptStalled,
+    CacheReported as CacheReported,
     CancelAttempt as CancelAttempt,
     CrashUpdateReceived as CrashUpdateReceived,
     Dispatch as Dispatch,
     Event as Event,
     HostListRead as HostListRead,
     LeavingUpdateReceived as LeavingUpdateReceived,
-    LoadOrdered as LoadOrdered,
     LoadReported as LoadReported,
-    NeighboursSeen as NeighboursSeen,
-    PeerGone as PeerGone,
+    PeerRemoved as PeerRemoved,
+    PeersChanged as PeersChanged,
     PeerSummaryReceived as PeerSummaryReceived,
     ProbeFailed as ProbeFailed,
+    RateLimitReported as RateLimitReported,
     RateLimitUpdateReceived as RateLimitUpdateReceived,
-    RateNamed as RateNamed,
     Refuse as Refuse,
     RequestArrived as RequestArrived,
     RequestCancelled as RequestCancelled,
-    TargetsRead as TargetsRead,
+    TargetsReceived as TargetsReceived,
     Tick as Tick,
-    TreeInForce as TreeInForce,
+    TreeChanged as TreeChanged,
     UpstreamSignalled as UpstreamSignalled,
-    WeightsSeen as WeightsSeen,
-)
-from ._hall_digest import (
-    SummaryDigest as SummaryDigest,
-    sum_limits as sum_limits,
-    without as without,
-    without_limits as without_limits,
+    WeightsLoadOrdered as WeightsLoadOrdered,
+    WeightsReported as WeightsReported,
 )
+from ._expired_entries import ExpiredEntryGuard as ExpiredEntryGuard
 from ._health import Health as Health, HealthState as HealthState
 from ._host_lists import diff_hosts as diff_hosts, patch_hosts as patch_hosts
 from ._identity import RequestIdentity as RequestIdentity
-from ._kept import kept_life as kept_life
-from ._knowledge import (
-    CacheChanges as CacheChanges,
-    CacheKnowledge as CacheKnowledge,
-    Life as Life,
-    life_label as life_label,
-)
-from ._lapses import LapseGuard as LapseGuard
+from ._kv_store_contents import store_generation as store_generation
 from ._lease import LeaseWatcher as LeaseWatcher
-from ._leaving import AnswerPace as AnswerPace, fits_before as fits_before
-from ._limit_book import LimitState as LimitState
+from ._limit_tracker import LimitState as LimitState
 from ._membership import Membership as Membership, PeerView as PeerView
-from ._notices import Notice as Notice
 from ._orders import (
     PlannedOrder as PlannedOrder,
     RunnerState as RunnerState,
@@ -99,11 +89,11 @@
     plan_orders as plan_orders,
 )
 from ._placement import (
+    CacheAwarePlacement as CacheAwarePlacement,
     Choice as Choice,
-    ComputedHome as ComputedHome,
     LeastLoaded as LeastLoaded,
     Placement as Placement,
-    PricedKnowledge as PricedKnowledge,
+    RendezvousPlacement as RendezvousPlacement,
     RoundRobin as RoundRobin,
     RunnerView as RunnerView,
 )
@@ -117,31 +107,43 @@
     chain_from_parts as chain_from_parts,
     part_key as part_key,
 )
-from ._relaying import RelayListener as RelayListener
+from ._prefix_cache_index import (
+    CacheChanges as CacheChanges,
+    CacheGeneration as CacheGeneration,
+    PrefixCacheIndex as PrefixCacheIndex,
+    generation_label as generation_label,
+)
+from ._relay_listener import RelayListener as RelayListener
 from ._request import (
     Outcome as Outcome,
     RequestLifecycle as RequestLifecycle,
     RunState as RunState,
 )
+from ._request_quarantine import RequestQuarantine as RequestQuarantine
 from ._request_rates import RequestRates as RequestRates
-from ._request_turns import TurnState as TurnState
 from ._restored_trees import ReadTree as ReadTree, RestoredTrees as RestoredTrees
 from ._retry import RetryBudget as RetryBudget, RetryBudgets as RetryBudgets
 from ._roles import (
+    LivePeers as LivePeers,
     Member as Member,
     MemberTable as MemberTable,
-    Neighbours as Neighbours,
 )
 from ._rollout import (
-    AskReport as AskReport,
+    FetchReport as FetchReport,
     OrderResult as OrderResult,
     Rollout as Rollout,
 )
 from ._routes import RouteIndex as RouteIndex, choose_service as choose_service
 from ._scheduler import Scheduler as Scheduler
-from ._shares import DecayedUse as DecayedUse, ShareLedger as ShareLedger
-from ._surges import SurgeGate as SurgeGate
-from ._suspects import Suspects as Suspects
+from ._shares import DecayedUsage as DecayedUsage, UsageLedger as UsageLedger
+from ._shutdown_announcements import ShutdownAnnouncements as ShutdownAnnouncements
+from ._state_changes import StateChange as StateChange
+from ._summary_aggregator import (
+    SummaryAggregator as SummaryAggregator,
+    subtract_summary as subtract_summary,
+    sum_limits as sum_limits,
+    without_limits as without_limits,
+)
 from ._targets import TargetWeights as TargetWeights
 from ._tree import (
     ROOT as ROOT,
@@ -155,5 +157,6 @@
     touched_paths as touched_paths,
     validate_tree as validate_tree,
 )
-from ._upstreams import Obstacle as Obstacle
+from ._upstream_rate_limiter import UpstreamRateState as UpstreamRateState
+from ._upstreams import IneligibleReason as IneligibleReason
 from ._watchers import is_watcher as is_watcher
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -1,8 +1,8 @@
-"""Which waiting request goes next, and where.
+"""Selection of the next waiting request and of its upstream.
 
-Those that can still be in time go before those that are late; among them classes go in
-order, workspaces by their standing, requests by arrival. A request goes to the runner
-that placement chooses, or waits for it.
+Requests that can still meet their latency target are dispatched before late ones.
+Within each group the order is priority class, then the fairness key of the workspace,
+then arrival. A request is sent to the runner that placement chooses, or waits for it.
 """
 
 import itertools
@@ -13,71 +13,77 @@
 
 from . import _events as ev
 from ._admission import Admission
+from ._cache_transfers import CacheTransfer
+from ._capacity import CapacitySnapshot
 from ._forecasts import Forecasts
-from ._moves import Move
 from ._placement import (
     Choice,
     LeastLoaded,
     Placement,
     RunnerView,
-    blind_tokens,
     chosen_view,
+    speculative_import_tokens,
 )
 from ._pool import Pool
+from ._prefill_speed import MAX_EMPTY_QUEUE_SECONDS, MIN_SAMPLE_TOKENS
 from ._prefix import PrefixChain
 from ._queue import QueuedRequest, WaitingQueue
-from ._reading_speed import MAX_QUEUE_SECONDS, MIN_TOKENS
 from ._reasons import KEPT_APART, NO_RETRY_LEFT, NO_UPSTREAM
 from ._request import RunState
+from ._request_quarantine import RequestQuarantine
 from ._retry import RetryBudgets
-from ._room import Room
-from ._shares import Standing
-from ._suspects import Suspects
-from ._timeliness import in_time_until_seconds, is_spent, late_queue_ratio
+from ._shares import FairnessKey
+from ._timeliness import (
+    cannot_meet_target,
+    late_queue_ratio,
+    latest_answer_start_seconds,
+)
 from ._tree import Workspace
 
-#: What an answer token costs in prompt tokens: it holds a slot for a whole step.
+#: Price of an answer token in prompt tokens: it occupies a slot for a whole step.
 ANSWER_TOKEN_PRICE = 4.0
 
-#: Answer tokens assumed for a workspace before it has had an answer.
+#: Answer tokens assumed for a workspace before its first answer.
 FIRST_ANSWER_TOKENS = 64.0
+
+#: Weight of the latest answer in the moving average of answer lengths.
 ANSWER_SMOOTHING = 0.1
 
-#: Requests of one workspace that are tried for a free runner in one go.
+#: Requests of one workspace and class that are considered in one pass.
 LOOKAHEAD_COUNT = 4
 
-#: Wait after which a request pays half the price to have its prefix cached.
-PATIENCE_SECONDS = 2.0
+#: Queueing time after which the price of a prefix cache miss is halved.
+MISS_PRICE_HALVING_SECONDS = 2.0
 
 
 @attrs.frozen(repr=False)
-class Hopeless(Shown):
-    """A request, out of its line already, that can't begin before its deadline."""
+class DeadlineUnreachable(Shown):
+    """A request, removed from the queue, that can't start before its deadline."""
 
     item: QueuedRequest
 
 
 class AnswerEstimates:
-    """How long each workspace's answers are, learnt from the last ones."""
+    """Moving averages of the answer lengths of each workspace."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, float] = {}
 
     def expect(self, arrival: ev.RequestArrived) -> float:
-        """Return the tokens that a request's answer is taken to have."""
+        """Return the expected number of tokens of a request's answer."""
         if arrival.chain is None:
             return 1.0
-        learned = self._tokens.get(arrival.workspace.path, FIRST_ANSWER_TOKENS)
-        return min(learned, arrival.max_answer_tokens or learned)
+        estimated = self._tokens.get(arrival.workspace.path, FIRST_ANSWER_TOKENS)
+        return min(estimated, arrival.max_answer_tokens or estimated)
 
-    def learn(self, path: str, tokens: int) -> None:
-        """Note the length of a workspace's answer."""
-        known = self._tokens.get(path, FIRST_ANSWER_TOKENS)
-        self._tokens[path] = known + ANSWER_SMOOTHING * (tokens - known)
+    def record(self, path: str, tokens: int) -> None:
+        """Record the length of a workspace's answer."""
+        previous = self._tokens.get(path, FIRST_ANSWER_TOKENS)
+        self._tokens[path] = previous + ANSWER_SMOOTHING * (tokens - previous)
 
 
 class Dispatcher:
-    """Chooses among what waits; it shares its parts with the scheduler."""
+    """Chooses waiting requests to send; shares its components with the scheduler."""
 
     def __init__(
         self,
@@ -88,7 +94,7 @@
         budgets: RetryBudgets,
         answers: AnswerEstimates,
         placement: Placement,
-        suspects: Suspects,
+        quarantine: RequestQuarantine,
         forecasts: Forecasts,
     ) -> None:
         self._settings = settings
@@ -99,25 +105,25 @@
         self._budgets = budgets
         self._answers = answers
         self._placement = placement
-        self._suspects = suspects
+        self._request_quarantine = quarantine
         self._service_placement = LeastLoaded()
 
     def next_decision(
         self, only_path: str, now_seconds: float
-    ) -> ev.Dispatch | Hopeless | None:
-        """Return the next request to send or give up, or none for now.
+    ) -> ev.Dispatch | DeadlineUnreachable | None:
+        """Return the next request to send or to refuse; ``None`` if there is none.
 
-        ``only_path`` restricts the look to one workspace; empty looks at all.
+        ``only_path`` restricts the search to one workspace; empty searches all.
         """
         pool = self._pool
-        room = Room(
-            pool.upstreams, pool.peers, self._admission, pool.turns, now_seconds
+        capacity = CapacitySnapshot(
+            pool.upstreams, pool.peers, self._admission, pool.rate_limiter, now_seconds
         )
         for is_late, priority_class in itertools.product(
             (False, True), ev.RANKED_CLASSES
         ):
             decision = self._next_of_class(
-                priority_class, is_late, only_path, room, now_seconds
+                priority_class, is_late, only_path, capacity, now_seconds
             )
             if decision is not None:
                 return decision
@@ -128,78 +134,88 @@
         priority_class: str,
         is_late: bool,
         only_path: str,
-        room: Room,
+        capacity: CapacitySnapshot,
         now_seconds: float,
-    ) -> ev.Dispatch | Hopeless | None:
-        paths = self._queue.workspaces_waiting(priority_class)
+    ) -> ev.Dispatch | DeadlineUnreachable | None:
+        paths = self._queue.waiting_workspaces(priority_class)
         if only_path:
             paths = [path for path in paths if path == only_path]
-        for standing, path, workspace in self._lines(
+        for fairness_key, path, workspace in self._order_workspaces(
             priority_class, paths, now_seconds
         ):
             if not self._admission.may_start(workspace):
                 continue
-            line = self._queue.line(priority_class, path)
+            requests = self._queue.workspace_queue(priority_class, path)
             if not is_late:
-                line = (item for item in line if not is_spent(item, now_seconds))
-            for _, item in zip(range(LOOKAHEAD_COUNT), line, strict=False):
-                action = self._try_dispatch(item, is_late, standing, room, now_seconds)
+                requests = (
+                    item
+                    for item in requests
+                    if not cannot_meet_target(item, now_seconds)
+                )
+            for _, item in zip(range(LOOKAHEAD_COUNT), requests, strict=False):
+                action = self._try_dispatch(
+                    item, is_late, fairness_key, capacity, now_seconds
+                )
                 if action is not None:
                     return action
         return None
 
-    def _lines(
+    def _order_workspaces(
         self, priority_class: str, paths: list[str], now_seconds: float
-    ) -> list[tuple[Standing, str, Workspace]]:
-        lines = []
+    ) -> list[tuple[FairnessKey, str, Workspace]]:
+        ordered = []
         for path in paths:
-            first = next(self._queue.line(priority_class, path))
+            first = next(self._queue.workspace_queue(priority_class, path))
             workspace = first.arrival.workspace
-            standing = self._admission.standing(workspace, now_seconds)
-            lines.append((standing, path, workspace))
-        lines.sort(key=lambda line: line[:2])
-        return lines
+            fairness_key = self._admission.fairness_key(workspace, now_seconds)
+            ordered.append((fairness_key, path, workspace))
+        ordered.sort(key=lambda entry: entry[:2])
+        return ordered
 
     def _try_dispatch(
         self,
         item: QueuedRequest,
         is_late: bool,
-        standing: Standing,
-        room: Room,
+        fairness_key: FairnessKey,
+        capacity: CapacitySnapshot,
         now_seconds: float,
-    ) -> ev.Dispatch | Hopeless | None:
+    ) -> ev.Dispatch | DeadlineUnreachable | None:
         arrival = item.arrival
-        views = room.views(arrival)
+        views = capacity.views(arrival)
         if not views:
             forecast = self._forecasts.find(arrival, now_seconds)
-            item.strand(forecast.reason if forecast else NO_UPSTREAM, now_seconds)
+            item.mark_blocked(forecast.reason if forecast else NO_UPSTREAM, now_seconds)
             return None
         budget = self._budgets.of(arrival.service, self._pool.peers.known_hosts_count)
-        if item.needs_budget and not budget.has_one(now_seconds):
-            item.strand(NO_RETRY_LEFT, now_seconds)
+        if item.needs_budget and not budget.has_retry(now_seconds):
+            item.mark_blocked(NO_RETRY_LEFT, now_seconds)
             return None
-        fresh = [view for view in views if view.name not in item.tried]
-        views = self._suspects.allowed_views(item, fresh or views, now_seconds)
+        fresh = [view for view in views if view.name not in item.tried_upstreams]
+        views = self._request_quarantine.allowed_views(
+            item, fresh or views, now_seconds
+        )
         if not views:
-            item.strand(KEPT_APART, now_seconds)
+            item.mark_blocked(KEPT_APART, now_seconds)
             return None
-        item.unstrand()
-        if not room.has_any(views):
+        item.clear_blocked()
+        if not capacity.any_has_headroom(views):
             return None
         choice = self._choose(item, views, now_seconds)
-        begins_seconds = _begins_seconds(arrival, choice, views, now_seconds)
-        if begins_seconds > arrival.deadline_seconds:
+        answer_start_seconds = _answer_start_seconds(
+            arrival, choice, views, now_seconds
+        )
+        if answer_start_seconds > arrival.deadline_seconds:
             self._queue.remove(item)
-            return Hopeless(item)
-        if not is_late and begins_seconds > in_time_until_seconds(item):
+            return DeadlineUnreachable(item)
+        if not is_late and answer_start_seconds > latest_answer_start_seconds(item):
             return None
-        terms = (arrival.service, choice, views, standing)
+        terms = (arrival.service, choice, views, fairness_key)
         if is_late:
             queue_ratio = late_queue_ratio(item, now_seconds)
-            may_take = room.may_take_late(*terms, queue_ratio)
+            may_dispatch = capacity.may_dispatch_late(*terms, queue_ratio)
         else:
-            may_take = room.may_take(*terms)
-        if not may_take:
+            may_dispatch = capacity.may_dispatch(*terms)
+        if not may_dispatch:
             return None
         if item.needs_budget:
             budget.spend(now_seconds)
@@ -212,9 +228,9 @@
         price = arrival.workspace.miss_price
         if price is None:
             price = self._settings.miss_price
-        # Who has waited long settles for a runner that must compute more.
+        # The longer a request has waited, the more cache misses it accepts.
         waited_seconds = now_seconds - item.arrived_at_seconds
-        price /= 1.0 + waited_seconds / PATIENCE_SECONDS
+        price /= 1.0 + waited_seconds / MISS_PRICE_HALVING_SECONDS
         if arrival.chain is None:
             no_chain = PrefixChain(checkpoints=(), total_tokens=1)
             return self._service_placement.choose(no_chain, views, price, now_seconds)
@@ -233,20 +249,20 @@
         assert upstream is not None
         attempt_id = f"{item.request_id}.{item.lifecycle.attempts_count + 1}"
         self._queue.remove(item)
-        is_again = item.lifecycle.run_state >= RunState.MAYBE_RUN
-        item.counted = self._pool.limits.note_sent(item.counted, is_again, now_seconds)
+        is_rerun = item.lifecycle.run_state >= RunState.MAYBE_RUN
+        item.counted = self._pool.limits.note_sent(item.counted, is_rerun, now_seconds)
         item.lifecycle.start(attempt_id)
         item.needs_budget = False
         item.upstream = upstream.name
         item.incarnation = upstream.incarnation
         item.sent_at_seconds = now_seconds
-        self._suspects.note_sent(item)
-        self._pool.turns.note_sent(upstream, now_seconds)
+        self._request_quarantine.note_sent(item)
+        self._pool.rate_limiter.note_sent(upstream, now_seconds)
         upstream.start(
             attempt_id,
             choice.missing_tokens,
             now_seconds,
-            is_alone=_is_alone(choice),
+            is_queue_empty=_measures_prefill_speed(choice),
         )
         self._note_import(attempt_id, item, choice)
         answer_tokens = self._answers.expect(item.arrival)
@@ -256,9 +272,9 @@
             item.arrival.workspace, item.expected_tokens, now_seconds
         )
         save_address = ""
-        if item.arrival.chain is not None and upstream.life is not None:
-            chain, life = item.arrival.chain, upstream.life
-            self._pool.caches.note_placed(upstream.name, life, chain, now_seconds)
+        if item.arrival.chain is not None and upstream.cache_generation is not None:
+            chain, generation = item.arrival.chain, upstream.cache_generation
+            self._pool.caches.note_placed(upstream.name, generation, chain, now_seconds)
             save_address = self._pool.caches.save_address(
                 item.arrival.service, upstream, chain, now_seconds
             )
@@ -268,8 +284,12 @@
             attempt_id=attempt_id,
             upstream=upstream.name,
             address=upstream.entry.address,
-            incarnation=upstream.life.incarnation if upstream.life else "",
-            weights_version=upstream.life.weights_version if upstream.life else 0,
+            incarnation=upstream.cache_generation.incarnation
+            if upstream.cache_generation
+            else "",
+            weights_version=upstream.cache_generation.weights_version
+            if upstream.cache_generation
+            else 0,
             choice=choice,
             import_address=source.address if source else "",
             save_address=save_address,
@@ -280,29 +300,29 @@
     ) -> None:
         if choice.import_source is None or item.arrival.chain is None:
             return
-        tokens = choice.imported_tokens or blind_tokens(
+        tokens = choice.imported_tokens or speculative_import_tokens(
             item.arrival.chain, choice.cached_tokens
         )
-        move = Move(choice.import_source.name, choice.upstream, tokens)
-        self._pool.moves.begin(attempt_id, move)
+        move = CacheTransfer(choice.import_source.name, choice.upstream, tokens)
+        self._pool.cache_transfers.begin(attempt_id, move)
 
 
-def _is_alone(choice: Choice) -> bool:
-    """Return whether how long a prompt takes tells how fast its runner reads."""
+def _measures_prefill_speed(choice: Choice) -> bool:
+    """Return whether the time to the first token measures the prefill speed."""
     return (
-        choice.missing_tokens >= MIN_TOKENS
+        choice.missing_tokens >= MIN_SAMPLE_TOKENS
         and not choice.imported_tokens
-        and choice.prefill_queue_seconds < MAX_QUEUE_SECONDS
+        and choice.prefill_queue_seconds < MAX_EMPTY_QUEUE_SECONDS
     )
 
 
-def _begins_seconds(
+def _answer_start_seconds(
     arrival: ev.RequestArrived,
     choice: Choice,
     views: list[RunnerView],
     now_seconds: float,
 ) -> float:
-    """Return when the answer begins if the request is sent where it was placed now."""
+    """Return when the answer starts if the request is sent to its choice now."""
     if arrival.chain is None:
         return now_seconds
     prefill_seconds = chosen_view(choice, views).prefill_seconds(choice.missing_tokens)
--- a/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
@@ -1,6 +1,6 @@
-"""Upstreams that are no longer listed, for the case that the store forgets it.
+"""Recently removed upstream entries, to detect that a restored store lists them again.
 
-A store that is restored from an older copy lists upstreams that had left by then.
+A store that is restored from an older copy lists upstreams that were removed since.
 """
 
 from collections.abc import Iterable
@@ -9,53 +9,53 @@
 
 from rampwick_schema import Shown
 
-from ._departures import Incarnation
+from ._shutdown_announcements import Incarnation
 from ._upstream import Upstream
 
-#: Age of a copy up to which what it lists is compared with what is known.
-KEPT_SECONDS = 120.0
+#: Retention of removed entries, which is the maximum age of a copy that is detected.
+RETENTION_SECONDS = 120.0
 
 
 @attrs.frozen(repr=False)
 class FormerEntry(Shown):
-    """An upstream as it was when its entry went."""
+    """The state of an upstream when its entry was removed."""
 
     incarnation: Incarnation
-    was_leaving: bool
-    gone_at_seconds: float
+    was_draining: bool
+    removed_at_seconds: float
 
 
 class FormerEntries:
-    """The upstreams whose entries went of late, by name."""
+    """The recently removed upstream entries by name."""
 
     def __init__(self) -> None:
         self._entries: dict[str, FormerEntry] = {}
 
     def get(self, name: str, now_seconds: float) -> FormerEntry | None:
-        """Return the upstream of this name, if it went of late."""
+        """Return the entry of this name if it was removed recently."""
         entry = self._entries.get(name)
-        is_kept = entry is not None and _is_kept(entry, now_seconds)
-        return entry if is_kept else None
+        is_retained = entry is not None and _is_retained(entry, now_seconds)
+        return entry if is_retained else None
 
-    def note_gone(
-        self, upstream: Upstream, was_leaving: bool, now_seconds: float
+    def note_removed(
+        self, upstream: Upstream, was_draining: bool, now_seconds: float
     ) -> None:
-        """Note that an upstream's entry went."""
+        """Record that an upstream's entry was removed."""
         incarnation = Incarnation(upstream.name, upstream.incarnation)
         self._entries[upstream.name] = FormerEntry(
-            incarnation, was_leaving, now_seconds
+            incarnation, was_draining, now_seconds
         )
 
     def forget(self, listed: Iterable[str], now_seconds: float) -> None:
-        """Drop those that are listed again, and those of long ago."""
+        """Drop the entries that are listed again and those past their retention."""
         for name in listed:
             self._entries.pop(name, None)
         self._entries = {
             name: entry
             for name, entry in self._entries.items()
-            if _is_kept(entry, now_seconds)
+            if _is_retained(entry, now_seconds)
         }
 
 
-def _is_kept(entry: FormerEntry, now_seconds: float) -> bool:
-    return now_seconds < entry.gone_at_seconds + KEPT_SECONDS
+def _is_retained(entry: FormerEntry, now_seconds: float) -> bool:
+    return now_seconds < entry.removed_at_seconds + RETENTION_SECONDS
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -1,4 +1,4 @@
-"""Which arriving requests get a place in line, and which are refused at once."""
+"""Checks on arriving requests: which are queued, and which are refused at once."""
 
 import attrs
 
@@ -6,11 +6,11 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._blame import Suspicion
+from ._crash_attribution import QuarantineState
 from ._dispatcher import ANSWER_TOKEN_PRICE, AnswerEstimates
 from ._fleet_limit import OverLimit
 from ._forecasts import Forecasts
-from ._limit_book import LimitBook
+from ._limit_tracker import LimitTracker
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import (
     DEADLINE_UNREACHABLE,
@@ -19,31 +19,31 @@
     QUEUE_FULL,
 )
 from ._request import RequestLifecycle
-from ._suspects import Suspects
+from ._request_quarantine import RequestQuarantine
 
 
 @attrs.frozen(repr=False)
 class Rejection(Shown):
-    """Why a request gets no place in line."""
+    """Why an arriving request is refused."""
 
     reason: str
-    #: Path whose limit it is, if it is one.
+    #: Path whose limit is reached, if the reason is a limit.
     peer: str = ""
-    #: When there is room again, where the reason tells.
+    #: Time until there is capacity again, if the reason determines it.
     retry_after_seconds: float | None = None
 
 
 class Intake:
-    """Looks at requests as they arrive; it shares the scheduler's parts."""
+    """Checks requests on arrival; shares the scheduler's components."""
 
     def __init__(
         self,
         settings: Settings,
         queue: WaitingQueue,
         admission: Admission,
-        limits: LimitBook,
+        limits: LimitTracker,
         answers: AnswerEstimates,
-        suspects: Suspects,
+        quarantine: RequestQuarantine,
         forecasts: Forecasts,
     ) -> None:
         self._settings = settings
@@ -51,11 +51,11 @@
         self._admission = admission
         self._limits = limits
         self._answers = answers
-        self._suspects = suspects
+        self._request_quarantine = quarantine
         self._forecasts = forecasts
 
     def new_item(self, event: ev.RequestArrived, now_seconds: float) -> QueuedRequest:
-        """Return an arriving request with its state."""
+        """Return a queue item with the initial state of an arriving request."""
         lifecycle = RequestLifecycle(
             request_id=event.request_id,
             deadline_seconds=event.deadline_seconds,
@@ -74,39 +74,41 @@
         )
 
     def check(self, item: QueuedRequest, now_seconds: float) -> Rejection | None:
-        """Return why a request gets no place; one that does counts from now on.
+        """Return why a request is refused; otherwise charge it to its limits.
 
-        What is over a limit waits nowhere: those within theirs would wait behind it.
+        Requests over a limit are not queued, because requests within their limits
+        would wait behind them.
         """
         event = item.arrival
-        if self._suspects.suspicion(item) is Suspicion.STOPPED:
-            self._suspects.note_refused(item, now_seconds)
+        if self._request_quarantine.quarantine_state(item) is QuarantineState.STOPPED:
+            self._request_quarantine.note_refused(item, now_seconds)
             return Rejection(ENDS_UPSTREAMS)
-        postponed = self._forecasts.postpone_on_arrival(item, now_seconds)
+        postponed = self._forecasts.find_postponement_on_arrival(item, now_seconds)
         if postponed is not None:
             return Rejection(
                 postponed.reason, retry_after_seconds=postponed.retry_after_seconds
             )
-        counted = self._limits.ask(event, now_seconds)
+        counted = self._limits.admit(event, now_seconds)
         if isinstance(counted, OverLimit):
             return Rejection(OVER_LIMIT, counted.path, counted.retry_after_seconds)
         item.counted = counted
-        full = self._admission.full_limit(event.workspace)
-        if full:
-            return Rejection(QUEUE_FULL, full)
+        limit_path = self._admission.reached_limit(event.workspace)
+        if limit_path:
+            return Rejection(QUEUE_FULL, limit_path)
         wait_seconds = self._admission.wait_seconds(event.workspace, now_seconds)
         if now_seconds + wait_seconds > event.deadline_seconds:
             return Rejection(DEADLINE_UNREACHABLE)
         return None
 
-    def make_way(self, item: QueuedRequest) -> QueuedRequest | None:
-        """Return whom to refuse for a request: none while the host's queue has room.
+    def evict_for(self, item: QueuedRequest) -> QueuedRequest | None:
+        """Return the request to refuse so that the queue keeps its size, or ``None``.
 
-        It is the last of whoever fills the queue most, taken out of it, or the request.
+        If the queue is full, this is the newest request of the workspace with the
+        longest queue, removed from it, or the arriving request itself.
         """
         if len(self._queue) < self._settings.queue.max_waiting_count:
             return None
-        victim = self._queue.last_of_longest(other_than=item.workspace_path)
+        victim = self._queue.newest_of_longest_queue(other_than=item.workspace_path)
         if victim is None:
             return item
         self._queue.remove(victim)
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -1,4 +1,7 @@
-"""Requests without a final answer: how each leaves its upstream, its line, the host."""
+"""Requests without a final answer, and the ways in which they end.
+
+Ending a request removes it from its upstream, its queue and the host's table.
+"""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -10,11 +13,11 @@
 from ._queue import QueuedRequest, WaitingQueue
 from ._refusals import Refusals
 from ._request import RunState
-from ._suspects import Suspects
+from ._request_quarantine import RequestQuarantine
 
 
 class OpenRequests:
-    """The requests of one host by id; it shares the scheduler's parts."""
+    """The open requests of one host by ID; shares the scheduler's components."""
 
     def __init__(
         self,
@@ -22,13 +25,13 @@
         queue: WaitingQueue,
         admission: Admission,
         refusals: Refusals,
-        suspects: Suspects,
+        quarantine: RequestQuarantine,
     ) -> None:
         self._pool = pool
         self._queue = queue
         self._admission = admission
         self._refusals = refusals
-        self._suspects = suspects
+        self._request_quarantine = quarantine
         self._items: dict[str, QueuedRequest] = {}
 
     def __len__(self) -> int:
@@ -42,33 +45,33 @@
         return self._items.get(request_id)
 
     def add(self, item: QueuedRequest) -> None:
-        """Take a request in."""
+        """Add a request."""
         self._items[item.request_id] = item
 
     def remove(self, item: QueuedRequest) -> None:
-        """Let go of a request that has its final answer."""
+        """Remove a request that has its final answer."""
         self._items.pop(item.request_id, None)
 
     def release(self, item: QueuedRequest, attempt_id: str, now_seconds: float) -> None:
-        """Note that a request is at its upstream no more."""
-        self._pool.moves.end(attempt_id)
-        self._suspects.note_left(item)
+        """Release the upstream resources of an attempt that ended."""
+        self._pool.cache_transfers.end(attempt_id)
+        self._request_quarantine.note_released(item)
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is not None:
             upstream.release(attempt_id, now_seconds)
         item.upstream = ""
         self._admission.note_ended(item.arrival.workspace)
 
-    def settle(
+    def charge_actual(
         self, item: QueuedRequest, real_tokens: float, now_seconds: float
     ) -> None:
-        """Charge a request for what it cost in place of what it was taken to cost."""
+        """Replace the estimated charge of a request by its actual cost."""
         difference = real_tokens - item.charged_tokens
         self._pool.ledger.charge(item.workspace_path, difference, now_seconds)
         item.charged_tokens = 0.0
 
     def cancel(self, item: QueuedRequest, event: ev.AttemptFailed) -> list[ev.Action]:
-        """Stop what an upstream may still do for an attempt that failed."""
+        """Cancel a failed attempt that may still run at its upstream."""
         upstream = self._pool.upstreams.get(item.upstream)
         if upstream is None or event.outcome.proves_not_run:
             return []
@@ -78,12 +81,12 @@
         ]
 
     def drop(self, item: QueuedRequest, now_seconds: float) -> list[ev.Action]:
-        """Take a request out of its line, or cancel its attempt."""
+        """Remove a request from its queue, or cancel its attempt."""
         self.remove(item)
         attempt_id = item.lifecycle.attempt_id
         if not attempt_id:
             self._queue.remove(item)
-            self._uncount(item)
+            self._refund(item)
             return []
         upstream = self._pool.upstreams.get(item.upstream)
         self.release(item, attempt_id, now_seconds)
@@ -100,23 +103,23 @@
         peer: str = "",
         retry_after_seconds: float | None = None,
     ) -> ev.Refuse:
-        """Refuse a request that is in no line; its caller is answered at once."""
+        """Refuse a request that is not queued; its caller is answered at once."""
         item.lifecycle.end()
         self.remove(item)
-        self._uncount(item)
+        self._refund(item)
         return self._refusals.make(item, reason, now_seconds, peer, retry_after_seconds)
 
-    def give_up(
+    def abort(
         self,
         item: QueuedRequest,
         reason: str,
         now_seconds: float,
         retry_after_seconds: float | None = None,
     ) -> list[ev.Action]:
-        """Refuse a request that waits or is under way, and cancel its attempt."""
+        """Refuse a request that is queued or under way, and cancel its attempt."""
         dropped = self.drop(item, now_seconds)
         if dropped and item.lifecycle.run_state < RunState.MAYBE_RUN:
-            # Under way and unanswered: nobody knows whether it ran.
+            # It was under way without an answer, so it may have run.
             item.lifecycle.run_state = RunState.MAYBE_RUN
         refusal = self.refuse(
             item, reason, now_seconds, retry_after_seconds=retry_after_seconds
@@ -126,24 +129,24 @@
     def refuse_unsendable(
         self, forecasts: Forecasts, now_seconds: float
     ) -> list[ev.Action]:
-        """Refuse what waits and, by its forecast, can't be sent in time."""
+        """Refuse queued requests that, by their forecast, can't be sent in time."""
         actions: list[ev.Action] = []
         before: Counter[str] = Counter()
         for item in self:
             if not item.lifecycle.is_waiting or item.lifecycle.has_delivered:
                 continue
             service = item.arrival.service
-            postponed = forecasts.postpone(item, before[service], now_seconds)
+            postponed = forecasts.find_postponement(item, before[service], now_seconds)
             if postponed is None:
                 before[service] += 1
             else:
-                actions += self.give_up(
+                actions += self.abort(
                     item, postponed.reason, now_seconds, postponed.retry_after_seconds
                 )
         return actions
 
-    def _uncount(self, item: QueuedRequest) -> None:
-        """Have a request that surely did not run count no more towards limits."""
+    def _refund(self, item: QueuedRequest) -> None:
+        """Refund the limit charges of a request that certainly did not run."""
         if item.lifecycle.run_state <= RunState.REFUSED:
-            self._pool.limits.give_back(item.counted)
+            self._pool.limits.refund(item.counted)
             item.counted = []
--- a/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_own_summary.py
@@ -1,16 +1,16 @@
-"""What one host tells its peers of itself: use, open work, placements, what is down."""
+"""The summary that a host publishes: usage, load, placements and failed upstreams."""
 
 from collections.abc import Mapping
 
 from rampwick_schema import Summary, UpstreamUsage, WaitingCount, WorkspaceUsage
 
 from ._health import HealthState
-from ._pool import MAX_DOWN_TOLD_RATIO, Pool
+from ._pool import MAX_REPORTED_DOWN_RATIO, Pool
 
-#: Time after its first failure for which peers are told that an upstream is down, and
-#: the failures in a row from which on they are: one lost packet shows nothing.
-DOWN_TOLD_SECONDS = 1.5
-DOWN_TOLD_FAILURES = 2
+#: Time after its first failure for which an upstream is reported as down, and the
+#: minimum number of consecutive failures, since a single one may be a lost packet.
+DOWN_REPORT_SECONDS = 1.5
+MIN_DOWN_FAILURES = 2
 
 
 def own_summary(
@@ -21,10 +21,10 @@
     is_leaving: bool,
     now_seconds: float,
 ) -> Summary:
-    """Return what peers are told.
+    """Return the summary of this host for its peers.
 
-    ``waiting`` counts requests by workspace and service. Updates of placements are
-    told once.
+    ``waiting`` counts requests by workspace and service. Each placement is included in
+    one summary only.
     """
     return Summary(
         sequence=sequence,
@@ -32,36 +32,36 @@
         host_list_version=pool.upstreams.list_version,
         is_leaving=is_leaving,
         workspaces=_workspace_usages(pool, now_seconds),
-        upstreams=[*_upstream_usages(pool), *pool.moves.usages()],
+        upstreams=[*_upstream_usages(pool), *pool.cache_transfers.usages()],
         placed=pool.caches.take_placed(),
-        down=_found_down(pool, now_seconds),
+        down=_reported_down(pool, now_seconds),
         waiting=[
             WaitingCount(path, service, count)
             for (path, service), count in sorted(waiting.items())
         ],
-        limits=pool.limits.words(now_seconds),
+        limits=pool.limits.usages(now_seconds),
         limits_known_seconds=pool.limits.known_seconds(now_seconds),
     )
 
 
-def _found_down(pool: Pool, now_seconds: float) -> list[str]:
+def _reported_down(pool: Pool, now_seconds: float) -> list[str]:
     down = [
         upstream
         for upstream in pool.upstreams
         if upstream.health.state is HealthState.DOWN
     ]
-    if len(down) > MAX_DOWN_TOLD_RATIO * len(pool.upstreams):
+    if len(down) > MAX_REPORTED_DOWN_RATIO * len(pool.upstreams):
         return []
     return [
         upstream.name
         for upstream in down
-        if upstream.health.failures_count >= DOWN_TOLD_FAILURES
-        and now_seconds - upstream.health.down_at_seconds < DOWN_TOLD_SECONDS
+        if upstream.health.failures_count >= MIN_DOWN_FAILURES
+        and now_seconds - upstream.health.down_at_seconds < DOWN_REPORT_SECONDS
     ]
 
 
 def _workspace_usages(pool: Pool, now_seconds: float) -> list[WorkspaceUsage]:
-    used = pool.ledger.own_use(now_seconds)
+    used = pool.ledger.own_usage(now_seconds)
     return [WorkspaceUsage(path, round(used[path])) for path in sorted(used)]
 
 
@@ -69,7 +69,7 @@
     return [
         UpstreamUsage(
             upstream=upstream.name,
-            incarnation=upstream.life_name,
+            incarnation=upstream.generation_name,
             running_count=len(upstream.own_attempts),
             waiting_tokens=upstream.own_waiting_tokens,
         )
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -1,4 +1,4 @@
-"""When a request is given up, and what its caller is told."""
+"""Refusals: when an open request is refused, and the content of the refusal."""
 
 import math
 
@@ -19,20 +19,20 @@
     PAUSED,
 )
 from ._request import RunState
+from ._request_quarantine import RequestQuarantine
 from ._retry import RetryBudgets
-from ._suspects import Suspects
 
-#: Wait for an upstream to come back, or for a retry, before a request is given up.
-STRANDED_SECONDS = 2.0
+#: Time for which a request may wait without a usable upstream or retry budget.
+MAX_BLOCKED_SECONDS = 2.0
 
-#: The same for a stream that broke midway. Its caller has a part of it and bears a
-#: longer pause, about what an upstream needs to come back; after that it asks again
-#: itself. Without a bound callers were held to their deadlines, 4 s and more.
-MIDWAY_SECONDS = 4.0
+#: The same for a stream that broke after its first piece. Its caller accepts a longer
+#: pause, about the time that an upstream needs to restart, and then retries itself.
+#: Without a bound callers had to wait until their deadlines, 4 s and more.
+MAX_BLOCKED_STREAM_SECONDS = 4.0
 
 
 class Refusals:
-    """Finds the requests without hope and says why; it shares the scheduler's parts."""
+    """Decides on refusals and builds them; shares the scheduler's components."""
 
     def __init__(
         self,
@@ -41,26 +41,28 @@
         queue: WaitingQueue,
         admission: Admission,
         budgets: RetryBudgets,
-        suspects: Suspects,
+        quarantine: RequestQuarantine,
     ) -> None:
         self._settings = settings
         self._pool = pool
         self._queue = queue
         self._admission = admission
         self._budgets = budgets
-        self._suspects = suspects
+        self._request_quarantine = quarantine
 
     def find_reason(self, item: QueuedRequest, now_seconds: float) -> str:
-        """Return why a request without answer is to be given up now, or nothing."""
+        """Return why an unanswered request is to be refused now, or ``""``."""
         if item.lifecycle.has_delivered and item.lifecycle.attempt_id:
             return ""
         if now_seconds >= item.arrival.deadline_seconds:
             return DEADLINE_PASSED
-        stranded_at_seconds = item.stranded_at_seconds
-        if stranded_at_seconds is None:
+        blocked_since_seconds = item.blocked_since_seconds
+        if blocked_since_seconds is None:
             return ""
-        is_stranded = now_seconds - stranded_at_seconds > self._hold_seconds(item)
-        return item.stranded_reason if is_stranded else ""
+        is_blocked_too_long = (
+            now_seconds - blocked_since_seconds > self._max_blocked_seconds(item)
+        )
+        return item.blocked_reason if is_blocked_too_long else ""
 
     def make(
         self,
@@ -70,14 +72,15 @@
         peer: str,
         retry_after_seconds: float | None = None,
     ) -> ev.Refuse:
-        """Return the refusal of a request that is in no line any more.
+        """Return the refusal of a request that is no longer queued.
 
-        ``retry_after_seconds`` stands where the reason tells when to come back.
+        ``retry_after_seconds`` is given if the reason determines it.
         """
         if retry_after_seconds is None and reason != ENDS_UPSTREAMS:
             retry_after_seconds = self._retry_after_seconds(item, now_seconds)
         if reason == OVER_LIMIT:
-            # It hangs on no upstream, and a hot workspace is refused by the thousand.
+            # A limit does not depend on upstreams, and describing them is too expensive
+            # if thousands of requests of one workspace are refused.
             evidence = describe_limit(self._pool.limits.state(peer, now_seconds))
         else:
             evidence = self._describe(item, now_seconds)
@@ -96,35 +99,36 @@
         )
         return describe_refusal(
             item,
-            self._suspects.describe(item),
+            self._request_quarantine.describe(item),
             self._pool,
             len(self._queue),
-            budget.saved,
+            budget.balance,
             now_seconds,
         )
 
     def _retry_after_seconds(
         self, item: QueuedRequest, now_seconds: float
     ) -> float | None:
-        may_ask_again = (
+        may_resend = (
             item.arrival.is_repeatable or item.lifecycle.run_state <= RunState.REFUSED
         )
-        if not may_ask_again:
+        if not may_resend:
             return None
         return self._admission.retry_after_seconds(item.arrival.workspace, now_seconds)
 
-    def _hold_seconds(self, item: QueuedRequest) -> float:
-        """Return how long a request waits while no upstream can take it."""
+    def _max_blocked_seconds(self, item: QueuedRequest) -> float:
+        """Return how long a request may wait while no upstream is usable for it."""
         if item.lifecycle.has_delivered:
-            return MIDWAY_SECONDS
+            return MAX_BLOCKED_STREAM_SECONDS
         target_seconds = item.arrival.latency_target_seconds
-        if item.stranded_reason in (AT_RATE, PAUSED):
-            # When it can go is foreseen; it is refused as soon as that is too late.
+        if item.blocked_reason in (AT_RATE, PAUSED):
+            # The forecast refuses it as soon as it can't be sent in time.
             return math.inf
-        if target_seconds is None and item.stranded_reason == NO_RETRY_LEFT:
-            # Its caller named nothing but a deadline, and retries are earned by time.
+        if target_seconds is None and item.blocked_reason == NO_RETRY_LEFT:
+            # The caller set only a deadline, and the budget refills with time.
             return math.inf
-        if target_seconds is None or item.stranded_reason == KEPT_APART:
-            # An upstream that is free of other suspects is a matter of one answer.
-            return STRANDED_SECONDS
+        if target_seconds is None or item.blocked_reason == KEPT_APART:
+            # An upstream without another suspected request is available as soon as one
+            # such request is answered.
+            return MAX_BLOCKED_SECONDS
         return target_seconds * self._settings.hold_ratio
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -1,9 +1,9 @@
-"""The decisions of one host: events in, actions out.
+"""The request scheduler of one host, which turns events into actions.
 
-The scheduler owns the queue and the state of every request; what it knows of upstreams
-and peers is in its pool, and its dispatcher chooses who goes where. It does no I/O and
-reads no clock. Whoever drives it hands it each event with the present time and carries
-out the actions it returns, in their order.
+The scheduler owns the queue and the state of every request. Its pool holds the state of
+upstreams and peers, and its dispatcher assigns requests to upstreams. It does no I/O
+and reads no clock: the caller passes each event with the current time and performs the
+returned actions in order.
 """
 
 from collections.abc import Callable
@@ -13,24 +13,23 @@
 
 from . import _events as ev
 from ._admission import Admission
-from ._blame import Suspicion
-from ._departures import Incarnation
+from ._crash_attribution import QuarantineState
 from ._dispatcher import (
     ANSWER_TOKEN_PRICE,
     AnswerEstimates,
+    DeadlineUnreachable,
     Dispatcher,
-    Hopeless,
 )
 from ._errors import LifecycleError
 from ._forecasts import Forecasts
 from ._intake import Intake
-from ._knowledge import CacheKnowledge
-from ._limit_book import LimitBook
+from ._limit_tracker import LimitTracker
 from ._membership import Membership
 from ._open_requests import OpenRequests
 from ._own_summary import own_summary
-from ._placement import Placement, PricedKnowledge
+from ._placement import CacheAwarePlacement, Placement
 from ._pool import Pool, PoolEvent
+from ._prefix_cache_index import PrefixCacheIndex
 from ._queue import QueuedRequest, WaitingQueue
 from ._reasons import (
     DEADLINE_UNREACHABLE,
@@ -40,17 +39,18 @@
 )
 from ._refusals import Refusals
 from ._request import Outcome, RequestLifecycle
+from ._request_quarantine import RequestQuarantine
 from ._retry import RetryBudgets
-from ._shares import ShareLedger
-from ._suspects import Suspects
+from ._shares import UsageLedger
+from ._shutdown_announcements import Incarnation
 from ._upstreams import Upstream, UpstreamTable
 
-#: Events after which nothing that waits can go any sooner; ticks come anyway.
-QUIET_EVENTS = (ev.AttemptAccepted, ev.LoadReported, ev.CacheSeen)
+#: Events that can't make a waiting request dispatchable; the next tick follows anyway.
+NON_DISPATCHING_EVENTS = (ev.AttemptAccepted, ev.LoadReported, ev.CacheReported)
 
 
 class Scheduler:
-    """State machine of one host's decisions."""
+    """State machine that queues, dispatches, retries and refuses requests."""
 
     def __init__(
         self,
@@ -63,8 +63,10 @@
         self.admission = Admission(self.queue, self.ledger, self.peers)
         self.budgets = RetryBudgets(settings.retry)
         self._answers = AnswerEstimates()
-        self.suspects = Suspects(self.pool.notices)
-        self._forecasts = Forecasts(self.pool.upstreams, self.pool.turns, self.queue)
+        self.quarantine = RequestQuarantine(self.pool.state_changes)
+        self._forecasts = Forecasts(
+            self.pool.upstreams, self.pool.rate_limiter, self.queue
+        )
         self._dispatcher = Dispatcher(
             settings.placement,
             self.pool,
@@ -73,8 +75,8 @@
             self.budgets,
             self._answers,
             placement
-            or PricedKnowledge(self.knowledge, settings.placement.import_price),
-            self.suspects,
+            or CacheAwarePlacement(self.cache_index, settings.placement.import_price),
+            self.quarantine,
             self._forecasts,
         )
         self._intake = Intake(
@@ -83,7 +85,7 @@
             self.admission,
             self.limits,
             self._answers,
-            self.suspects,
+            self.quarantine,
             self._forecasts,
         )
         self._refusals = Refusals(
@@ -92,50 +94,50 @@
             self.queue,
             self.admission,
             self.budgets,
-            self.suspects,
+            self.quarantine,
         )
         self._requests = OpenRequests(
-            self.pool, self.queue, self.admission, self._refusals, self.suspects
+            self.pool, self.queue, self.admission, self._refusals, self.quarantine
         )
         self._handlers: dict[type, Callable[[Any, float], list[ev.Action]]] = {
             ev.RequestArrived: self._on_arrived,
             ev.AttemptAccepted: self._on_accepted,
             ev.AttemptDelivered: self._on_delivered,
             ev.AttemptFailed: self._on_failed,
-            ev.AttemptSilent: self._on_silent,
+            ev.AttemptStalled: self._on_stalled,
             ev.AttemptDone: self._on_done,
             ev.RequestCancelled: self._on_cancelled,
             ev.LoadReported: self._on_reported,
             ev.ProbeFailed: self._on_probe_failed,
             ev.HostListRead: self._on_pool_event,
             ev.PeerSummaryReceived: self._on_pool_event,
-            ev.PeerGone: self._on_pool_event,
-            ev.WeightsSeen: self._on_pool_event,
-            ev.LoadOrdered: self._on_pool_event,
-            ev.TargetsRead: self._on_pool_event,
-            ev.CacheSeen: self._on_pool_event,
-            ev.RateNamed: self._on_pool_event,
+            ev.PeerRemoved: self._on_pool_event,
+            ev.WeightsReported: self._on_pool_event,
+            ev.WeightsLoadOrdered: self._on_pool_event,
+            ev.TargetsReceived: self._on_pool_event,
+            ev.CacheReported: self._on_pool_event,
+            ev.RateLimitReported: self._on_pool_event,
             ev.RateLimitUpdateReceived: self._on_pool_event,
             ev.UpstreamSignalled: self._on_pool_event,
             ev.LeavingUpdateReceived: self._on_pool_event,
-            ev.NeighboursSeen: self._on_pool_event,
+            ev.PeersChanged: self._on_pool_event,
             ev.CrashUpdateReceived: self._on_crashes_received,
-            ev.TreeInForce: self._on_tree,
+            ev.TreeChanged: self._on_tree_changed,
             ev.Tick: self._on_tick,
         }
 
     def handle(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
-        """Take one event; return what is to be done, in order."""
+        """Process one event; return the actions to perform, in order."""
         actions = self._handlers[type(event)](event, now_seconds)
-        if self.suspects.judge(now_seconds):
-            actions += self._stop_suspects(now_seconds)
-        self.admission.note_queue(now_seconds)
-        actions += self._fill(event, now_seconds)
+        if self.quarantine.attribute_crashes(now_seconds):
+            actions += self._refuse_quarantined(now_seconds)
+        self.admission.note_backlog(now_seconds)
+        actions += self._dispatch_waiting(event, now_seconds)
         return actions
 
     @property
     def upstreams(self) -> UpstreamTable:
-        """The upstreams that may be given work."""
+        """The upstreams that may receive requests."""
         return self.pool.upstreams
 
     @property
@@ -144,39 +146,39 @@
         return self.pool.peers
 
     @property
-    def ledger(self) -> ShareLedger:
-        """Use of the pool by workspace."""
+    def ledger(self) -> UsageLedger:
+        """Usage of the pool by workspace."""
         return self.pool.ledger
 
     @property
-    def limits(self) -> LimitBook:
-        """Limits in tokens, kept with the other hosts."""
+    def limits(self) -> LimitTracker:
+        """Token limits, enforced together with the other hosts."""
         return self.pool.limits
 
     @property
-    def knowledge(self) -> CacheKnowledge:
-        """What the runners' caches are believed to hold."""
-        return self.pool.knowledge
+    def cache_index(self) -> PrefixCacheIndex:
+        """Estimated contents of the runners' caches."""
+        return self.pool.cache_index
 
     def running_count(self, upstream: Upstream) -> int:
-        """Return the attempts open at an upstream, those of peers included."""
-        load = self.peers.load_of(upstream.name, upstream.life_name)
+        """Return the number of open attempts at an upstream, including peers'."""
+        load = self.peers.load_of(upstream.name, upstream.generation_name)
         return len(upstream.own_attempts) + load.running_count
 
     def lifecycle(self, request_id: str) -> RequestLifecycle | None:
-        """Return the state of a request that has no final answer yet."""
+        """Return the lifecycle of a request that has no final answer yet."""
         item = self._requests.get(request_id)
         return item.lifecycle if item else None
 
     @property
     def open_count(self) -> int:
-        """Requests without a final answer."""
+        """Number of requests without a final answer."""
         return len(self._requests)
 
     def summary(
         self, sequence: int, revision: int, is_leaving: bool, now_seconds: float
     ) -> Summary:
-        """Return what peers are told; updates of placements are sent once."""
+        """Return the summary for peers; it includes each placement update only once."""
         return own_summary(
             self.pool,
             self.queue.service_counts(),
@@ -207,7 +209,7 @@
                     rejection.retry_after_seconds,
                 )
             ]
-        victim = self._intake.make_way(item)
+        victim = self._intake.evict_for(item)
         if victim is not item:
             self.queue.add(item)
         if victim is None:
@@ -219,7 +221,7 @@
     ) -> list[ev.Action]:
         item = self._requests.get(event.request_id)
         if item is not None and item.lifecycle.accept(event.attempt_id):
-            self.suspects.note_live(
+            self.quarantine.note_live(
                 item.upstream, item.incarnation, item.sent_at_seconds
             )
         return []
@@ -230,9 +232,9 @@
         item = self._requests.get(event.request_id)
         if item is not None and item.lifecycle.deliver(event.attempt_id):
             upstream = self.upstreams.get(item.upstream)
-            self.pool.moves.end(event.attempt_id)
+            self.pool.cache_transfers.end(event.attempt_id)
             if upstream is not None:
-                speed = self.upstreams.reading_speed(upstream.model)
+                speed = self.upstreams.prefill_speed(upstream.model)
                 upstream.note_first_token(event.attempt_id, speed, now_seconds)
         return []
 
@@ -243,14 +245,14 @@
         if item is None or not item.lifecycle.fail(event.attempt_id, event.outcome):
             return []
         peer = item.upstream
-        item.tried.add(peer)
-        if event.was_closed and self.upstreams.has_ended(peer, now_seconds):
-            self.suspects.note_end(item, now_seconds)
+        item.tried_upstreams.add(peer)
+        if event.was_closed and self.upstreams.has_crashed(peer, now_seconds):
+            self.quarantine.note_crash(item, now_seconds)
         actions = self._requests.cancel(item, event)
         self._requests.release(item, event.attempt_id, now_seconds)
         failed = Incarnation(peer, item.incarnation)
         self.pool.note_failure(failed, event, now_seconds)
-        self._requests.settle(item, 0.0, now_seconds)
+        self._requests.charge_actual(item, 0.0, now_seconds)
         if not item.lifecycle.may_retry(now_seconds):
             refusal = self._requests.refuse(
                 item, UPSTREAM_FAILED, now_seconds, peer=peer
@@ -266,20 +268,22 @@
             return []
         upstream = self.upstreams.get(item.upstream)
         self._requests.release(item, event.attempt_id, now_seconds)
-        self.suspects.note_answered(item, now_seconds)
-        if upstream is not None and event.connection_rest_seconds > 0.0:
-            upstream.keep_connection(now_seconds + event.connection_rest_seconds)
+        self.quarantine.note_answered(item, now_seconds)
+        if upstream is not None and event.connection_idle_seconds > 0.0:
+            upstream.note_idle_connection(now_seconds + event.connection_idle_seconds)
         self._requests.remove(item)
         chain = item.arrival.chain
         if chain is None:
             return []
         missing = max(0, event.prompt_tokens - event.cached_tokens)
-        self._requests.settle(
+        self._requests.charge_actual(
             item, missing + ANSWER_TOKEN_PRICE * event.answer_tokens, now_seconds
         )
-        self._answers.learn(item.workspace_path, event.answer_tokens)
-        if upstream is not None and upstream.life is not None:
-            self.pool.caches.note_answer(upstream.name, upstream.life, chain, event)
+        self._answers.record(item.workspace_path, event.answer_tokens)
+        if upstream is not None and upstream.cache_generation is not None:
+            self.pool.caches.note_answer(
+                upstream.name, upstream.cache_generation, chain, event
+            )
         return []
 
     def _on_cancelled(
@@ -290,19 +294,19 @@
             return []
         return self._requests.drop(item, now_seconds)
 
-    def _on_silent(
-        self, event: ev.AttemptSilent, now_seconds: float
+    def _on_stalled(
+        self, event: ev.AttemptStalled, now_seconds: float
     ) -> list[ev.Action]:
         item = self._requests.get(event.request_id)
         if item is not None and item.lifecycle.attempt_id == event.attempt_id:
-            self.pool.note_silent(item.upstream, now_seconds)
+            self.pool.note_stalled_upstream(item.upstream, now_seconds)
         return []
 
     def _on_probe_failed(
         self, event: ev.ProbeFailed, now_seconds: float
     ) -> list[ev.Action]:
-        """Take an upstream down, and what may be repeated away from it."""
-        self.pool.hear(event, now_seconds)
+        """Mark an upstream as down, and fail its attempts that may be repeated."""
+        self.pool.handle(event, now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
             if item.upstream == event.upstream and item.lifecycle.is_repeatable:
@@ -315,42 +319,44 @@
                 actions += self._on_failed(failed, now_seconds)
         return actions
 
-    # Reports of others, and time.
+    # Upstreams, peers and time.
 
     def _on_pool_event(self, event: PoolEvent, now_seconds: float) -> list[ev.Action]:
-        self.pool.hear(event, now_seconds)
+        self.pool.handle(event, now_seconds)
         return []
 
     def _on_reported(
         self, event: ev.LoadReported, now_seconds: float
     ) -> list[ev.Action]:
-        self.pool.hear(event, now_seconds)
+        self.pool.handle(event, now_seconds)
         upstream = self.upstreams.get(event.upstream)
         if upstream is not None:
-            self.suspects.note_live(
+            self.quarantine.note_live(
                 upstream.name, upstream.incarnation, upstream.probed_at_seconds
             )
         return []
 
-    # Requests that upstreams end under.
+    # Requests under which upstreams crash.
 
     def _on_crashes_received(
         self, event: ev.CrashUpdateReceived, now_seconds: float
     ) -> list[ev.Action]:
-        if self.suspects.hear(event.update, now_seconds):
-            return self._stop_suspects(now_seconds)
+        if self.quarantine.receive(event.update, now_seconds):
+            return self._refuse_quarantined(now_seconds)
         return []
 
-    def _stop_suspects(self, now_seconds: float) -> list[ev.Action]:
-        """Refuse what is stopped, be it waiting or under way."""
+    def _refuse_quarantined(self, now_seconds: float) -> list[ev.Action]:
+        """Refuse quarantined requests, queued or under way."""
         actions: list[ev.Action] = []
         for item in self._requests:
-            if self.suspects.suspicion(item) is Suspicion.STOPPED:
-                self.suspects.note_refused(item, now_seconds)
-                actions += self._requests.give_up(item, ENDS_UPSTREAMS, now_seconds)
+            if self.quarantine.quarantine_state(item) is QuarantineState.STOPPED:
+                self.quarantine.note_refused(item, now_seconds)
+                actions += self._requests.abort(item, ENDS_UPSTREAMS, now_seconds)
         return actions
 
-    def _on_tree(self, event: ev.TreeInForce, now_seconds: float) -> list[ev.Action]:
+    def _on_tree_changed(
+        self, event: ev.TreeChanged, now_seconds: float
+    ) -> list[ev.Action]:
         self.admission.workspaces = event.view.workspaces
         self.limits.apply(event.view.workspaces, now_seconds)
         self.pool.imports.apply(event.view.routes)
@@ -360,32 +366,32 @@
 
     def _on_tick(self, event: ev.Tick, now_seconds: float) -> list[ev.Action]:
         self.pool.expire_peers(now_seconds)
-        self.pool.look_at_limits(now_seconds)
-        self.pool.end_pauses(now_seconds)
-        self.suspects.book.sweep(now_seconds)
+        self.pool.update_limit_states(now_seconds)
+        self.pool.expire_pauses(now_seconds)
+        self.quarantine.tracker.sweep(now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
-            actions += self._check_hope(item, now_seconds)
+            actions += self._abort_if_due(item, now_seconds)
         if self._forecasts.is_needed:
             actions += self._requests.refuse_unsendable(self._forecasts, now_seconds)
         return actions
 
-    def _check_hope(self, item: QueuedRequest, now_seconds: float) -> list[ev.Action]:
+    def _abort_if_due(self, item: QueuedRequest, now_seconds: float) -> list[ev.Action]:
         reason = self._refusals.find_reason(item, now_seconds)
-        return self._requests.give_up(item, reason, now_seconds) if reason else []
+        return self._requests.abort(item, reason, now_seconds) if reason else []
 
-    def _fill(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
-        """Dispatch what may go now, and refuse what can't be served in time."""
-        if not len(self.queue) or isinstance(event, QUIET_EVENTS):
+    def _dispatch_waiting(self, event: ev.Event, now_seconds: float) -> list[ev.Action]:
+        """Dispatch requests that may be sent now; refuse those that are too late."""
+        if not len(self.queue) or isinstance(event, NON_DISPATCHING_EVENTS):
             return []
-        # What waited before an arrival was found blocked then; only its own line
-        # can have something new.
+        # Requests that waited before an arrival could not be dispatched then, and the
+        # arrival changes only the queue of its own workspace.
         only_path = ""
         if isinstance(event, ev.RequestArrived):
             only_path = event.workspace.path
         actions: list[ev.Action] = []
         while decision := self._dispatcher.next_decision(only_path, now_seconds):
-            if isinstance(decision, Hopeless):
+            if isinstance(decision, DeadlineUnreachable):
                 refusal = self._requests.refuse(
                     decision.item, DEADLINE_UNREACHABLE, now_seconds
                 )
--- a/packages/rampwick-policy/src/rampwick_policy/_hall_digest.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
@@ -1,4 +1,4 @@
-"""What many hosts say, put together by a relay for those that don't hear them."""
+"""Aggregation of host summaries by a relay."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -17,52 +17,52 @@
 
 from ._configuration import TreeVersion
 
-#: Placements of a hall that wait for the next sum; older ones give way, since a home
-#: is computed for what nobody is known to hold.
+#: Maximum number of placements of a hall that wait for the next sum. Older ones are
+#: dropped, since a home is computed for prefixes without a known holder.
 MAX_PLACED = 512
 
 
 @attrs.define(repr=False)
-class SummaryDigest(Shown):
-    """Collects what is told only once, and adds up what stands."""
+class SummaryAggregator(Shown):
+    """Collects placements, which are sent once, and sums up current values."""
 
     _placed: list[PlacedPrefix] = attrs.field(factory=list)
 
     def take(self, summary: Summary) -> None:
-        """Take a summary of one host."""
+        """Collect the placements in the summary of one host."""
         self._placed += summary.placed
         del self._placed[:-MAX_PLACED]
 
     def merge(self, summaries: Iterable[Summary], sequence: int) -> Summary:
-        """Return the sum of the summaries of a hall's hosts."""
-        known = list(summaries)
+        """Return the sum of the summaries of the hosts of a hall."""
+        host_summaries = list(summaries)
         placed, self._placed = self._placed, []
-        version = _newest_version(known)
+        version = _newest_version(host_summaries)
         return Summary(
             sequence=sequence,
             revision=version.revision,
             host_list_version=max(
-                (item.host_list_version for item in known), default=-1
+                (item.host_list_version for item in host_summaries), default=-1
             ),
             is_leaving=False,
-            workspaces=_sum_workspaces(known),
-            upstreams=_sum_upstreams(known),
+            workspaces=_sum_workspaces(host_summaries),
+            upstreams=_sum_upstreams(host_summaries),
             placed=placed,
-            down=sorted({name for item in known for name in item.down}),
-            hosts_count=max(1, sum(item.hosts_count for item in known)),
-            waiting=_sum_waiting(known),
-            limits=sum_limits(known),
+            down=sorted({name for item in host_summaries for name in item.down}),
+            hosts_count=max(1, sum(item.hosts_count for item in host_summaries)),
+            waiting=_sum_waiting(host_summaries),
+            limits=sum_limits(host_summaries),
             limits_known_seconds=max(
-                (item.limits_known_seconds for item in known), default=0.0
+                (item.limits_known_seconds for item in host_summaries), default=0.0
             ),
             store_era=version.store_era,
         )
 
 
-def without(total: Summary, part: Summary) -> Summary:
-    """Return a sum of summaries without one that is part of it.
+def subtract_summary(total: Summary, part: Summary) -> Summary:
+    """Return a sum of summaries minus one of them.
 
-    A host takes its own word out of what its relay tells of all.
+    A host subtracts its own summary from the sum that its relay sends.
     """
     used = {item.workspace: item.used_tokens for item in part.workspaces}
     loads = {(item.upstream, item.incarnation): item for item in part.upstreams}
@@ -80,7 +80,7 @@
             for item in total.workspaces
         ],
         upstreams=[
-            _less(item, loads.get((item.upstream, item.incarnation)))
+            _subtract_load(item, loads.get((item.upstream, item.incarnation)))
             for item in total.upstreams
         ],
         waiting=[
@@ -96,7 +96,7 @@
         ],
         hosts_count=max(1, total.hosts_count - part.hosts_count),
         limits=[
-            _plus(item, own_limits[item.path], sign=-1)
+            _add_usage(item, own_limits[item.path], sign=-1)
             if item.path in own_limits
             else item
             for item in total.limits
@@ -105,7 +105,7 @@
 
 
 def without_limits(summary: Summary) -> Summary:
-    """Return what hosts say that may be gone: they neither send nor are there."""
+    """Return the summary of hosts that may be dead, without limits and host count."""
     return attrs.evolve(summary, limits=[], hosts_count=1, limits_known_seconds=0.0)
 
 
@@ -118,7 +118,7 @@
     return newest
 
 
-def _less(total: UpstreamUsage, part: UpstreamUsage | None) -> UpstreamUsage:
+def _subtract_load(total: UpstreamUsage, part: UpstreamUsage | None) -> UpstreamUsage:
     if part is None:
         return total
     return UpstreamUsage(
@@ -146,16 +146,18 @@
 
 
 def sum_limits(summaries: Iterable[Summary]) -> list[LimitUsage]:
-    """Return what hosts say under each limit, added up."""
+    """Return the usage of each limit, summed over all summaries."""
     sums: dict[str, LimitUsage] = {}
     for summary in summaries:
         for usage in summary.limits:
-            known = sums.get(usage.path)
-            sums[usage.path] = usage if known is None else _plus(known, usage)
+            previous = sums.get(usage.path)
+            sums[usage.path] = (
+                usage if previous is None else _add_usage(previous, usage)
+            )
     return [sums[path] for path in sorted(sums)]
 
 
-def _plus(usage: LimitUsage, other: LimitUsage, sign: int = 1) -> LimitUsage:
+def _add_usage(usage: LimitUsage, other: LimitUsage, sign: int = 1) -> LimitUsage:
     return LimitUsage(
         usage.path,
         max(0, usage.sent_tokens + sign * other.sent_tokens),
@@ -169,12 +171,12 @@
     for summary in summaries:
         for usage in summary.upstreams:
             key = (usage.upstream, usage.incarnation)
-            known = sums.get(key)
-            if known is not None:
+            previous = sums.get(key)
+            if previous is not None:
                 usage = attrs.evolve(
                     usage,
-                    running_count=usage.running_count + known.running_count,
-                    waiting_tokens=usage.waiting_tokens + known.waiting_tokens,
+                    running_count=usage.running_count + previous.running_count,
+                    waiting_tokens=usage.waiting_tokens + previous.waiting_tokens,
                 )
             sums[key] = usage
     return [sums[key] for key in sorted(sums)]
--- a/packages/rampwick-router/src/rampwick_router/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/__init__.py
@@ -6,15 +6,15 @@
     run_daemon as run_daemon,
 )
 from ._dialects import (
-    AnswerFacts as AnswerFacts,
     AttemptTerms as AttemptTerms,
     CacheEvent as CacheEvent,
     CacheEvents as CacheEvents,
     ControlRequest as ControlRequest,
     Dialects as Dialects,
-    ErrorAnswer as ErrorAnswer,
+    ErrorResponse as ErrorResponse,
     RawCall as RawCall,
     RequestRate as RequestRate,
+    ResponseInfo as ResponseInfo,
     RoutedCall as RoutedCall,
     UpstreamSignals as UpstreamSignals,
     read_request_rate as read_request_rate,
@@ -22,11 +22,11 @@
 )
 from ._errors import CallerError as CallerError
 from ._headers import (
-    AnswerHead as AnswerHead,
     Header as Header,
-    asks_to_close as asks_to_close,
-    end_to_end as end_to_end,
+    ResponseHead as ResponseHead,
+    end_to_end_headers as end_to_end_headers,
     find as find,
+    has_connection_close as has_connection_close,
     keep_alive_seconds as keep_alive_seconds,
 )
 from ._integration import Integration as Integration
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: health, metrics, status, explanations, drain."""
+"""The operators' HTTP interface: health, metrics, status, explain, drain, profile."""
 
 import resource
 from collections.abc import Callable, Mapping
@@ -11,40 +11,46 @@
 from starlette.responses import JSONResponse, Response
 from starlette.routing import Route
 
-from rampwick_policy import Dispatch, LimitState, Scheduler, Suspicion, TurnState
+from rampwick_policy import (
+    Dispatch,
+    LimitState,
+    QuarantineState,
+    Scheduler,
+    UpstreamRateState,
+)
 
-from ._life import Life
-from ._logs import PartLogger
+from ._lifecycle import Lifecycle
+from ._logs import ComponentLogger
 from ._profile import MAX_PROFILE_SECONDS, Profiler
 from ._scheduler_task import Decision
 from .control import ConfigurationTask, HostListTask, RolloutController
-from .entry import Parts
+from .entry import EntryContext
 from .peers import RolesView
 
-log = PartLogger("admin")
+log = ComponentLogger("admin")
 
 
 class AdminApp:
-    """Builds the ASGI application towards operators."""
+    """Builds the ASGI application for operators."""
 
     def __init__(
         self,
-        parts: Parts,
-        life: Life,
+        context: EntryContext,
+        lifecycle: Lifecycle,
         configuration: ConfigurationTask,
         hosts: HostListTask,
-        steward: RolloutController,
+        rollout_controller: RolloutController,
         read_platform_calls: Callable[[], Mapping[str, int]],
         read_store_era: Callable[[], int],
         read_roles: Callable[[], RolesView],
         needs_configuration: bool,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._needs_configuration = needs_configuration
-        self._life = life
+        self._lifecycle = lifecycle
         self._configuration = configuration
         self._hosts = hosts
-        self._steward = steward
+        self._rollout_controller = rollout_controller
         self._read_platform_calls = read_platform_calls
         self._read_store_era = read_store_era
         self._read_roles = read_roles
@@ -59,139 +65,144 @@
                 Route("/drain", self._drain, methods=["POST"]),
                 Route("/profile", self._profile, methods=["POST"]),
                 Route("/suspects", self._list_suspects),
-                Route("/suspects/{fingerprint}", self._forget, methods=["DELETE"]),
+                Route(
+                    "/suspects/{fingerprint}", self._clear_suspect, methods=["DELETE"]
+                ),
             ]
         )
 
-        #: For a listener that tells a balancer no more than this.
+        #: Serves only the readiness check, on a listener for a load balancer.
         self.ready_app = Starlette(routes=[Route("/readyz", self._readyz)])
 
     async def _healthz(self, request: Request) -> Response:
         return Response("ok\n")
 
     async def _readyz(self, request: Request) -> Response:
-        if not self._life.is_ready:
+        if not self._lifecycle.is_ready:
             return Response("leaving\n", status_code=503)
-        if self._waits_for_configuration:
+        if self._lacks_configuration:
             return Response("no configuration yet\n", status_code=503)
         return Response("ready\n")
 
     @property
-    def _waits_for_configuration(self) -> bool:
-        # Without routes of its own a host can still answer what rampwick's own
-        # paths ask; where all requests hang on routes it could only refuse them.
-        return self._needs_configuration and not self._parts.follower.revision
+    def _lacks_configuration(self) -> bool:
+        # Where all requests are routed by the configuration, a host without one would
+        # reject them all. Rampwick's native paths can be served without routes.
+        return self._needs_configuration and not self._context.follower.revision
 
     async def _metrics(self, request: Request) -> Response:
-        metrics = self._parts.metrics
-        used = self._parts.scheduler.look(_read_use)
+        metrics = self._context.metrics
+        used = self._context.scheduler.run_query(_read_used_tokens)
         for path, tokens in used.items():
             metrics.used_tokens.labels(path).set(tokens)
-        for state in self._parts.scheduler.look(_read_limits):
+        for state in self._context.scheduler.run_query(_read_limits):
             metrics.limit_used.labels(state.path).set(state.used_tokens)
             metrics.limit_allowed.labels(state.path).set(state.allowed_tokens)
         metrics.request_rate.clear()
         metrics.own_request_rate.clear()
-        for turn in self._parts.scheduler.look(_read_turns):
-            metrics.request_rate.labels(turn.upstream).set(turn.requests_per_second)
-            own_rate = turn.own_requests_per_second
-            metrics.own_request_rate.labels(turn.upstream).set(own_rate)
-        for state, count in self._parts.scheduler.look(_count_suspects).items():
+        for rate in self._context.scheduler.run_query(_read_request_rates):
+            metrics.request_rate.labels(rate.upstream).set(rate.requests_per_second)
+            own_rate = rate.own_requests_per_second
+            metrics.own_request_rate.labels(rate.upstream).set(own_rate)
+        for state, count in self._context.scheduler.run_query(_count_suspects).items():
             metrics.suspects.labels(state).set(count)
-        open_count, waiting_count = self._parts.scheduler.look(_read_counts)
+        open_count, waiting_count = self._context.scheduler.run_query(_read_counts)
         metrics.open_requests.set(open_count)
         metrics.waiting_requests.set(waiting_count)
-        metrics.revision.set(self._parts.follower.revision)
+        metrics.revision.set(self._context.follower.revision)
         metrics.store_era.set(self._read_store_era())
-        metrics.targets_age.set(self._parts.scheduler.targets_age_seconds())
-        metrics.outdated_runners.set(self._steward.outdated_count())
+        metrics.targets_age.set(self._context.scheduler.targets_age_seconds())
+        metrics.outdated_runners.set(self._rollout_controller.outdated_count())
         for purpose, count in self._read_platform_calls().items():
             metrics.platform_calls.labels(purpose).set(count)
-        for reason, count in self._parts.channels.opened_counts().items():
+        for reason, count in self._context.channels.opened_counts().items():
             metrics.connections_opened.labels(reason).set(count)
         roles = self._read_roles()
         metrics.roles.labels("relay").set(roles.is_relay)
         metrics.roles.labels("reader").set(roles.is_reader)
-        metrics.roles.labels("steward").set(self._steward.is_holder)
+        metrics.roles.labels("steward").set(self._rollout_controller.is_holder)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         metrics.processor_seconds.set(usage.ru_utime + usage.ru_stime)
         body = generate_latest(metrics.registry)
         return Response(body, media_type=CONTENT_TYPE_LATEST)
 
     async def _status(self, request: Request) -> Response:
-        status = self._parts.scheduler.look(_read_status)
-        host = self._parts.settings.host
+        status = self._context.scheduler.run_query(_read_status)
+        host = self._context.settings.host
         status["host"] = attrs.asdict(host)
-        status["is_ready"] = self._life.is_ready
-        status["revision"] = self._parts.follower.revision
-        status["revision_era"] = self._parts.follower.version.store_era
-        status["revision_source"] = self._parts.follower.source
+        status["is_ready"] = self._lifecycle.is_ready
+        status["revision"] = self._context.follower.revision
+        status["revision_era"] = self._context.follower.version.store_era
+        status["revision_source"] = self._context.follower.source
         status["store_era"] = self._read_store_era()
         status["lease"] = self._describe_lease()
         status["roles"] = attrs.asdict(self._read_roles())
         status["platform_calls"] = dict(self._read_platform_calls())
-        status["connections_opened"] = self._parts.channels.opened_counts()
-        status["degraded"] = self._problems(status)
+        status["connections_opened"] = self._context.channels.opened_counts()
+        status["degraded"] = self._list_problems(status)
         return JSONResponse(status)
 
     def _describe_lease(self) -> dict[str, Any]:
-        lease = self._steward.lease
+        lease = self._rollout_controller.lease
         return {
             "holder": lease.record.holder if lease.record else "",
             "fencing_number": lease.version,
-            "is_held_here": self._steward.is_holder,
+            "is_held_here": self._rollout_controller.is_holder,
         }
 
-    def _problems(self, status: dict[str, Any]) -> list[str]:
-        found = []
+    def _list_problems(self, status: dict[str, Any]) -> list[str]:
+        problems = []
         if self._configuration.problem:
-            found.append(f"configuration: {self._configuration.problem}")
-        if self._parts.follower.problem:
-            found.append(f"configuration: {self._parts.follower.problem}")
+            problems.append(f"configuration: {self._configuration.problem}")
+        if self._context.follower.problem:
+            problems.append(f"configuration: {self._context.follower.problem}")
         if self._hosts.problem:
-            found.append(f"host list: {self._hosts.problem}")
-        claims_seconds = self._parts.claims.incomplete_seconds
+            problems.append(f"host list: {self._hosts.problem}")
+        claims_seconds = self._context.claims.recovery_remaining_seconds
         if claims_seconds > 0.0:
-            found.append(
-                f"claims: the store was restored, no key for {claims_seconds:.1f} s"
+            problems.append(
+                "claims: the store was restored, claims are rejected for "
+                f"{claims_seconds:.1f} s"
             )
-        if self._parts.follower.revision == 0:
-            found.append("configuration: no tree is known; callers are refused")
-        found += [
+        if self._context.follower.revision == 0:
+            problems.append("configuration: no tree is known; requests are rejected")
+        problems += [
             f"upstream {item['name']}: {item['health']}: {item['last_error']}"
             for item in status["upstreams"]
             if item["health"] != "up"
         ]
-        if self._parts.settings.peers.secret and not status["peers"]:
-            found.append("peers: none is heard; this host keeps to its part")
-        return found
+        if self._context.settings.peers.secret and not status["peers"]:
+            problems.append(
+                "peers: none is alive; this host limits itself to its share"
+            )
+        return problems
 
     async def _explain(self, request: Request) -> Response:
         request_id = request.path_params["request_id"]
-        decisions = self._parts.scheduler.decisions(request_id)
+        decisions = self._context.scheduler.decisions(request_id)
         if not decisions:
-            return JSONResponse({"error": "no such request of late"}, status_code=404)
+            return JSONResponse({"error": "no recent request"}, status_code=404)
         return JSONResponse([_describe_decision(item) for item in decisions])
 
     async def _drain(self, request: Request) -> Response:
-        self._life.begin_stop()
+        self._lifecycle.begin_stop()
         return Response(status_code=202)
 
     async def _list_suspects(self, request: Request) -> Response:
-        return JSONResponse(self._parts.scheduler.look(_read_suspects))
+        return JSONResponse(self._context.scheduler.run_query(_read_suspects))
 
-    async def _forget(self, request: Request) -> Response:
-        """Let a request go that upstreams ended under, here and at all peers."""
+    async def _clear_suspect(self, request: Request) -> Response:
+        """Clear the suspicion against a request, on this host and on all peers."""
         try:
             fingerprint = bytes.fromhex(request.path_params["fingerprint"])
         except ValueError:
-            return JSONResponse({"error": "no fingerprint"}, status_code=400)
+            return JSONResponse({"error": "invalid fingerprint"}, status_code=400)
 
-        def forget(scheduler: Scheduler, now_seconds: float) -> bool:
-            reason = "an operator says so"
-            return scheduler.suspects.clear(fingerprint, now_seconds, reason)
+        def clear(scheduler: Scheduler, now_seconds: float) -> bool:
+            reason = "cleared by an operator"
+            return scheduler.quarantine.clear(fingerprint, now_seconds, reason)
 
-        if not self._parts.scheduler.look(forget):
+        if not self._context.scheduler.run_query(clear):
             error = {"error": "nothing is held against such a request"}
             return JSONResponse(error, status_code=404)
         return Response(status_code=204)
@@ -202,18 +213,18 @@
         except ValueError:
             seconds = 0.0
         if not 0.0 < seconds <= MAX_PROFILE_SECONDS:
-            message = f"seconds is to be a number up to {MAX_PROFILE_SECONDS:g}"
+            message = f"seconds must be a positive number up to {MAX_PROFILE_SECONDS:g}"
             return JSONResponse({"error": message}, status_code=400)
         if self._profiler.is_busy:
-            message = "a profile is being taken already"
+            message = "another profile is being taken"
             return JSONResponse({"error": message}, status_code=409)
-        log.info("profile begins", seconds=seconds)
+        log.info("profile started", seconds=seconds)
         report = await self._profiler.take(seconds)
-        log.info("profile over", processor_seconds=report.processor_seconds)
+        log.info("profile finished", processor_seconds=report.processor_seconds)
         return JSONResponse(attrs.asdict(report))
 
 
-def _read_use(scheduler: Scheduler, now_seconds: float) -> dict[str, float]:
+def _read_used_tokens(scheduler: Scheduler, now_seconds: float) -> dict[str, float]:
     return {
         path: scheduler.ledger.used_tokens(path, now_seconds)
         for path in scheduler.admission.workspaces
@@ -224,36 +235,40 @@
     return scheduler.limits.states(now_seconds)
 
 
-def _read_turns(scheduler: Scheduler, now_seconds: float) -> list[TurnState]:
-    """Return the rates that upstreams name, with what of them is this host's."""
-    turns = scheduler.pool.turns
-    states = [turns.state(upstream, now_seconds) for upstream in scheduler.upstreams]
+def _read_request_rates(
+    scheduler: Scheduler, now_seconds: float
+) -> list[UpstreamRateState]:
+    """Return upstreams' request rate limits with this host's shares."""
+    rate_limiter = scheduler.pool.rate_limiter
+    states = [
+        rate_limiter.state(upstream, now_seconds) for upstream in scheduler.upstreams
+    ]
     return [state for state in states if state is not None]
 
 
 def _read_suspects(scheduler: Scheduler, now_seconds: float) -> list[dict[str, Any]]:
-    """Return the requests that upstreams ended under, those with most ends first."""
-    book = scheduler.suspects.book
+    """Return the requests suspected of crashing upstreams, most crashes first."""
+    tracker = scheduler.quarantine.tracker
     rows = [
         {
             "fingerprint": suspect.fingerprint.hex(),
             "workspace": suspect.workspace_path,
-            "state": book.suspicion(suspect.fingerprint).name.lower(),
+            "state": tracker.quarantine_state(suspect.fingerprint).name.lower(),
             "ends_count": suspect.ends_count,
-            "upstreams": [life.upstream for life in suspect.ends],
+            "upstreams": [key.upstream for key in suspect.crashes],
             "refused_count": suspect.refused_count,
             "seen_seconds_ago": round(now_seconds - suspect.seen_at_seconds, 1),
         }
-        for suspect in book
+        for suspect in tracker
     ]
     return sorted(rows, key=lambda row: -row["ends_count"])
 
 
 def _count_suspects(scheduler: Scheduler, now_seconds: float) -> dict[str, int]:
-    book = scheduler.suspects.book
-    counts = dict.fromkeys((item.name.lower() for item in Suspicion), 0)
+    book = scheduler.quarantine.tracker
+    counts = dict.fromkeys((item.name.lower() for item in QuarantineState), 0)
     for suspect in book:
-        counts[book.suspicion(suspect.fingerprint).name.lower()] += 1
+        counts[book.quarantine_state(suspect.fingerprint).name.lower()] += 1
     return counts
 
 
@@ -272,7 +287,7 @@
             "health": upstream.health.state.value,
             "admit_ratio": round(upstream.health.admit_ratio(now_seconds), 3),
             "last_error": upstream.health.last_error,
-            "life": upstream.life_name,
+            "life": upstream.generation_name,
             "model": upstream.model,
             "slots_count": upstream.slots_count,
             "own_running_count": len(upstream.own_attempts),
@@ -286,7 +301,7 @@
             "revision": view.summary.revision,
             "revision_era": view.summary.store_era,
             "is_leaving": view.summary.is_leaving,
-            "heard_seconds_ago": round(now_seconds - view.heard_at_seconds, 3),
+            "heard_seconds_ago": round(now_seconds - view.last_seen_seconds, 3),
         }
         for view in scheduler.peers.live(now_seconds)
     ]
@@ -295,14 +310,14 @@
         "peers": peers,
         "open_count": scheduler.open_count,
         "waiting_count": len(scheduler.queue),
-        "retry_budget_count": round(scheduler.budgets.least_saved, 2),
+        "retry_budget_count": round(scheduler.budgets.min_balance, 2),
         "limits": [
             attrs.asdict(state) for state in _read_limits(scheduler, now_seconds)
         ],
         "request_rates": [
-            attrs.asdict(state) for state in _read_turns(scheduler, now_seconds)
+            attrs.asdict(state) for state in _read_request_rates(scheduler, now_seconds)
         ],
-        "known_prefixes_count": scheduler.knowledge.entries_count(),
+        "known_prefixes_count": scheduler.cache_index.entries_count(),
     }
 
 
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -1,4 +1,4 @@
-"""The daemon's parts, put together: who hands what to whom."""
+"""Construction of the daemon's components and their connections."""
 
 import random
 import time
@@ -7,14 +7,14 @@
 import attrs
 
 from rampwick_platform import ObjectApi, TreeStore, read_steady_clock
-from rampwick_policy import ConfigurationFollower, Member, SaltBook, Scheduler
+from rampwick_policy import ConfigurationFollower, Member, SaltTable, Scheduler
 from rampwick_schema import Settings, Shown
 
 from ._admin import AdminApp
 from ._integration import Integration
-from ._life import Life
+from ._lifecycle import Lifecycle
 from ._metrics import Metrics
-from ._own_dialect import OWN_DIALECTS
+from ._native_dialect import NATIVE_DIALECTS
 from ._scheduler_task import SchedulerTask
 from .control import (
     ConfigurationTask,
@@ -28,7 +28,7 @@
     WatchedTargetSource,
     WatchedTreeSource,
 )
-from .entry import ClaimTask, EntryApp, Parts, RequestIds, StreamTokens
+from .entry import ClaimTask, EntryApp, EntryContext, RequestIdGenerator, StreamTokens
 from .peers import GossipTask, PeerDirectory
 from .upstream import (
     CacheReaderTask,
@@ -44,14 +44,14 @@
 
 @attrs.frozen(repr=False)
 class Clocks(Shown):
-    """Where the daemon reads time, in seconds."""
+    """Clocks of the daemon, in seconds."""
 
     monotonic: Callable[[], float] = read_steady_clock
     wall: Callable[[], float] = time.time
 
 
 class Assembly:
-    """All parts of one daemon; none of them runs yet."""
+    """All components of one daemon, before any of them runs."""
 
     def __init__(
         self,
@@ -63,13 +63,13 @@
         clocks: Clocks,
         integration: Integration | None,
     ) -> None:
-        draw = random.Random()
+        rng = random.Random()
         self.settings = settings
         self.api = api
         self.clocks = clocks
         self.channels = channels
         self._metrics = Metrics()
-        self.life = Life()
+        self.lifecycle = Lifecycle()
         self.follower = ConfigurationFollower()
         incarnation = time.time_ns()
         host = settings.host
@@ -82,7 +82,7 @@
         )
         read_clock = clocks.monotonic
         self.scheduler = SchedulerTask(Scheduler(settings), read_clock)
-        dialects = integration.dialects if integration else OWN_DIALECTS
+        dialects = integration.dialects if integration else NATIVE_DIALECTS
         control: UpstreamControl = upstreams
         if integration is not None:
             control = DialectControl(
@@ -91,8 +91,8 @@
                 self._find_health_path,
                 self.scheduler,
             )
-        self.steward = RolloutController(
-            api, settings, self.scheduler, control, read_clock, draw
+        self.rollout_controller = RolloutController(
+            api, settings, self.scheduler, control, read_clock, rng
         )
         self.hosts = HostListTask(self.scheduler)
         self.configuration = ConfigurationTask(
@@ -106,16 +106,16 @@
             self._metrics,
             read_clock,
             self.hosts,
-            self.steward,
+            self.rollout_controller,
         )
-        self.steward.notify_peers = self.gossip.broadcast_rollout
-        self.scheduler.note_long_prompt = self.gossip.urgent_updates.note_load
-        self.scheduler.note_burst = self.gossip.urgent_updates.note_burst
-        self._connect(api, draw, integration)
+        self.rollout_controller.notify_peers = self.gossip.broadcast_rollout
+        self.scheduler.on_long_prompt = self.gossip.urgent_updates.note_load
+        self.scheduler.on_burst = self.gossip.urgent_updates.note_burst
+        self._connect_sources(api, rng, integration)
         self.claims = ClaimTask(api, settings.claims, read_clock, clocks.wall)
         self.probes = ProbeTask(control, self.scheduler)
         self.cancels = CancelTask(control, self.scheduler)
-        salts = SaltBook(settings.peers.secret)
+        salts = SaltTable(settings.peers.secret)
         self.cache_reader = CacheReaderTask(
             own,
             self.scheduler,
@@ -126,8 +126,8 @@
             self.gossip.roles.cache_reading_peers,
         )
         self.gossip.cache_outbox.list_read_caches = self.cache_reader.read_names
-        self.silences = StallDetector(read_clock)
-        self.parts = Parts(
+        self.stall_detector = StallDetector(read_clock)
+        self.context = EntryContext(
             settings=settings,
             scheduler=self.scheduler,
             follower=self.follower,
@@ -135,49 +135,57 @@
             claims=self.claims,
             metrics=self._metrics,
             tokens=StreamTokens(settings.peers.secret),
-            ids=RequestIds(host.name, incarnation),
-            life=self.life,
+            ids=RequestIdGenerator(host.name, incarnation),
+            lifecycle=self.lifecycle,
             read_clock=read_clock,
             configuration=self.configuration,
             channels=channels,
             dialects=dialects,
             salts=salts,
-            silences=self.silences,
+            stall_detector=self.stall_detector,
         )
-        self.entry = EntryApp(self.parts, serves_routes=integration is not None)
+        self.entry = EntryApp(self.context, serves_routes=integration is not None)
         self.admin = AdminApp(
-            self.parts,
-            self.life,
+            self.context,
+            self.lifecycle,
             self.configuration,
             self.hosts,
-            self.steward,
+            self.rollout_controller,
             lambda: getattr(api, "calls", {}),
             lambda: api.era if api else 0,
             self.gossip.roles.describe,
             needs_configuration=integration is not None,
         )
 
-    def _connect(
+    def _connect_sources(
         self,
         api: ObjectApi | None,
-        draw: random.Random,
+        rng: random.Random,
         integration: Integration | None,
     ) -> None:
-        """Give the tasks that follow the platform their sources."""
+        """Connect the tasks that follow the platform to their sources."""
         self.targets: PolledTargetSource | WatchedTargetSource | None = None
         self.directory: PeerDirectory | None = None
         if api is None:
             return
-        settings, scheduler, steward = self.settings, self.scheduler, self.steward
+        settings, scheduler, rollout_controller = (
+            self.settings,
+            self.scheduler,
+            self.rollout_controller,
+        )
         read_clock = self.clocks.monotonic
         if integration is None:
             self.configuration.source = TreeStoreSource(
-                TreeStore(api), settings, self.gossip.roles.neighbours, read_clock
+                TreeStore(api), settings, self.gossip.roles.live_peers, read_clock
             )
             interval_seconds = settings.platform.host_list_interval_seconds
             self.hosts.source = PolledHostSource(api, interval_seconds)
             self.targets = PolledTargetSource(
-                api, scheduler, lambda: steward.is_holder, steward.wake, read_clock
+                api,
+                scheduler,
+                lambda: rollout_controller.is_holder,
+                rollout_controller.wake,
+                read_clock,
             )
             return
         role = ReaderRole(
@@ -188,33 +196,33 @@
             lambda: self.gossip.freshness.answered_at_seconds,
             self.configuration,
             self.hosts,
-            lambda: steward.is_holder,
+            lambda: rollout_controller.is_holder,
             read_clock,
         )
         reader = integration.reader
         self.configuration.source = WatchedTreeSource(
-            api, reader, settings, role.must_read_configuration, read_clock, draw
+            api, reader, settings, role.must_read_configuration, read_clock, rng
         )
         self.configuration.query_peer = self.gossip.freshness.query_reader
         self.hosts.source = WatchedHostSource(
-            api, reader, role.must_read_hosts, read_clock, draw
+            api, reader, role.must_read_hosts, read_clock, rng
         )
         self.targets = WatchedTargetSource(
             api,
             reader,
             scheduler,
-            steward.wake,
+            rollout_controller.wake,
             role.must_read_targets,
             read_clock,
-            draw,
+            rng,
         )
         self.directory = PeerDirectory(
-            api, self.gossip.roles.table.own, role.is_disconnected, role.is_reader, draw
+            api, self.gossip.roles.table.own, role.is_disconnected, role.is_reader, rng
         )
         self.directory.on_records_read = self.gossip.reconcile_links
         self.gossip.directory = self.directory
-        steward.is_candidate = role.is_candidate
+        rollout_controller.is_candidate = role.is_candidate
 
     def _find_health_path(self, service: str) -> str:
-        known = self.follower.view.routes.service(service)
-        return known.health_path if known else "/health"
+        found = self.follower.view.routes.service(service)
+        return found.health_path if found else "/health"
--- /dev/null
+++ b/packages/rampwick-router/src/rampwick_router/_lifecycle.py
@@ -0,0 +1,46 @@
+"""Shutdown state of the daemon."""
+
+import anyio
+
+from rampwick_platform import move_on_at_grid
+
+
+class Lifecycle:
+    """Steps of a planned shutdown, with events that tasks can wait for.
+
+    The first ``begin_stop`` starts a graceful shutdown, which lets open requests
+    complete; the second one forces it, and open requests end with an error.
+    """
+
+    def __init__(self) -> None:
+        self._stopping = anyio.Event()
+        self._forced = anyio.Event()
+        #: Monotonic time by which the process exits; None if there is no such time.
+        self.exit_deadline_seconds: float | None = None
+        #: Whether the balancer has had time to stop routing callers here.
+        self.balancer_delay_elapsed = False
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether the balancer should route requests here."""
+        return not self._stopping.is_set()
+
+    @property
+    def is_forced(self) -> bool:
+        """Whether the shutdown does not wait for open requests."""
+        return self._forced.is_set()
+
+    def begin_stop(self) -> None:
+        """Begin a planned shutdown, or force one that has begun."""
+        if self._stopping.is_set():
+            self._forced.set()
+        self._stopping.set()
+
+    async def wait_stopping(self) -> None:
+        """Return when a shutdown has begun."""
+        await self._stopping.wait()
+
+    async def pause(self, seconds: float) -> None:
+        """Sleep, at most until the shutdown is forced."""
+        with move_on_at_grid(seconds):
+            await self._forced.wait()
--- a/packages/rampwick-router/src/rampwick_router/_own_dialect.py
+++ b/packages/rampwick-router/src/rampwick_router/_native_dialect.py
@@ -1,6 +1,6 @@
-"""Rampwick's own names for routed requests, towards callers and upstreams.
+"""Rampwick's native dialect for callers and upstreams of routes.
 
-A deployment whose callers and upstreams speak otherwise brings a dialect of its own.
+A deployment with other protocols provides its own dialect.
 """
 
 import math
@@ -18,15 +18,15 @@
 )
 
 from ._dialects import (
-    AnswerFacts,
     AttemptTerms,
     CacheEvent,
     CacheEvents,
     ControlRequest,
     Dialects,
-    ErrorAnswer,
+    ErrorResponse,
     Header,
     RawCall,
+    ResponseInfo,
     RoutedCall,
     UpstreamSignals,
     read_request_rate,
@@ -36,10 +36,10 @@
 from ._headers import (
     LEAVING,
     REQUEST_RATE,
-    AnswerHead,
-    asks_to_close,
-    end_to_end,
+    ResponseHead,
+    end_to_end_headers,
     find,
+    has_connection_close,
     keep_alive_seconds,
 )
 from .entry import bad_request
@@ -58,18 +58,18 @@
 PRIORITY = b"rampwick-priority"
 IMPORT_FROM = b"rampwick-import-from"
 SAVE_TO = b"rampwick-save-to"
-#: What became of a request that an upstream did not serve: ``refused``,
-#: ``misdirected``.
+#: Why an upstream did not run a request: ``refused`` or ``misdirected``.
 NOT_RUN = b"rampwick-not-run"
-#: Longest id of a request and largest number of parts of a prompt.
+
+#: Maximum length of a request id and maximum number of prompt parts.
 MAX_ID_BYTES = 200
 MAX_PARTS = 256
 
 JSON = (b"content-type", b"application/json")
 
 
-class OwnCallerDialect:
-    """How callers name what they want, in rampwick's own headers."""
+class NativeCallerDialect:
+    """Reads requests from rampwick's headers and writes errors as JSON."""
 
     def read_call(self, raw: RawCall) -> RoutedCall:
         """Return the request, or raise a CallerError of status 400."""
@@ -83,9 +83,9 @@
             method=raw.method,
             target=raw.target,
             key=read_bearer_key(raw),
-            passed_headers=[
+            forwarded_headers=[
                 (name, value)
-                for name, value in end_to_end(raw.headers)
+                for name, value in end_to_end_headers(raw.headers)
                 if not name.startswith(PREFIX)
                 and name not in (b"authorization", LAST_EVENT_ID)
             ],
@@ -96,24 +96,24 @@
             last_event_id=(raw.get(LAST_EVENT_ID) or b"").decode("latin-1"),
         )
 
-    def write_error(self, error: CallerError, request_id: str) -> ErrorAnswer:
-        """Return an error as JSON."""
+    def write_error(self, error: CallerError, request_id: str) -> ErrorResponse:
+        """Return a JSON error response."""
         headers: list[Header] = [JSON, (REQUEST_ID, request_id.encode("latin-1"))]
         if error.retry_after_seconds is not None:
             seconds = max(1, math.ceil(error.retry_after_seconds))
             headers.append((b"retry-after", str(seconds).encode()))
         body = orjson.dumps(error.body)
         headers.append((b"content-length", str(len(body)).encode()))
-        return ErrorAnswer(error.status, headers, body)
+        return ErrorResponse(error.status, headers, body)
 
 
-class OwnUpstreamDialect:
-    """How upstreams are told what they need, in rampwick's own headers."""
+class NativeUpstreamDialect:
+    """Exchanges attempt metadata with upstreams in rampwick's headers."""
 
     def request_headers(self, call: RoutedCall, terms: AttemptTerms) -> list[Header]:
         """Return the headers of an attempt."""
         headers = [
-            *call.passed_headers,
+            *call.forwarded_headers,
             (REQUEST_ID, call.request_id.encode("latin-1")),
             (DEADLINE, f"{terms.remaining_seconds:.3f}".encode()),
             (INCARNATION, terms.incarnation.encode("latin-1")),
@@ -133,60 +133,60 @@
             headers.append((WEIGHTS, str(terms.weights_version).encode()))
         return headers
 
-    def read_answer(self, head: AnswerHead, incarnation: str) -> AnswerFacts:
-        """Return what the head of an answer says."""
+    def read_response(self, head: ResponseHead, incarnation: str) -> ResponseInfo:
+        """Parse a response head; ``incarnation`` is the one that was addressed."""
         headers = head.headers
         not_run = find(headers, NOT_RUN)
-        named = (find(headers, INCARNATION) or b"").decode("latin-1")
+        reported = (find(headers, INCARNATION) or b"").decode("latin-1")
         weights = find(headers, WEIGHTS)
-        return AnswerFacts(
+        return ResponseInfo(
             request_id=(find(headers, REQUEST_ID) or b"").decode("latin-1"),
             was_refused=not_run is not None,
             is_misdirected=not_run == b"misdirected",
-            is_signed=bool(named),
-            is_another=named not in ("", incarnation),
+            is_signed=bool(reported),
+            is_other_incarnation=reported not in ("", incarnation),
             weights_version=int(weights) if weights and weights.isdigit() else None,
             max_idle_seconds=keep_alive_seconds(headers),
-            is_closing=asks_to_close(headers),
+            is_closing=has_connection_close(headers),
             request_rate=read_request_rate(head, REQUEST_RATE),
             signals=read_signals(head, LEAVING),
         )
 
-    def answer_headers(self, head: AnswerHead) -> list[Header]:
-        """Return the headers that the caller is sent."""
-        return end_to_end(head.headers)
+    def response_headers(self, head: ResponseHead) -> list[Header]:
+        """Return the response headers for the caller."""
+        return end_to_end_headers(head.headers)
 
 
-class OwnControlDialect:
-    """How rampwick's own runners report and take orders."""
+class NativeControlDialect:
+    """Probes of rampwick's runners and orders to them."""
 
     def probe(self, entry: HostEntry, health_path: str) -> ControlRequest:
-        """Return the call by which an upstream tells how it is."""
+        """Return the request that probes an upstream."""
         host = (b"host", entry.address.encode())
         return ControlRequest("probe upstream", "GET", "/load", [host])
 
     def read_probe(
-        self, entry: HostEntry, head: AnswerHead, body: bytes
+        self, entry: HostEntry, head: ResponseHead, body: bytes
     ) -> LoadReport | None:
-        """Return a runner's report, none of a healthy service, or raise DataError."""
+        """Return a runner's report, None for a healthy service, or raise DataError."""
         if not body:
             return None
         return structure(
             orjson.loads(body), LoadReport, step="probe upstream", peer=entry.name
         )
 
-    def read_signals(self, head: AnswerHead, body: bytes) -> UpstreamSignals:
-        """Return none: control calls name no incarnation that an answer could prove."""
+    def read_signals(self, head: ResponseHead, body: bytes) -> UpstreamSignals:
+        """Return no signals: control responses carry no incarnation to verify."""
         return UpstreamSignals()
 
     def order(self, entry: HostEntry, order: Order) -> ControlRequest:
-        """Return the call that gives an order."""
+        """Return the request that sends an order."""
         headers = [(b"host", entry.address.encode()), JSON]
         body = orjson.dumps(unstructure(order))
         return ControlRequest("send order", "PUT", "/orders", headers, body)
 
-    def read_order(self, head: AnswerHead) -> OrderResult:
-        """Return what a runner says to an order."""
+    def read_order(self, head: ResponseHead) -> OrderResult:
+        """Return a runner's result for an order."""
         results = {
             200: OrderResult.HOLDS,
             202: OrderResult.TAKEN,
@@ -196,17 +196,17 @@
         return results.get(head.status, OrderResult.REFUSED)
 
 
-class OwnCacheDialect:
-    """How rampwick's own stand-ins tell what they cache."""
+class NativeCacheDialect:
+    """Cache events as reported by rampwick's stand-ins."""
 
     def events(self, address: str, since: int, wait_seconds: float) -> ControlRequest:
-        """Return the call for the events after a number; it waits for some."""
+        """Return the long-polling request for the events after a number."""
         path = f"/cache/events?since={since}&wait_seconds={wait_seconds:g}"
         host = (b"host", address.encode())
         return ControlRequest("read cache events", "GET", path, [host])
 
-    def read_events(self, head: AnswerHead, body: bytes) -> CacheEvents:
-        """Return the events of an answer, or raise DataError."""
+    def read_events(self, head: ResponseHead, body: bytes) -> CacheEvents:
+        """Return the events in a response, or raise DataError."""
         step = "read cache events"
         if head.status != 200:
             raise DataError(f"status {head.status}", step=step)
@@ -225,13 +225,16 @@
             raise DataError(f"bad events: {error!r}", step=step) from None
 
 
-OWN_DIALECTS = Dialects(
-    OwnCallerDialect(), OwnUpstreamDialect(), OwnControlDialect(), OwnCacheDialect()
+NATIVE_DIALECTS = Dialects(
+    NativeCallerDialect(),
+    NativeUpstreamDialect(),
+    NativeControlDialect(),
+    NativeCacheDialect(),
 )
 
 
 def read_bearer_key(raw: RawCall) -> str | None:
-    """Return the caller's bearer key, none without one."""
+    """Return the caller's bearer key, or None."""
     kind, _, key = (raw.get(b"authorization") or b"").partition(b" ")
     if kind.lower() != b"bearer" or not key.strip():
         return None
@@ -239,7 +242,7 @@
 
 
 def read_parts(value: bytes) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt, written as NAME:TOKENS by commas."""
+    """Parse prompt parts, a comma-separated list of NAME:TOKENS."""
     if not value.strip():
         return ()
     items = value.split(b",")
@@ -255,7 +258,7 @@
 
 
 def write_parts(parts: tuple[PromptPart, ...]) -> str:
-    """Return the parts of a prompt as they are written in a header."""
+    """Format prompt parts as a header value."""
     return ",".join(f"{part.name.decode('latin-1')}:{part.tokens}" for part in parts)
 
 
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -18,14 +18,14 @@
 )
 from rampwick_policy import (
     ConfigurationFollower,
-    Neighbours,
+    LivePeers,
     ReadTree,
     RestoredTrees,
     is_watcher,
 )
 from rampwick_schema import DataError, RampwickError, Settings, Tree, era_of
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from ._configuration import ConfigurationTask
 
 #: Wait after a failed call, and time between two reads by a host that does not watch.
@@ -42,7 +42,7 @@
 REFRESH_INTERVAL_SECONDS = 0.2
 MAX_REFRESH_INTERVAL_SECONDS = 1.6
 
-log = PartLogger("configuration")
+log = ComponentLogger("configuration")
 
 
 class TreeStoreSource:
@@ -52,7 +52,7 @@
         self,
         store: TreeStore,
         settings: Settings,
-        list_peers: Callable[[], Neighbours],
+        list_peers: Callable[[], LivePeers],
         read_clock: Callable[[], float],
     ) -> None:
         self._store = store
@@ -93,7 +93,7 @@
         """Do nothing: an outdated tree can only refuse what a newer one may allow."""
 
     def _is_watcher(self) -> bool:
-        return is_watcher(self._settings.host.name, self._list_peers().heard)
+        return is_watcher(self._settings.host.name, self._list_peers().alive)
 
     async def _load(self, task: ConfigurationTask) -> None:
         started_seconds = self._read_clock()
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -14,10 +14,10 @@
     PlatformError,
     StoredObject,
 )
-from rampwick_policy import LapseGuard
+from rampwick_policy import ExpiredEntryGuard
 from rampwick_schema import DataError, HostEntry, HostList, RampwickError
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 
 #: Maximum wait of one watch on the upstreams. Its responses confirm the list to peers,
 #: which read the platform themselves once their data is older than FALLBACK_SECONDS.
@@ -29,7 +29,7 @@
 #: more.
 WATCH_PAUSE_SECONDS = 0.3
 
-log = PartLogger("upstreams")
+log = ComponentLogger("upstreams")
 
 
 class HostListConsumer(Protocol):
@@ -98,7 +98,7 @@
     ) -> None:
         self._reader = reader
         self._read_clock = read_clock
-        self._guard = LapseGuard()
+        self._guard = ExpiredEntryGuard()
         self._changed = anyio.Event()
         self._watcher = KindWatcher(
             api,
@@ -150,7 +150,7 @@
     async def _expire_entries(self) -> None:
         while True:
             self._changed = anyio.Event()
-            end_seconds = self._guard.lapse_end_seconds
+            end_seconds = self._guard.grace_end_seconds
             wait_seconds = math.inf
             if end_seconds is not None:
                 wait_seconds = max(0.0, end_seconds - self._read_clock())
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
@@ -9,7 +9,7 @@
 from rampwick_policy import LeaseWatcher
 from rampwick_schema import DataError
 
-from .._logs import PartLogger, milliseconds
+from .._logs import ComponentLogger, milliseconds
 
 #: Fraction of the lease duration after which it is renewed: two renewals may fail
 #: before another host can acquire the lease.
@@ -28,7 +28,7 @@
 #: stopped renewing and the old lease has expired.
 ABSTAIN_LEASES_COUNT = 2.0
 
-log = PartLogger("steward")
+log = ComponentLogger("steward")
 
 
 class LeaseManager:
@@ -167,7 +167,7 @@
         acquired counts from when the newest version was seen.
         """
         assert self._leases is not None
-        silent_seconds = now_seconds - self.lease.heard_at_seconds
+        silent_seconds = now_seconds - self.lease.last_seen_seconds
         is_known = self.lease.version in (0, self._read_version)
         if is_known or silent_seconds < HOLDER_TIMEOUT_SECONDS:
             return
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -14,16 +14,16 @@
     move_on_at_grid,
 )
 from rampwick_policy import (
-    AskReport,
+    FetchReport,
     LeaseWatcher,
-    LoadOrdered,
     LoadReported,
     OrderResult,
     PlannedOrder,
     Rollout,
     RunnerState,
     Scheduler,
-    WeightsSeen,
+    WeightsLoadOrdered,
+    WeightsReported,
     count_outdated,
 )
 from rampwick_schema import (
@@ -35,7 +35,7 @@
 )
 
 from .._errors import AttemptError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ..upstream import CONTROL_TIMEOUT_SECONDS, UpstreamControl
 from ._lease_manager import LeaseManager
@@ -56,7 +56,7 @@
 #: Time for which weights loaded by an order of this host are published to peers.
 OBSERVED_WEIGHTS_SECONDS = 2.0
 
-log = PartLogger("steward")
+log = ComponentLogger("steward")
 
 
 @attrs.frozen(repr=False)
@@ -157,7 +157,7 @@
     def outdated_count(self) -> int:
         """Return the number of runners with weights older than their target."""
         targets = self._scheduler.targets()
-        runners = self._scheduler.look(_read_runners)
+        runners = self._scheduler.run_query(_read_runners)
         return count_outdated(runners, targets)
 
     async def run(self) -> None:
@@ -216,16 +216,16 @@
         targets = self._scheduler.targets()
         if not targets:
             return False
-        runners = self._scheduler.look(_read_runners)
+        runners = self._scheduler.run_query(_read_runners)
         now_seconds = self._read_clock()
         steps = self._rollout.plan(runners, targets, now_seconds)
-        entries = self._scheduler.look(_read_entries)
+        entries = self._scheduler.run_query(_read_entries)
         planned = []
         for step in steps:
             entry = entries.get(step.runner)
             if entry is None:
                 continue
-            if isinstance(step, AskReport):
+            if isinstance(step, FetchReport):
                 tasks.start_soon(self._probe, entry)
             else:
                 planned.append((entry, step))
@@ -243,7 +243,9 @@
             version = step.order.weights_version
             self._rollout.note_sent(entry.name, version, now_seconds)
             until_seconds = self._rollout.loads()[entry.name][1]
-            self._scheduler.post(LoadOrdered(entry.name, "", version, until_seconds))
+            self._scheduler.post(
+                WeightsLoadOrdered(entry.name, "", version, until_seconds)
+            )
         self.notify_peers()
 
     async def _probe(self, entry: HostEntry) -> None:
@@ -254,7 +256,7 @@
             log.problem(
                 "runner report unavailable", runner=entry.name, error=str(error)
             )
-            self._rollout.note_silence(entry.name, self._read_clock())
+            self._rollout.note_unresponsive(entry.name, self._read_clock())
             self.wake()
             return
         if report is None:
@@ -278,7 +280,7 @@
         self._observed[runner] = ObservedWeights(
             runner, incarnation, version, now_seconds
         )
-        self._scheduler.post(WeightsSeen(runner, incarnation, version))
+        self._scheduler.post(WeightsReported(runner, incarnation, version))
 
     async def _run_order(self, entry: HostEntry, planned: PlannedOrder) -> None:
         version = planned.order.weights_version
@@ -286,7 +288,7 @@
         result = await self._send_order(entry, planned)
         self._rollout.note_result(entry.name, result)
         if result not in (OrderResult.TAKEN, OrderResult.LOST):
-            self._scheduler.post(LoadOrdered(entry.name, "", version, 0.0))
+            self._scheduler.post(WeightsLoadOrdered(entry.name, "", version, 0.0))
         self.wake()
 
     async def _send_order(self, entry: HostEntry, planned: PlannedOrder) -> OrderResult:
@@ -324,15 +326,15 @@
         RunnerState(
             name=upstream.name,
             model=upstream.model,
-            weights_version=upstream.last_life.weights_version,
-            is_serving=scheduler.upstreams.is_open(upstream, now_seconds),
+            weights_version=upstream.last_generation.weights_version,
+            is_serving=scheduler.upstreams.is_eligible(upstream, now_seconds),
             is_loading=False,
             running_count=scheduler.running_count(upstream),
             address=upstream.entry.address,
         )
         for upstream in scheduler.upstreams
         if upstream.is_runner
-        and upstream.last_life is not None
+        and upstream.last_generation is not None
         and not scheduler.upstreams.is_leaving(upstream, now_seconds)
         and scheduler.pool.is_in_service(upstream)
     ]
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -14,10 +14,10 @@
     StoredObject,
     WeightsStore,
 )
-from rampwick_policy import TargetsRead
+from rampwick_policy import TargetsReceived
 from rampwick_schema import DataError, RampwickError, WeightsTarget
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 
 #: Maximum wait of one watch on the targets. A watch whose connection has died receives
@@ -32,7 +32,7 @@
 #: Source of targets read by this host, for logs.
 PLATFORM_SOURCE = "read from the platform"
 
-log = PartLogger("steward")
+log = ComponentLogger("steward")
 
 
 class TargetReader(Protocol):
@@ -141,7 +141,7 @@
     is_after_failure: bool,
     wake: Callable[[], None],
 ) -> None:
-    event = TargetsRead(
+    event = TargetsReceived(
         tuple(targets),
         PLATFORM_SOURCE,
         read_at_seconds,
--- a/packages/rampwick-router/src/rampwick_router/entry/_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_entry.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: finding out what a request is and who serves it."""
+"""The callers' HTTP interface: dispatch of requests to their handlers."""
 
 from urllib.parse import unquote
 
@@ -8,15 +8,15 @@
 from rampwick_schema import RampwickError
 
 from .._errors import AttemptError, CallerError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from ._call import (
     bad_request,
     find_workspace,
     read_model_call,
     read_terms,
 )
+from ._context import EntryContext
 from ._model_exchange import CHAT_PATH, TEXT_PATH, ModelExchange
-from ._parts import Parts
 from ._relay import relay_resumed
 from ._responder import (
     EVENT_STREAM,
@@ -31,74 +31,74 @@
     REPEATABLE_METHODS,
     ServiceCall,
     ServiceExchange,
-    passes_through,
+    is_forwarded_header,
 )
 
 SERVICES_PREFIX = "/services/"
 STREAMS_PREFIX = "/v1/streams/"
 MODELS_PATH = "/v1/models"
 
-#: Time between two looks for slow callers.
-WATCH_SECONDS = 0.5
+#: Interval between checks for slow callers.
+SLOW_CALLER_CHECK_SECONDS = 0.5
 
-log = PartLogger("entry")
+log = ComponentLogger("entry")
 
 
 class EntryApp:
-    """ASGI application towards callers."""
+    """ASGI application for callers."""
 
-    def __init__(self, parts: Parts, serves_routes: bool = False) -> None:
-        self._parts = parts
+    def __init__(self, context: EntryContext, serves_routes: bool = False) -> None:
+        self._context = context
         self._serves_routes = serves_routes
-        #: Whether new requests are turned away because this host is leaving.
+        #: Whether new requests are rejected because this host is shutting down.
         self.is_closed = False
-        self._routed = RoutedEntry(parts)
+        self._routed = RoutedEntry(context)
         self._open: dict[Responder, anyio.CancelScope] = {}
         self._has_open = anyio.Event()
 
     @property
     def open_count(self) -> int:
-        """Requests that have not been answered to their end."""
+        """Number of requests whose response is not complete."""
         return len(self._open)
 
     async def watch_callers(self) -> None:
-        """Give up callers that take nothing, and all of them in a hurried stop."""
+        """Cancel requests of stalled callers, and all of them in a forced shutdown."""
         while True:
             if not self._open:
                 self._has_open = anyio.Event()
                 await self._has_open.wait()
-            await self._parts.life.pause(WATCH_SECONDS)
-            is_hurried = self._parts.life.is_hurried
-            oldest = self._parts.read_clock() - (
-                self._parts.settings.limits.write_timeout_seconds
+            await self._context.lifecycle.pause(SLOW_CALLER_CHECK_SECONDS)
+            is_forced = self._context.lifecycle.is_forced
+            oldest = self._context.read_clock() - (
+                self._context.settings.limits.write_timeout_seconds
             )
             for responder, scope in self._open.items():
-                since = responder.waiting_since_seconds
-                if is_hurried or (since is not None and since < oldest):
+                since = responder.write_started_seconds
+                if is_forced or (since is not None and since < oldest):
                     scope.cancel()
-            if is_hurried:
-                await anyio.sleep(WATCH_SECONDS)
+            if is_forced:
+                await anyio.sleep(SLOW_CALLER_CHECK_SECONDS)
 
     async def __call__(self, scope: Message, receive: Receive, send: Send) -> None:
-        """Serve one request; whatever happens, it gets one final answer."""
+        """Serve one request with exactly one final response."""
         if scope["type"] != "http":
             return
-        life = self._parts.life
+        lifecycle = self._context.lifecycle
         responder = Responder(
-            send, self._parts.read_clock, is_leaving=lambda: not life.is_ready
+            send, self._context.read_clock, is_draining=lambda: not lifecycle.is_ready
         )
         cancel_scope = anyio.CancelScope()
         self._open[responder] = cancel_scope
         self._has_open.set()
         try:
             with cancel_scope:
-                await self._answer(scope, receive, responder)
+                await self._serve_or_send_error(scope, receive, responder)
             if cancel_scope.cancelled_caught:
-                await self._give_up(responder, scope["path"])
+                await self._end_cancelled(responder, scope["path"])
         finally:
             del self._open[responder]
 
-    async def _answer(
+    async def _serve_or_send_error(
         self, scope: Message, receive: Receive, responder: Responder
     ) -> None:
         try:
@@ -109,11 +109,11 @@
             log.problem("request failed", path=scope["path"], error=str(error))
             await responder.send_error(_internal_error(error))
 
-    async def _give_up(self, responder: Responder, path: str) -> None:
-        if not self._parts.life.is_hurried:
-            log.problem("caller too slow, given up", path=path)
+    async def _end_cancelled(self, responder: Responder, path: str) -> None:
+        if not self._context.lifecycle.is_forced:
+            log.problem("caller does not read, request cancelled", path=path)
             return
-        await responder.send_error(_hurried_error(responder.was_dispatched))
+        await responder.send_error(_forced_shutdown_error(responder.was_dispatched))
 
     async def _serve(
         self, scope: Message, receive: Receive, responder: Responder
@@ -126,7 +126,7 @@
                 step="accept request",
                 retry_after_seconds=1.0,
             )
-        if self._serves_routes or len(self._parts.view.routes):
+        if self._serves_routes or len(self._context.view.routes):
             await self._routed.serve(scope, receive, responder)
             return
         headers = _read_headers(scope)
@@ -144,7 +144,7 @@
             raise _unknown_path(method, path)
 
     async def _read_body(self, receive: Receive) -> bytes:
-        limits = self._parts.settings.limits
+        limits = self._context.settings.limits
         return await read_body(
             receive,
             max_body_bytes=limits.max_body_bytes,
@@ -154,10 +154,10 @@
     async def _serve_model(
         self, path: str, headers: dict[str, str], receive: Receive, responder: Responder
     ) -> None:
-        arrived_at_seconds = self._parts.read_clock()
-        settings = self._parts.settings
+        arrived_at_seconds = self._context.read_clock()
+        settings = self._context.settings
         terms = read_terms(
-            find_workspace(self._parts.view, headers),
+            find_workspace(self._context.view, headers),
             headers,
             default_deadline_seconds=settings.queue.default_deadline_seconds,
             repeatable_by_default=True,
@@ -167,7 +167,7 @@
             raw, terms, settings.placement, is_chat=path == CHAT_PATH
         )
         await ModelExchange(
-            self._parts, call, receive, responder, arrived_at_seconds
+            self._context, call, receive, responder, arrived_at_seconds
         ).run()
 
     async def _serve_service(
@@ -177,12 +177,12 @@
         receive: Receive,
         responder: Responder,
     ) -> None:
-        arrived_at_seconds = self._parts.read_clock()
+        arrived_at_seconds = self._context.read_clock()
         method = scope["method"]
         terms = read_terms(
-            find_workspace(self._parts.view, headers),
+            find_workspace(self._context.view, headers),
             headers,
-            default_deadline_seconds=self._parts.settings.queue.default_deadline_seconds,
+            default_deadline_seconds=self._context.settings.queue.default_deadline_seconds,
             repeatable_by_default=method in REPEATABLE_METHODS,
         )
         service, target = _split_target(scope)
@@ -191,28 +191,28 @@
             service=service,
             method=method,
             target=target,
-            headers=[item for item in headers.items() if passes_through(item[0])],
+            headers=[item for item in headers.items() if is_forwarded_header(item[0])],
             body=await self._read_body(receive),
         )
         await ServiceExchange(
-            self._parts, call, receive, responder, arrived_at_seconds
+            self._context, call, receive, responder, arrived_at_seconds
         ).run()
 
     async def _serve_resumed(
         self, token: str, headers: dict[str, str], responder: Responder
     ) -> None:
-        workspace = find_workspace(self._parts.view, headers)
-        reference = self._parts.tokens.decode(token)
+        workspace = find_workspace(self._context.view, headers)
+        reference = self._context.tokens.decode(token)
         if reference is None or reference.workspace != workspace.path:
             raise _lost_stream("no such stream")
         position = _read_position(headers, token)
-        upstream = self._parts.scheduler.look(
+        upstream = self._context.scheduler.run_query(
             lambda scheduler, _: scheduler.upstreams.get(reference.upstream)
         )
         if upstream is None:
             raise _lost_stream("its upstream is gone")
         try:
-            async with self._parts.upstreams.resume_stream(
+            async with self._context.upstreams.resume_stream(
                 upstream.entry.address,
                 reference.upstream,
                 reference.attempt_id,
@@ -228,8 +228,8 @@
     async def _serve_models(
         self, headers: dict[str, str], responder: Responder
     ) -> None:
-        workspace = find_workspace(self._parts.view, headers)
-        names = self._parts.scheduler.look(
+        workspace = find_workspace(self._context.view, headers)
+        names = self._context.scheduler.run_query(
             lambda scheduler, _: {item.model for item in scheduler.upstreams}
         )
         models = [
@@ -240,7 +240,7 @@
         await responder.send_json(200, {"object": "list", "data": models})
 
 
-def _hurried_error(was_dispatched: bool) -> CallerError:
+def _forced_shutdown_error(was_dispatched: bool) -> CallerError:
     return CallerError(
         "this host had to leave in a hurry",
         status=503,
@@ -259,7 +259,7 @@
 
 
 def _split_target(scope: Message) -> tuple[str, str]:
-    # The raw path keeps the caller's own escapes.
+    # The raw path preserves the caller's percent-encoding.
     raw = scope.get("raw_path", scope["path"].encode()).decode("latin-1")
     raw = raw.partition("?")[0].removeprefix(SERVICES_PREFIX)
     service, _, path = raw.partition("/")
@@ -273,8 +273,8 @@
     last_id = headers.get("last-event-id")
     if last_id is None:
         return 0
-    named, _, position = last_id.rpartition(".")
-    if named != token or not position.isdigit() or len(position) > 12:
+    token_in_id, _, position = last_id.rpartition(".")
+    if token_in_id != token or not position.isdigit() or len(position) > 12:
         raise bad_request("last-event-id is not of this stream")
     return int(position) + 1
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_model_exchange.py
@@ -1,4 +1,4 @@
-"""Requests to models: attempts at runners."""
+"""Requests to models, sent to runners."""
 
 import orjson
 
@@ -11,8 +11,8 @@
 )
 
 from ._call import ENGINE_PRIORITIES, ModelCall
+from ._context import EntryContext
 from ._exchange import Exchange
-from ._parts import Parts
 from ._relay import Relay, RelayTarget
 from ._responder import Receive, Responder
 
@@ -25,21 +25,21 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         call: ModelCall,
         receive: Receive,
         responder: Responder,
         arrived_at_seconds: float,
     ) -> None:
-        super().__init__(parts, call.terms, receive, responder, arrived_at_seconds)
+        super().__init__(context, call.terms, receive, responder, arrived_at_seconds)
         self._call = call
         self._path = CHAT_PATH if call.is_chat else TEXT_PATH
-        self._last_piece_seconds: float | None = None
-        # Looked up once: finding a label costs more than observing it.
-        self._token_gap = parts.metrics.token_gap.labels(*self.labels)
+        self._last_chunk_seconds: float | None = None
+        # Resolved once: the lookup of a label costs more than an observation.
+        self._token_gap = context.metrics.token_gap.labels(*self.labels)
 
     def arrival(self) -> RequestArrived:
-        """Return what the scheduler is told."""
+        """Return the event that submits the request to the scheduler."""
         terms = self.terms
         return RequestArrived(
             request_id=self.request_id,
@@ -54,18 +54,18 @@
         )
 
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
-        """Make one attempt and relay its answer."""
+        """Make one attempt and relay its response."""
         target = RelayTarget(
-            parts=self.parts,
+            context=self.context,
             call=self._call,
             path=self._path,
             request_id=self.request_id,
             responder=self.responder,
-            note_piece=self._note_piece,
+            on_chunk=self._observe_chunk,
         )
         relay = Relay(target, dispatch)
         await relay.run(self._engine_body(dispatch))
-        usage = relay.answer.usage or {}
+        usage = relay.response.usage or {}
         details = usage.get("prompt_tokens_details") or {}
         done = AttemptDone(
             request_id=self.request_id,
@@ -79,7 +79,9 @@
 
     def _engine_body(self, dispatch: Dispatch) -> bytes:
         salt = cache_salt(
-            self._call.scope, dispatch.weights_version, self.parts.settings.peers.secret
+            self._call.scope,
+            dispatch.weights_version,
+            self.context.settings.peers.secret,
         )
         return orjson.dumps(
             {
@@ -92,19 +94,19 @@
         )
 
     def _count_tokens(self, done: AttemptDone) -> None:
-        metrics = self.parts.metrics
+        metrics = self.context.metrics
         cached = min(done.cached_tokens, done.prompt_tokens)
         missing = done.prompt_tokens - cached
         metrics.prompt_tokens.labels(*self.labels, "cached").inc(cached)
         metrics.prompt_tokens.labels(*self.labels, "recomputed").inc(missing)
         metrics.answer_tokens.labels(*self.labels).inc(done.answer_tokens)
 
-    def _note_piece(self) -> None:
-        """Note in the metrics that a piece of the answer is here."""
-        now_seconds = self.parts.read_clock()
-        if self._last_piece_seconds is None:
+    def _observe_chunk(self) -> None:
+        """Observe the time to the first chunk, or between two chunks, in metrics."""
+        now_seconds = self.context.read_clock()
+        if self._last_chunk_seconds is None:
             waited = now_seconds - self.arrived_at_seconds
-            self.parts.metrics.first_token.labels(*self.labels).observe(waited)
+            self.context.metrics.first_token.labels(*self.labels).observe(waited)
         else:
-            self._token_gap.observe(now_seconds - self._last_piece_seconds)
-        self._last_piece_seconds = now_seconds
+            self._token_gap.observe(now_seconds - self._last_chunk_seconds)
+        self._last_chunk_seconds = now_seconds
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -1,7 +1,7 @@
-"""One attempt of a request on a route: sent, listened to, its answer checked.
+"""One attempt of a request on a route: sending it and validating the response.
 
-The caller's method, path and body are carried unchanged; the dialects say which
-headers are.
+The caller's method, path and body are forwarded unchanged; the dialects select the
+headers.
 """
 
 from collections.abc import AsyncIterator
@@ -11,37 +11,40 @@
 
 from rampwick_policy import (
     AttemptAccepted,
-    AttemptSilent,
+    AttemptStalled,
     Dispatch,
     Outcome,
-    WeightsSeen,
+    WeightsReported,
 )
 
-from .._dialects import AnswerFacts, AttemptTerms
+from .._dialects import AttemptTerms, ResponseInfo
 from .._errors import AttemptError
-from .._headers import AnswerHead
-from .._logs import PartLogger
+from .._headers import ResponseHead
+from .._logs import ComponentLogger
 from ..upstream import Channel, ReadMonitor
-from ._parts import Parts
-from ._rates import note_rate
+from ._context import EntryContext
+from ._rates import post_rate_limit
 from ._routed_request import RoutedRequest
-from ._signals import check_still_wanted, note_signals
+from ._signals import check_not_withdrawn, post_signals
 
-#: Silence before an answer's head after which an upstream is suspected to be gone:
-#: well above what a busy engine takes, well below what callers bear.
-SUSPECT_SECONDS = 0.5
+#: Time without a response head after which an upstream is reported as unresponsive:
+#: well above the response time of a busy engine, well below what callers tolerate.
+UNRESPONSIVE_AFTER_SECONDS = 0.5
 
 STEP = "forward request"
 
-log = PartLogger("route")
+log = ComponentLogger("route")
 
 
 class RoutedAttempt:
-    """One attempt at one upstream; ``open`` makes it, ``pieces`` is its answer."""
+    """One attempt at one upstream.
+
+    ``open`` sends the request; ``chunks`` yields the body of the response.
+    """
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         request: RoutedRequest,
         dispatch: Dispatch,
         request_id: str,
@@ -49,59 +52,61 @@
         *,
         is_resumed: bool,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._request = request
         self.dispatch = dispatch
         self._request_id = request_id
         self._resume_after = resume_after
-        #: Whether the caller has part of an answer, which this one is to go on with.
+        #: Whether the caller received part of a response that this attempt continues.
         self._is_resumed = is_resumed
         self._channel: Channel
-        self._listening: ReadMonitor
-        #: For how long the connection is kept after the answer.
-        self.rest_seconds = 0.0
+        self._read_monitor: ReadMonitor
+        #: Time for which the connection may stay idle after the response.
+        self.idle_timeout_seconds = 0.0
 
     @asynccontextmanager
-    async def open(self, remaining_seconds: float) -> AsyncIterator[AnswerHead]:
-        """Send the request and yield the head of its answer, or raise AttemptError."""
+    async def open(self, remaining_seconds: float) -> AsyncIterator[ResponseHead]:
+        """Send the request and yield the response head, or raise AttemptError."""
         call, dispatch = self._request.call, self.dispatch
-        dialect = self._parts.dialects.upstream
+        dialect = self._context.dialects.upstream
         headers = dialect.request_headers(call, self._terms(remaining_seconds))
         body = self._request.body
         if body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             headers.append((b"content-length", str(len(body)).encode()))
-        async with self._parts.channels.borrow(
+        async with self._context.channels.borrow(
             dispatch.upstream, dispatch.address, self._max_connections()
         ) as self._channel:
-            check_still_wanted(self._parts.scheduler, dispatch)
-            asked_at_seconds = self._parts.read_clock()
+            check_not_withdrawn(self._context.scheduler, dispatch)
+            sent_at_seconds = self._context.read_clock()
             await self._channel.send(call.method, call.target, headers, body)
             head = await self._receive_head()
-            facts = dialect.read_answer(head, self._asked_incarnation)
-            self._note_channel(facts)
-            self._note_upstream_state(facts, asked_at_seconds)
+            facts = dialect.read_response(head, self._expected_incarnation)
+            self._update_channel(facts)
+            self._post_upstream_state(facts, sent_at_seconds)
             self._check(head, facts)
-            with self._parts.silences.monitor(self._silence_seconds()) as listening:
-                self._listening = listening
+            with self._context.stall_detector.monitor(
+                self._stall_timeout_seconds()
+            ) as monitor:
+                self._read_monitor = monitor
                 yield head
-            if listening.has_stalled:
-                raise self.failed(Outcome.BROKEN, "the upstream is silent")
-        self.rest_seconds = self._channel.max_idle_seconds
-
-    async def pieces(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes."""
-        listening = self._listening
-        self._parts.silences.note_waiting(listening)
-        async for piece in self._channel.receive_pieces():
-            # Whoever takes the piece may be slow; that is not the upstream's silence.
-            listening.waiting_since_seconds = None
-            yield piece
-            self._parts.silences.note_waiting(listening)
+            if monitor.has_stalled:
+                raise self.failed(Outcome.BROKEN, "the response stream is stalled")
+        self.idle_timeout_seconds = self._channel.max_idle_seconds
+
+    async def chunks(self) -> AsyncIterator[bytes]:
+        """Yield the chunks of the body as they arrive."""
+        monitor = self._read_monitor
+        self._context.stall_detector.note_waiting(monitor)
+        async for chunk in self._channel.receive_pieces():
+            # Time that a slow caller takes must not count as a stall of the upstream.
+            monitor.waiting_since_seconds = None
+            yield chunk
+            self._context.stall_detector.note_waiting(monitor)
 
     def failed(
-        self, outcome: Outcome, message: str, facts: AnswerFacts | None = None
+        self, outcome: Outcome, message: str, facts: ResponseInfo | None = None
     ) -> AttemptError:
-        """Return the error that says how the attempt ended."""
+        """Return the error for an attempt that ended with an outcome."""
         return AttemptError(
             message,
             outcome=outcome,
@@ -111,17 +116,17 @@
         )
 
     @property
-    def _asked_incarnation(self) -> str:
-        """The life that alone shall run it; upstreams without lives have their name."""
+    def _expected_incarnation(self) -> str:
+        """The incarnation that must run it; the name for upstreams that have none."""
         return self.dispatch.incarnation or self.dispatch.upstream
 
     def _terms(self, remaining_seconds: float) -> AttemptTerms:
         request, dispatch = self._request, self.dispatch
         salt = ""
         if request.scope is not None:
-            salt = self._parts.salts.salt(request.scope, dispatch.weights_version)
+            salt = self._context.salts.salt(request.scope, dispatch.weights_version)
         return AttemptTerms(
-            incarnation=self._asked_incarnation,
+            incarnation=self._expected_incarnation,
             weights_version=dispatch.weights_version,
             remaining_seconds=remaining_seconds,
             workspace=request.workspace.path.removeprefix("/"),
@@ -133,91 +138,93 @@
         )
 
     def _max_connections(self) -> int:
-        """Return this host's part of the connections that an upstream takes."""
-        most = self._request.service.max_connections_count
-        return max(1, most // self._parts.count_hosts())
-
-    async def _receive_head(self) -> AnswerHead:
-        silence_seconds = self._silence_seconds()
-        with anyio.move_on_after(min(SUSPECT_SECONDS, silence_seconds)):
+        """Return this host's share of the connections that an upstream accepts."""
+        max_count = self._request.service.max_connections_count
+        return max(1, max_count // self._context.count_hosts())
+
+    async def _receive_head(self) -> ResponseHead:
+        stall_timeout_seconds = self._stall_timeout_seconds()
+        with anyio.move_on_after(
+            min(UNRESPONSIVE_AFTER_SECONDS, stall_timeout_seconds)
+        ):
             return await self._channel.receive_head()
-        self._suspect()
-        # A wait that was broken off left every byte where it was.
-        with anyio.move_on_after(silence_seconds - SUSPECT_SECONDS):
+        self._report_unresponsive()
+        # The cancelled read has consumed no bytes.
+        with anyio.move_on_after(stall_timeout_seconds - UNRESPONSIVE_AFTER_SECONDS):
             return await self._channel.receive_head()
-        raise self.failed(Outcome.BROKEN, "the upstream is silent")
+        raise self.failed(Outcome.BROKEN, "the upstream is unresponsive")
 
-    def _suspect(self) -> None:
-        """Have an upstream looked at that does not begin to answer."""
+    def _report_unresponsive(self) -> None:
+        """Report to the scheduler that the upstream has not sent a response head."""
         log.problem(
-            "upstream is silent",
+            "upstream is unresponsive",
             request=self._request.call.request_id,
             upstream=self.dispatch.upstream,
         )
-        silent = AttemptSilent(self._request_id, self.dispatch.attempt_id)
-        self._parts.scheduler.post(silent)
+        event = AttemptStalled(self._request_id, self.dispatch.attempt_id)
+        self._context.scheduler.post(event)
 
-    def _silence_seconds(self) -> float:
-        """Return how long an upstream may say nothing before another is tried.
+    def _stall_timeout_seconds(self) -> float:
+        """Return the time without data after which another upstream is tried.
 
-        A request that must not run again has nothing to gain from giving up.
+        There is no such time-out for a request that must not run again.
         """
         if not self._request.is_repeatable:
             return float("inf")
-        return self._parts.settings.retry.silence_timeout_seconds
+        return self._context.settings.retry.silence_timeout_seconds
 
-    def _note_channel(self, facts: AnswerFacts) -> None:
+    def _update_channel(self, facts: ResponseInfo) -> None:
         if facts.is_closing:
             self._channel.max_idle_seconds = 0.0
         elif facts.max_idle_seconds is not None:
             self._channel.set_idle_limit(facts.max_idle_seconds)
 
-    def _check(self, head: AnswerHead, facts: AnswerFacts) -> None:
-        """Raise unless the answer is this attempt's own and may be passed on."""
-        self._note_weights(facts)
+    def _check(self, head: ResponseHead, facts: ResponseInfo) -> None:
+        """Raise unless the response belongs to this attempt and may be forwarded."""
+        self._post_weights(facts)
         status = f"status {head.status}"
         if facts.is_misdirected:
             raise self.failed(Outcome.MISDIRECTED, status, facts)
         if facts.was_refused:
             raise self.failed(Outcome.BUSY, status, facts)
         if facts.request_id != self._request.call.request_id:
-            message = f"answer is for {facts.request_id!r}"
+            message = f"the response is for request {facts.request_id!r}"
             raise self.failed(Outcome.BROKEN, message)
         if not facts.is_signed:
-            raise self.failed(Outcome.BROKEN, f"{status} without proof")
+            raise self.failed(Outcome.BROKEN, f"{status} without signature")
         if self._is_resumed and not is_success(head):
             raise self.failed(Outcome.BROKEN, f"resumed with {status}")
         accepted = AttemptAccepted(self._request_id, self.dispatch.attempt_id)
-        self._parts.scheduler.post(accepted)
+        self._context.scheduler.post(accepted)
 
-    def _note_upstream_state(self, facts: AnswerFacts, asked_at_seconds: float) -> None:
-        """Note the rate and the signals of an answer, unless it is another's."""
-        if facts.is_misdirected or facts.is_another:
+    def _post_upstream_state(self, facts: ResponseInfo, sent_at_seconds: float) -> None:
+        """Post rate limit and signals of a response from the intended upstream."""
+        if facts.is_misdirected or facts.is_other_incarnation:
             return
         if facts.request_id != self._request.call.request_id:
             return
-        note_signals(self._parts.scheduler, self.dispatch, facts.signals)
-        note_rate(
-            self._parts.scheduler,
+        post_signals(self._context.scheduler, self.dispatch, facts.signals)
+        post_rate_limit(
+            self._context.scheduler,
             self.dispatch,
             facts.request_rate,
-            asked_at_seconds=asked_at_seconds,
-            is_proved=facts.is_signed,
+            sent_at_seconds=sent_at_seconds,
+            is_verified=facts.is_signed,
         )
 
-    def _note_weights(self, facts: AnswerFacts) -> None:
+    def _post_weights(self, facts: ResponseInfo) -> None:
         dispatch = self.dispatch
         if facts.weights_version is None or not dispatch.weights_version:
             return
-        if facts.is_another:
+        if facts.is_other_incarnation:
             return
         if facts.weights_version != dispatch.weights_version:
-            seen = WeightsSeen(
+            seen = WeightsReported(
                 dispatch.upstream, dispatch.incarnation, facts.weights_version
             )
-            self._parts.scheduler.post(seen)
+            self._context.scheduler.post(seen)
 
 
-def is_success(head: AnswerHead) -> bool:
-    """Return whether an answer says that its request was served."""
+def is_success(head: ResponseHead) -> bool:
+    """Return whether a response has a 2xx status."""
     return 200 <= head.status < 300
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: method, body, headers and status are carried through."""
+"""Calls to plain services; method, body, headers and status are forwarded."""
 
 from http import HTTPStatus
 
@@ -20,17 +20,17 @@
 from .._headers import LEAVING, REQUEST_RATE
 from ..upstream import UpstreamResponse
 from ._call import CallTerms
+from ._context import EntryContext
 from ._exchange import Exchange
-from ._parts import Parts
-from ._rates import note_rate
+from ._rates import post_rate_limit
 from ._responder import Receive, Responder
-from ._signals import check_still_wanted, note_signals
+from ._signals import check_not_withdrawn, post_signals
 
-#: Methods that HTTP itself allows to repeat.
+#: Idempotent methods of HTTP, which are repeatable by default.
 REPEATABLE_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 
-#: Headers that belong to one connection or to rampwick, not to the call.
-OWN_HEADERS = frozenset(
+#: Headers for the connection or for rampwick, which are not forwarded.
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "authorization",
         "connection",
@@ -46,27 +46,29 @@
         "upgrade",
     }
 )
-OWN_PREFIX = "rampwick-"
+NOT_FORWARDED_PREFIX = "rampwick-"
 
 STEP = "call service"
 
 
 @attrs.frozen(repr=False)
 class ServiceCall(Shown):
-    """A checked call to a plain service."""
+    """A validated call to a plain service."""
 
     terms: CallTerms
     service: str
     method: str
-    #: Path and query after the service's name.
+    #: Path after the service's name, with the query.
     target: str
     headers: list[tuple[str, str]]
     body: bytes
 
 
-def passes_through(name: str) -> bool:
-    """Return whether a header goes on to the service or the caller."""
-    return name not in OWN_HEADERS and not name.startswith(OWN_PREFIX)
+def is_forwarded_header(name: str) -> bool:
+    """Return whether a header is forwarded to the service or the caller."""
+    return name not in NOT_FORWARDED_HEADERS and not name.startswith(
+        NOT_FORWARDED_PREFIX
+    )
 
 
 class ServiceExchange(Exchange):
@@ -74,17 +76,17 @@
 
     def __init__(
         self,
-        parts: Parts,
+        context: EntryContext,
         call: ServiceCall,
         receive: Receive,
         responder: Responder,
         arrived_at_seconds: float,
     ) -> None:
-        super().__init__(parts, call.terms, receive, responder, arrived_at_seconds)
+        super().__init__(context, call.terms, receive, responder, arrived_at_seconds)
         self._call = call
 
     def arrival(self) -> RequestArrived:
-        """Return what the scheduler is told."""
+        """Return the event that submits the request to the scheduler."""
         return RequestArrived(
             request_id=self.request_id,
             workspace=self.terms.workspace,
@@ -100,15 +102,15 @@
         )
 
     async def attempt(self, dispatch: Dispatch) -> AttemptDone:
-        """Make one attempt and pass the service's answer on."""
+        """Make one attempt and forward the service's response."""
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in self._call.headers
         ]
         headers.append((b"x-request-id", dispatch.attempt_id.encode()))
-        check_still_wanted(self.parts.scheduler, dispatch)
-        asked_at_seconds = self.parts.read_clock()
-        async with self.parts.upstreams.request(
+        check_not_withdrawn(self.context.scheduler, dispatch)
+        sent_at_seconds = self.context.read_clock()
+        async with self.context.upstreams.request(
             self._call.method,
             dispatch.address,
             self._call.target,
@@ -117,46 +119,46 @@
             headers=headers,
             body=self._call.body,
         ) as answer:
-            note_rate(
-                self.parts.scheduler,
+            post_rate_limit(
+                self.context.scheduler,
                 dispatch,
                 read_request_rate(answer.head, REQUEST_RATE),
-                asked_at_seconds=asked_at_seconds,
-                is_proved=answer.status < HTTPStatus.INTERNAL_SERVER_ERROR,
+                sent_at_seconds=sent_at_seconds,
+                is_verified=answer.status < HTTPStatus.INTERNAL_SERVER_ERROR,
             )
             signals = read_signals(answer.head, LEAVING)
-            note_signals(self.parts.scheduler, dispatch, signals)
+            post_signals(self.context.scheduler, dispatch, signals)
             if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
                 raise AttemptError(
-                    "the service is busy",
+                    "the service answered with status 429",
                     outcome=Outcome.BUSY,
                     step=STEP,
                     peer=dispatch.upstream,
                 )
-            self.parts.scheduler.post(
+            self.context.scheduler.post(
                 AttemptAccepted(self.request_id, dispatch.attempt_id)
             )
-            await self._pass_on(dispatch, answer)
+            await self._forward(dispatch, answer)
         return AttemptDone(self.request_id, dispatch.attempt_id)
 
-    async def _pass_on(self, dispatch: Dispatch, answer: UpstreamResponse) -> None:
+    async def _forward(self, dispatch: Dispatch, answer: UpstreamResponse) -> None:
         headers = [
             (name, value)
             for name, value in answer.head.headers
-            if passes_through(name.decode("latin-1"))
+            if is_forwarded_header(name.decode("latin-1"))
         ]
         headers.append((b"rampwick-upstream", dispatch.upstream.encode()))
-        waited = self.parts.read_clock() - self.arrived_at_seconds
-        self.parts.metrics.first_token.labels(*self.labels).observe(waited)
-        # The first piece is awaited before anything goes to the caller, so that a
-        # service that breaks off early can still be replaced.
-        pieces = answer.pieces
-        first = await anext(pieces, b"")
-        self.parts.scheduler.post(
+        waited = self.context.read_clock() - self.arrived_at_seconds
+        self.context.metrics.first_token.labels(*self.labels).observe(waited)
+        # The response starts once its first chunk has arrived, so that the call can be
+        # retried if the service fails before.
+        chunks = answer.pieces
+        first = await anext(chunks, b"")
+        self.context.scheduler.post(
             AttemptDelivered(self.request_id, dispatch.attempt_id)
         )
         await self.responder.start(answer.status, headers)
         await self.responder.send(first)
-        async for piece in pieces:
-            await self.responder.send(piece)
+        async for chunk in chunks:
+            await self.responder.send(chunk)
         await self.responder.end()
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from rampwick_policy import CacheBox, CacheSeen, Member, MemberTable
+from rampwick_policy import CacheEventBuffer, CacheReported, Member, MemberTable
 from rampwick_schema import CacheEventUpdate
 
 from .._scheduler_task import SchedulerTask
@@ -37,9 +37,9 @@
         self._scheduler = scheduler
         self._list_live = list_live
         #: Events read by hosts of this hall.
-        self._from_own_hall = CacheBox()
+        self._from_own_hall = CacheEventBuffer()
         #: Events received from other halls.
-        self._from_other_halls = CacheBox()
+        self._from_other_halls = CacheEventBuffer()
         self._has_update = anyio.Event()
         #: Returns the names of the caches that this host reads.
         self.list_read_caches: Callable[[], set[str]] = set
@@ -53,7 +53,7 @@
         names = self.list_read_caches()
         if self._table.is_large or not names:
             return
-        seen = self._scheduler.look(
+        seen = self._scheduler.run_query(
             lambda scheduler, now_seconds: scheduler.pool.caches.contents(names)
         )
         if seen:
@@ -70,7 +70,7 @@
             self._flush()
             await anyio.sleep(BATCH_SECONDS)
 
-    def publish(self, seen: CacheSeen) -> None:
+    def publish(self, seen: CacheReported) -> None:
         """Queue events that this host has read."""
         self._from_own_hall.add(seen)
         self._has_update.set()
@@ -102,7 +102,7 @@
         """Return the hall's relay in a large fleet, if it is connected."""
         if not self._table.is_large:
             return None
-        first = next(iter(self._table.first_of_group(live)), None)
+        first = next(iter(self._table.ranked_group_peers(live)), None)
         if first is None or self._links.link_to(first.name) is None:
             return None
         return first.name
@@ -110,7 +110,9 @@
     def _is_in_own_group(self, peer: Member) -> bool:
         return self._table.is_in_group(peer.hall)
 
-    def _send(self, seen: list[CacheSeen], is_for: Callable[[Member], bool]) -> None:
+    def _send(
+        self, seen: list[CacheReported], is_for: Callable[[Member], bool]
+    ) -> None:
         if seen:
             self._links.broadcast(to_cache_event_update(seen), is_for)
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_directory.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_directory.py
@@ -16,7 +16,7 @@
 from rampwick_policy import Member
 from rampwick_schema import DataError, HostRecord
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 
 #: Key prefix of the records.
 PEERS_PREFIX = "peers/"
@@ -24,7 +24,7 @@
 #: Time between two reads of the records by a host that receives from no peer.
 DISCOVERY_INTERVAL_SECONDS = 2.0
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 class PeerDirectory:
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -16,10 +16,10 @@
 from rampwick_policy import (
     CrashUpdateReceived,
     LeavingUpdateReceived,
+    LivePeers,
     Member,
-    Neighbours,
-    NeighboursSeen,
-    PeerGone,
+    PeerRemoved,
+    PeersChanged,
     PeerSummaryReceived,
     RateLimitUpdateReceived,
 )
@@ -37,7 +37,7 @@
 )
 
 from .._errors import PeerError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask, HostListTask, RolloutController
@@ -77,7 +77,7 @@
 #: Name under which the scheduler records a relay's aggregate of all other hosts.
 FLEET = "fleet"
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 class GossipTask:
@@ -132,7 +132,7 @@
             read_clock,
         )
         self.urgent_updates = UrgentUpdates(
-            (scheduler.suspects, scheduler.rates, scheduler.departures),
+            (scheduler.quarantine, scheduler.rates, scheduler.shutdown_announcements),
             self.summaries,
             self._links,
             self.roles,
@@ -146,7 +146,7 @@
         #: Whether the fleet was large, and whether this host was a relay candidate,
         #: when the role was last checked.
         self._last_role = (False, False)
-        self._last_live_peers = NeighboursSeen(Neighbours(), is_leaving=False)
+        self._last_live_peers = PeersChanged(LivePeers(), is_leaving=False)
         self._started_seconds = read_clock()
         #: Seed addresses from the settings.
         self.seeds = frozenset(settings.peers.seeds)
@@ -214,7 +214,7 @@
         now_seconds = self._read_clock()
         if self.table.is_large:
             relays = self.table.relays(self.table.own.hall, now_seconds)
-            if self._listener.is_silent(relays, now_seconds):
+            if self._listener.is_relay_unresponsive(relays, now_seconds):
                 log.problem("relay unresponsive", peer=relays[0].name)
                 self.table.note_unreachable(relays[0].name, now_seconds)
                 self._links.schedule_reconcile()
@@ -227,14 +227,14 @@
         # Drop the views of all peers: an aggregate received in the former role would be
         # counted in addition to the hosts that it covers.
         for view in self._scheduler.peer_views(now_seconds):
-            self._scheduler.post(PeerGone(view.name))
+            self._scheduler.post(PeerRemoved(view.name))
 
     def _post_live_peers(self) -> None:
         """Notify the scheduler of the live peers.
 
         They determine which hosts send to which upstream.
         """
-        seen = NeighboursSeen(self.roles.neighbours(), self.summaries.is_leaving)
+        seen = PeersChanged(self.roles.live_peers(), self.summaries.is_leaving)
         if seen != self._last_live_peers:
             self._last_live_peers = seen
             self._scheduler.post(seen)
@@ -276,7 +276,7 @@
         if not self.table.is_in_group(peer.hall):
             # Covered by the summary of its relay.
             return
-        self._listener.note_word(peer.name, self._read_clock())
+        self._listener.note_message(peer.name, self._read_clock())
         self._sync.request_missing(link, summary)
         if self.table.is_large and not self.roles.is_relay_candidate:
             # Covered by the relay's fleet summary.
@@ -298,14 +298,14 @@
         if report is None:
             return
         self._sync.request_missing(link, update.summary)
-        if report.asked_at_seconds is not None:
-            self._sync.apply_ages(update, report.asked_at_seconds)
+        if report.own_sent_at_seconds is not None:
+            self._sync.apply_ages(update, report.own_sent_at_seconds)
         if not self.roles.is_relay_candidate:
             # The relay's aggregate is as old as the newest summary of this host that it
             # includes.
             age_seconds = 0.0
-            if report.asked_at_seconds is not None:
-                age_seconds = now_seconds - report.asked_at_seconds
+            if report.own_sent_at_seconds is not None:
+                age_seconds = now_seconds - report.own_sent_at_seconds
             self._scheduler.post(
                 PeerSummaryReceived(
                     FLEET, "", own.incarnation, report.summary, age_seconds
@@ -336,7 +336,7 @@
         if update.holder == self.table.own.name:
             return
         now_seconds = self._read_clock()
-        self._rollout_controller.lease.note_heard(
+        self._rollout_controller.lease.observe_announcement(
             update.holder, update.lease_version, now_seconds
         )
         for event in rollout_events(update, now_seconds):
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -20,7 +20,7 @@
 from rampwick_schema import Members, PeerSettings, Shown, encode_message
 
 from .._errors import PeerError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._metrics import Metrics
 from ._stream import PeerStream
 
@@ -49,7 +49,7 @@
 #: Maximum number of accepted connections, authenticated or not.
 MAX_ACCEPTED_COUNT = 512
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 def _send_nothing(data: bytes) -> bool:
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rampwick_policy import Member, MemberTable, Neighbours, RelayListener
+from rampwick_policy import LivePeers, Member, MemberTable, RelayListener
 from rampwick_schema import Shown
 
 from .._scheduler_task import SchedulerTask
@@ -71,37 +71,39 @@
         now_seconds = self._read_clock()
         if not self.table.is_large:
             return self._scheduler.live_names(now_seconds)
-        alive = self.neighbours().heard
+        alive = self.live_peers().alive
         relays = self.table.relays(self.table.own.hall, now_seconds)
         names = alive | {member.name for member in relays}
         return {
-            name for name in names if not self.table.is_passed_over(name, now_seconds)
+            name
+            for name in names
+            if not self.table.is_marked_unreachable(name, now_seconds)
         }
 
     @property
     def serving_names(self) -> set[str]:
         """Names of the live hosts that are not shutting down."""
         if self.table.is_large:
-            peers = self.neighbours()
-            return self.live_names - (peers.heard - peers.staying)
+            peers = self.live_peers()
+            return self.live_names - (peers.alive - peers.not_draining)
         views = self._scheduler.peer_views(self._read_clock())
         return {view.name for view in views if not view.summary.is_leaving}
 
-    def neighbours(self) -> Neighbours:
+    def live_peers(self) -> LivePeers:
         """Return the live peers, seen directly or reported by the relay."""
         now_seconds = self._read_clock()
         if self.table.is_large and not self.is_relay_candidate:
-            return self.listener.neighbours(now_seconds)
+            return self.listener.live_peers(now_seconds)
         views = self._scheduler.peer_views(now_seconds)
         own_hall = self.table.own.hall
         hall_peers = [view for view in views if view.hall == own_hall]
-        return Neighbours(
+        return LivePeers(
             frozenset(view.name for view in hall_peers),
             frozenset(view.name for view in hall_peers if not view.summary.is_leaving),
             frozenset(view.hall for view in views),
         )
 
-    def cache_reading_peers(self) -> Neighbours:
+    def cache_reading_peers(self) -> LivePeers:
         """Return the peers among which the reading of caches is divided.
 
         Shortly after the start of a large fleet, members that are known but not yet
@@ -109,7 +111,7 @@
         consider themselves alone and request the backlog of all caches, which saturates
         slow links.
         """
-        peers = self.neighbours()
+        peers = self.live_peers()
         age_seconds = self._read_clock() - self._started_seconds
         if (
             peers.halls
@@ -120,7 +122,7 @@
         members = [member for member in self.table if member != self.table.own]
         names = {member.name for member in members if self.is_in_own_group(member)}
         halls = {member.hall for member in members}
-        return Neighbours(frozenset(names), frozenset(names), frozenset(halls))
+        return LivePeers(frozenset(names), frozenset(names), frozenset(halls))
 
     def is_reader(self) -> bool:
         """Return whether this host reads the platform for its group."""
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -11,9 +11,9 @@
 import attrs
 
 from rampwick_policy import (
+    BurstDetector,
     ConfigurationFollower,
-    SummaryDigest,
-    SurgeGate,
+    SummaryAggregator,
     sum_limits,
     without_limits,
 )
@@ -50,9 +50,9 @@
         self._sync = sync
         self._read_clock = read_clock
         #: Aggregates of this hall, for other halls, and of the fleet, for this hall.
-        self._hall_aggregator = SummaryDigest()
-        self._fleet_aggregator = SummaryDigest()
-        self._surges = SurgeGate()
+        self._hall_aggregator = SummaryAggregator()
+        self._fleet_aggregator = SummaryAggregator()
+        self._burst_detector = BurstDetector()
         self._own: Summary | None = None
         self._sequence = 0
         #: Whether summaries announce that this host accepts no new requests.
@@ -73,7 +73,7 @@
         ``has_surged`` makes relays forward it immediately.
         """
         self._sequence += 1
-        summary = self._scheduler.look(
+        summary = self._scheduler.run_query(
             lambda scheduler, now_seconds: scheduler.summary(
                 self._sequence,
                 self._follower.revision,
@@ -87,7 +87,7 @@
             store_era=self._follower.version.store_era,
         )
         self._own = summary
-        self._roles.listener.note_told(summary, self._read_clock())
+        self._roles.listener.note_published(summary, self._read_clock())
         self._links.broadcast(summary, self._roles.is_recipient)
         self.add_host(summary)
 
@@ -99,7 +99,7 @@
         summaries = [
             without_limits(view.summary)
             if view.hall != own.hall
-            and now_seconds - view.heard_at_seconds > HALL_TIMEOUT_SECONDS
+            and now_seconds - view.last_seen_seconds > HALL_TIMEOUT_SECONDS
             else view.summary
             for view in views
         ]
@@ -128,13 +128,13 @@
 
     def is_hall_burst(self) -> bool:
         """Return whether demand in this hall is far above the last published value."""
-        return self._surges.has_grown(sum_limits(self._hall_summaries()))
+        return self._burst_detector.has_grown(sum_limits(self._hall_summaries()))
 
     def publish_hall(self, *, has_surged: bool = False) -> None:
         """Send other halls the aggregate of this hall."""
         own = self._roles.table.own
         summary = self._hall_aggregator.merge(self._hall_summaries(), self._sequence)
-        self._surges.note_told(summary.limits)
+        self._burst_detector.note_published(summary.limits)
         summary = attrs.evolve(summary, has_surged=has_surged)
         message = HallSummary(own.hall, own.name, own.incarnation, summary)
         self._links.broadcast(message, self._roles.is_in_other_group)
--- a/packages/rampwick-router/src/rampwick_router/peers/_sync.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_sync.py
@@ -13,7 +13,7 @@
 
 from rampwick_policy import (
     ConfigurationFollower,
-    TargetsRead,
+    TargetsReceived,
     TreeVersion,
     diff_hosts,
     patch_hosts,
@@ -33,7 +33,7 @@
     TreeReply,
 )
 
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask, HostListTask
 from ._links import Link
@@ -53,7 +53,7 @@
 #: Reported instead of an unknown age.
 MAX_REPORTED_AGE_SECONDS = 1e6
 
-log = PartLogger("peers")
+log = ComponentLogger("peers")
 
 
 @attrs.define(repr=False)
@@ -125,7 +125,9 @@
             fleet.revision_age_seconds,
             fleet.summary.host_list_version,
             fleet.host_list_age_seconds,
-            TargetsRead(tuple(fleet.targets), READER_SOURCE, named=tuple(fleet.named)),
+            TargetsReceived(
+                tuple(fleet.targets), READER_SOURCE, named=tuple(fleet.named)
+            ),
         )
 
     def request_missing(self, link: Link, summary: Summary) -> None:
@@ -205,7 +207,9 @@
             reply.revision_age_seconds,
             reply.host_list_version,
             reply.host_list_age_seconds,
-            TargetsRead(tuple(reply.targets), READER_SOURCE, named=tuple(reply.named)),
+            TargetsReceived(
+                tuple(reply.targets), READER_SOURCE, named=tuple(reply.named)
+            ),
         )
 
     def _confirm(
@@ -215,7 +219,7 @@
         revision_age_seconds: float,
         list_version: int,
         list_age_seconds: float,
-        targets_read: TargetsRead,
+        targets_read: TargetsReceived,
     ) -> None:
         self.answered_at_seconds = self._read_clock()
         is_same = version.revision > 0 and version.is_same(self._follower.version)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -8,23 +8,23 @@
 from rampwick_platform import sleep_on_grid
 from rampwick_policy import (
     CacheChanges,
-    CacheSeen,
-    Life,
+    CacheGeneration,
+    CacheReported,
+    LivePeers,
     Member,
-    Neighbours,
-    SaltBook,
+    SaltTable,
     Scheduler,
     Scope,
+    generation_label,
     is_cache_reader,
-    kept_life,
-    life_label,
     part_key,
+    store_generation,
 )
 from rampwick_schema import DataError, Shown
 
 from .._dialects import CacheDialect, CacheEvents
 from .._errors import AttemptError
-from .._logs import PartLogger
+from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
 from ._channels import ChannelPool
 from ._control import call_upstream
@@ -69,7 +69,7 @@
 STARTUP_SCAN_SECONDS = 0.02
 STARTUP_SECONDS = 3.0
 
-log = PartLogger("cache")
+log = ComponentLogger("cache")
 
 
 @attrs.frozen(repr=False)
@@ -134,9 +134,9 @@
         scheduler: SchedulerTask,
         channels: ChannelPool,
         dialect: CacheDialect,
-        salts: SaltBook,
-        notify_peers: Callable[[CacheSeen], None],
-        list_peers: Callable[[], Neighbours],
+        salts: SaltTable,
+        notify_peers: Callable[[CacheReported], None],
+        list_peers: Callable[[], LivePeers],
     ) -> None:
         self._own = own
         self._scheduler = scheduler
@@ -157,14 +157,14 @@
         """Read until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                wanted = self._scheduler.look(self._list_sources)
+                wanted = self._scheduler.run_query(self._list_sources)
                 for source in self._scopes.keys() - wanted:
                     self._scopes.pop(source).cancel()
                     self._caught_up.discard(source)
                 for source in wanted - self._scopes.keys():
                     scope = self._scopes[source] = anyio.CancelScope()
                     tasks.start_soon(self._follow, source, scope)
-                await sleep_on_grid(self._scheduler.look(self._pause_seconds))
+                await sleep_on_grid(self._scheduler.run_query(self._pause_seconds))
 
     @property
     def is_caught_up(self) -> bool:
@@ -279,7 +279,7 @@
         changes = state.backlog.take()
         state.backlog = None
         if changes:
-            self._notify_peers(CacheSeen(source.name, tuple(changes)))
+            self._notify_peers(CacheReported(source.name, tuple(changes)))
 
     def _note_failure(self, source: CacheSource, state: ReadState, error: str) -> None:
         if state.is_responding:
@@ -296,7 +296,7 @@
         changes = self._translate(source, events)
         if not changes and not is_reset:
             return
-        seen = CacheSeen(source.name, tuple(changes), is_reset)
+        seen = CacheReported(source.name, tuple(changes), is_reset)
         self._scheduler.post(seen)
         if backlog is not None and not is_reset:
             backlog.add(changes)
@@ -328,21 +328,21 @@
 
 def _label(source: CacheSource, version: int) -> str:
     if source.incarnation:
-        return life_label(Life(source.incarnation, version))
-    return life_label(kept_life(version))
+        return generation_label(CacheGeneration(source.incarnation, version))
+    return generation_label(store_generation(version))
 
 
 def _list_scopes(scheduler: Scheduler) -> set[Scope]:
     models = {upstream.model for upstream in scheduler.upstreams if upstream.model}
-    domains = {item.cache_wall for item in scheduler.admission.workspaces.values()}
+    domains = {item.cache_domain for item in scheduler.admission.workspaces.values()}
     return {Scope(domain, model) for domain in domains for model in models}
 
 
 def _list_versions(scheduler: Scheduler) -> set[int]:
     versions = {
-        upstream.life.weights_version
+        upstream.cache_generation.weights_version
         for upstream in scheduler.upstreams
-        if upstream.life is not None and upstream.is_runner
+        if upstream.cache_generation is not None and upstream.is_runner
     }
     newest = {
         target.weights_version for target in scheduler.upstreams.targets.all_newest()
