--- a/tests/test_cache_isolation.py
+++ b/tests/test_cache_isolation.py
@@ -1,4 +1,4 @@
-"""No request relies on entries of a dead engine, another workspace, old weights."""
+"""Isolation of cached entries by engine incarnation, workspace and weights version."""
 
 from unittest import mock
 
@@ -7,7 +7,13 @@
 from hypothesis import given, settings, strategies as st
 from testtools import TestCase
 
-from rampwick_policy import CacheKnowledge, Life, Scope, build_chain, cache_salt
+from rampwick_policy import (
+    CacheGeneration,
+    PrefixCacheIndex,
+    Scope,
+    build_chain,
+    cache_salt,
+)
 from rampwick_schema import Order, PlacedPrefix, unstructure
 from rampwick_standin import EngineFaults
 
@@ -17,8 +23,8 @@
 
 GUIDE = "a long guide that all share. " * 100
 
-OLD = Life("life-1", 1)
-NEW = Life("life-2", 1)
+OLD = CacheGeneration("run-1", 1)
+NEW = CacheGeneration("run-2", 1)
 
 
 def chain_of(text, workspace="/w", model="m", adapter=""):
@@ -42,9 +48,9 @@
         self.assertEqual(0, other.cached_tokens)
         self.assertNotEqual(second.salt, other.salt)
 
-    def test_salt_without_the_workspace_is_caught(self):
+    def test_salt_without_the_workspace_is_detected(self):
         def salt(scope, weights_version, secret):
-            return "one for all"
+            return "constant"
 
         with mock.patch("rampwick_router.entry._model_exchange.cache_salt", salt):
             self.assertRaises(
@@ -53,11 +59,14 @@
             )
 
     def roll_out(self):
-        """Return what a careless engine saw over a rollout in mid-burst."""
+        """Return the answers and attempts of a burst during a rollout.
+
+        The engine wrongly keeps its cache when it loads new weights.
+        """
 
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", load_seconds=0.05)
-            # This engine keeps its cache over a load, as none should.
+            # Unlike a correct engine, this one keeps its cache when it loads weights.
             runner.engine.faults = EngineFaults(keeps_cache=True)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
@@ -78,8 +87,8 @@
                 await until(lambda: runner.engine.weights_version == 2)
                 await until(lambda: weights_at(host) == 2)
                 seen.append(await host.stream(GUIDE))
-            # What callers were given came from each request's last attempt; one that
-            # was found stale reached nobody.
+            # Callers received the answer of each request's last attempt; the answer of
+            # a stale attempt is discarded.
             last = {attempt.text: attempt for attempt in bench.attempts()}
             whole = {saw.prompt.encode() for saw in seen if saw.is_whole}
             return seen, [last[text] for text in last if text in whole]
@@ -92,7 +101,7 @@
         self.assert_holds(check_cache(attempts))
         self.assertEqual({1, 2}, {attempt.weights_version for attempt in attempts})
 
-    def test_salt_without_the_weights_is_caught(self):
+    def test_salt_without_the_weights_is_detected(self):
         def salt(scope, weights_version, secret):
             return cache_salt(scope, 0, secret)
 
@@ -100,18 +109,22 @@
             _, attempts = self.roll_out()
         self.assertNotEqual([], check_cache(attempts))
 
-    def test_engine_that_comes_back_empty_is_not_taken_for_the_old_one(self):
+    def test_restarted_engine_with_an_empty_cache_is_a_new_generation(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             async with bench.run_host() as host:
                 await host.until_ready("lektor-1")
                 await host.stream(GUIDE)
-                knowledge = host.daemon.scheduler._scheduler.knowledge
-                self.assertGreater(knowledge.entries_count(), 0)
-                old = host.upstream("lektor-1").life
+                cache_index = host.daemon.scheduler._scheduler.cache_index
+                self.assertGreater(cache_index.entries_count(), 0)
+                old = host.upstream("lektor-1").cache_generation
                 runner.engine.crash()
-                await until(lambda: host.upstream("lektor-1").life not in (old, None))
-                self.assertEqual(0, knowledge.entries_count())
+                await until(
+                    lambda: (
+                        host.upstream("lektor-1").cache_generation not in (old, None)
+                    )
+                )
+                self.assertEqual(0, cache_index.entries_count())
                 saw = await host.stream(GUIDE + "again")
             self.assertTrue(saw.is_whole)
             return bench.attempts()
@@ -121,54 +134,54 @@
 
 
 def weights_at(host):
-    """Return the weights version that a host knows of the runner."""
-    life = host.upstream("lektor-1").life
-    return life.weights_version if life else None
+    """Return the weights version of the runner as known to a host."""
+    generation = host.upstream("lektor-1").cache_generation
+    return generation.weights_version if generation else None
 
 
-class KnowledgeTest(TestCase):
-    def make_known(self):
-        knowledge = CacheKnowledge(1000)
-        knowledge.observe_life("r", OLD, 100_000)
+class PrefixCacheIndexTest(TestCase):
+    def make_index(self):
+        cache_index = PrefixCacheIndex(1000)
+        cache_index.observe_generation("r", OLD, 100_000)
         chain = chain_of(GUIDE)
-        knowledge.note_prompt("r", OLD, chain)
-        return knowledge, chain
-
-    def test_new_life_drops_all_that_was_known(self):
-        knowledge, chain = self.make_known()
-        self.assertGreater(knowledge.cached_tokens("r", chain), 0)
-        knowledge.observe_life("r", NEW, 100_000)
-        self.assertEqual(0, knowledge.cached_tokens("r", chain))
-
-    def test_news_of_the_old_life_that_comes_late_is_dropped(self):
-        knowledge, chain = self.make_known()
-        knowledge.observe_life("r", NEW, 100_000)
+        cache_index.note_prompt("r", OLD, chain)
+        return cache_index, chain
+
+    def test_new_generation_drops_all_entries(self):
+        cache_index, chain = self.make_index()
+        self.assertGreater(cache_index.cached_tokens("r", chain), 0)
+        cache_index.observe_generation("r", NEW, 100_000)
+        self.assertEqual(0, cache_index.cached_tokens("r", chain))
+
+    def test_late_report_of_an_old_generation_is_ignored(self):
+        cache_index, chain = self.make_index()
+        cache_index.observe_generation("r", NEW, 100_000)
         prefixes = [checkpoint.prefix for checkpoint in chain.checkpoints]
-        late = PlacedPrefix("r", "life-1/1", prefixes, [16] * len(prefixes))
-        knowledge.note_reported(late)
-        knowledge.note_prompt("r", OLD, chain)
-        self.assertEqual(0, knowledge.cached_tokens("r", chain))
+        late = PlacedPrefix("r", "run-1/1", prefixes, [16] * len(prefixes))
+        cache_index.note_reported(late)
+        cache_index.note_prompt("r", OLD, chain)
+        self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
-    def test_other_weights_are_another_life(self):
-        knowledge, chain = self.make_known()
-        knowledge.observe_life("r", Life("life-1", 2), 100_000)
-        self.assertEqual(0, knowledge.cached_tokens("r", chain))
+    def test_other_weights_are_another_generation(self):
+        cache_index, chain = self.make_index()
+        cache_index.observe_generation("r", CacheGeneration("run-1", 2), 100_000)
+        self.assertEqual(0, cache_index.cached_tokens("r", chain))
 
     def test_entries_are_bounded(self):
-        knowledge = CacheKnowledge(50)
-        knowledge.observe_life("r", OLD, 10**9)
+        cache_index = PrefixCacheIndex(50)
+        cache_index.observe_generation("r", OLD, 10**9)
         for number in range(100):
-            knowledge.note_prompt("r", OLD, chain_of(f"{number} " * 400))
-        self.assertLessEqual(knowledge.entries_count(), 50)
+            cache_index.note_prompt("r", OLD, chain_of(f"{number} " * 400))
+        self.assertLessEqual(cache_index.entries_count(), 50)
 
-    def test_least_recently_used_prompt_is_thought_evicted(self):
-        knowledge = CacheKnowledge(1000)
+    def test_least_recently_used_prompt_is_assumed_evicted(self):
+        cache_index = PrefixCacheIndex(1000)
         prompts = [chain_of(f"{number} " * 400) for number in range(4)]
-        knowledge.observe_life("r", OLD, prompts[0].total_tokens * 2)
+        cache_index.observe_generation("r", OLD, prompts[0].total_tokens * 2)
         for prompt in prompts:
-            knowledge.note_prompt("r", OLD, prompt)
-        self.assertEqual(0, knowledge.cached_tokens("r", prompts[0]))
-        self.assertGreater(knowledge.cached_tokens("r", prompts[3]), 0)
+            cache_index.note_prompt("r", OLD, prompt)
+        self.assertEqual(0, cache_index.cached_tokens("r", prompts[0]))
+        self.assertGreater(cache_index.cached_tokens("r", prompts[3]), 0)
 
 
 TEXTS = st.text("ab", min_size=0, max_size=600)
@@ -177,7 +190,7 @@
 class PrefixTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(TEXTS, TEXTS, TEXTS)
-    def test_common_checkpoints_mean_a_common_beginning(self, shared, one, two):
+    def test_common_checkpoints_mean_a_common_prefix(self, shared, one, two):
         first, second = chain_of(shared + one), chain_of(shared + two)
         depths = {item.prefix: item.tokens for item in first.checkpoints}
         for checkpoint in second.checkpoints:
@@ -198,7 +211,7 @@
         prefixes = [item.prefix for chain in chains for item in chain.checkpoints]
         self.assertEqual(len(prefixes), len(set(prefixes)))
 
-    def test_salt_tells_workspaces_and_weights_apart(self):
+    def test_salts_differ_by_workspace_and_weights(self):
         scopes = [Scope("/a", "m"), Scope("/b", "m")]
         salts = {
             cache_salt(scope, weights, "s") for scope in scopes for weights in (1, 2)
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -6,13 +6,13 @@
 from testtools import TestCase
 
 from rampwick_policy import (
-    CacheBox,
     CacheChanges,
-    CacheSeen,
+    CacheEventBuffer,
+    CacheReported,
     Member,
     MemberTable,
     Scheduler,
-    TargetsRead,
+    TargetsReceived,
 )
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._cache_outbox import CacheOutbox
@@ -25,7 +25,7 @@
 
 def seen(upstream, tokens, label="one/1", is_reset=False):
     changes = CacheChanges(label, tuple(tokens), tuple(tokens.values()))
-    return CacheSeen(upstream, (changes,), is_reset)
+    return CacheReported(upstream, (changes,), is_reset)
 
 
 def apply_to(known, events):
@@ -44,7 +44,7 @@
 class BatchTest(TestCase):
     @given(st.lists(st.tuples(NAMES, CHANGES, st.booleans()), max_size=12))
     def test_a_batch_is_equivalent_to_the_events_it_combines(self, steps):
-        buffer = CacheBox()
+        buffer = CacheEventBuffer()
         events = [seen(name, tokens, is_reset=reset) for name, tokens, reset in steps]
         for event in events:
             buffer.add(event)
@@ -53,7 +53,7 @@
         self.assertEqual(apply_to(dict(before), events), apply_to(dict(before), batch))
 
     def test_events_are_returned_once(self):
-        buffer = CacheBox()
+        buffer = CacheEventBuffer()
         buffer.add(seen("a", {b"x" * 8: 5}))
         self.assertEqual(1, len(buffer.take()))
         self.assertEqual([], buffer.take())
@@ -146,7 +146,7 @@
     def __init__(self):
         self.log = []
         self.pool = self
-        self.notices = self
+        self.state_changes = self
         self.task = None
 
     def take(self):
@@ -179,8 +179,8 @@
         async def scenario():
             settings = parse_settings('[host]\nname = "e"\nhall = "h"\n', source="t")
             task = SchedulerTask(Scheduler(settings), lambda: 7.0)
-            task.post(TargetsRead((WeightsTarget("m", 3),)))
-            return task.look(
+            task.post(TargetsReceived((WeightsTarget("m", 3),)))
+            return task.run_query(
                 lambda scheduler, now_seconds: (
                     scheduler.upstreams.targets.newest("m"),
                     now_seconds,
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -1,4 +1,4 @@
-"""What is known of caches: parts, engines' own word, imports, saves, salts."""
+"""Estimated cache contents: named parts, engine reports, imports, saves and salts."""
 
 from hypothesis import given, settings, strategies as st
 from testtools import TestCase
@@ -6,29 +6,29 @@
 from rampwick_policy import (
     AttemptDelivered,
     CacheChanges,
-    CacheKnowledge,
-    CacheSeen,
+    CacheGeneration,
+    CacheReported,
     HostListRead,
-    Life,
+    LivePeers,
     Member,
-    Neighbours,
     PeerSummaryReceived,
+    PrefixCacheIndex,
     PromptPart,
     RequestArrived,
-    SaltBook,
+    SaltTable,
     Scheduler,
     Scope,
-    TreeInForce,
+    TreeChanged,
     TreeView,
     chain_from_parts,
+    generation_label,
     is_cache_reader,
-    kept_life,
-    life_label,
     part_key,
+    store_generation,
 )
-from rampwick_policy._imports import SETUP_SECONDS, ImportSource
-from rampwick_policy._kept import KeptKnowledge
-from rampwick_policy._moves import MOVES_LABEL, Move
+from rampwick_policy._cache_imports import SETUP_SECONDS, ImportSource
+from rampwick_policy._cache_transfers import TRANSFERS_LABEL, CacheTransfer
+from rampwick_policy._kv_store_contents import KvStoreContents
 from rampwick_schema import (
     HostEntry,
     HostList,
@@ -57,17 +57,17 @@
 class PartsTest(TestCase):
     def setUp(self):
         super().setUp()
-        self.knowledge = CacheKnowledge(1000)
-        self.life = Life("one", 1)
-        self.knowledge.observe_life("r", self.life, 100_000)
+        self.cache_index = PrefixCacheIndex(1000)
+        self.generation = CacheGeneration("one", 1)
+        self.cache_index.observe_generation("r", self.generation, 100_000)
 
     def change(self, prefix, tokens, label="one/1"):
-        self.knowledge.note_changes("r", label, [prefix], [tokens])
+        self.cache_index.note_changes("r", label, [prefix], [tokens])
 
     def held(self):
-        return self.knowledge.cached_tokens("r", chain())
+        return self.cache_index.cached_tokens("r", chain())
 
-    def test_a_part_counts_if_all_before_it_are_whole(self):
+    def test_part_counts_only_after_complete_parts(self):
         self.change(THING, 3700)
         self.assertEqual(0, self.held())
         self.change(GUIDE, 2500)
@@ -75,71 +75,71 @@
         self.change(GUIDE, 128)
         self.assertEqual(128, self.held())
 
-    def test_what_was_placed_is_corrected_by_the_engines_word(self):
-        self.knowledge.note_prompt("r", self.life, chain())
+    def test_engine_report_corrects_the_entries_of_a_placement(self):
+        self.cache_index.note_prompt("r", self.generation, chain())
         self.assertEqual(7100, self.held())
         self.change(THING, 0)
         self.assertEqual(2500, self.held())
 
-    def test_word_of_another_life_is_dropped(self):
+    def test_report_of_another_generation_is_ignored(self):
         self.change(GUIDE, 2500, label="one/2")
         self.assertEqual(0, self.held())
 
-    def test_the_last_part_is_nobody_elses(self):
+    def test_last_part_is_not_shared(self):
         levels = chain().levels
         self.assertEqual([2500, 6200], [level.tokens for level in levels])
-        self.assertEqual(THING, chain().home_key)
+        self.assertEqual(THING, chain().affinity_key)
 
     @settings(derandomize=True, deadline=None)
     @given(
         st.lists(st.tuples(st.sampled_from([GUIDE, THING, OWN]), st.integers(0, 4000)))
     )
-    def test_no_more_is_held_than_the_prompt_has(self, changes):
-        knowledge = CacheKnowledge(1000)
-        knowledge.observe_life("r", self.life, 100_000)
+    def test_cached_tokens_do_not_exceed_the_prompt(self, changes):
+        cache_index = PrefixCacheIndex(1000)
+        cache_index.observe_generation("r", self.generation, 100_000)
         for prefix, tokens in changes:
-            knowledge.note_changes("r", "one/1", [prefix], [tokens])
-        self.assertTrue(0 <= knowledge.cached_tokens("r", chain()) <= 7100)
-
-
-class KeptKnowledgeTest(TestCase):
-    def test_a_save_is_believed_for_a_while_and_the_stores_word_until_it_changes(self):
-        kept = KeptKnowledge()
-        kept.note_saved(1, GUIDE, 2500, 10.0)
-        self.assertEqual(2500, kept.tokens(1, GUIDE, 20.0))
-        self.assertEqual(0, kept.tokens(1, GUIDE, 30.0))
-        kept.note_change(1, GUIDE, 2500, 30.0)
-        self.assertEqual(2500, kept.tokens(1, GUIDE, 3000.0))
-        kept.note_change(1, GUIDE, 0, 3001.0)
-        self.assertEqual(0, kept.tokens(1, GUIDE, 3001.0))
-
-    def test_versions_are_kept_apart(self):
-        kept = KeptKnowledge()
-        kept.note_change(1, GUIDE, 2500, 10.0)
-        self.assertEqual(0, kept.tokens(2, GUIDE, 10.0))
-
-    def test_a_beginning_counts_as_far_as_it_is_whole(self):
-        kept = KeptKnowledge()
-        kept.note_change(1, GUIDE, 2500, 10.0)
-        kept.note_change(1, THING, 1000, 10.0)
-        self.assertEqual(3500, kept.held_tokens(1, chain(), 10.0))
-
-
-class SaltBookTest(TestCase):
-    def test_salts_of_walls_models_and_versions_differ_and_are_found_again(self):
-        book = SaltBook("secret")
-        scopes = [Scope(wall, model) for wall in "ab" for model in "mn"]
-        book.prepare(scopes, [1, 2])
-        salts = {book.salt(scope, version) for scope in scopes for version in (1, 2)}
+            cache_index.note_changes("r", "one/1", [prefix], [tokens])
+        self.assertTrue(0 <= cache_index.cached_tokens("r", chain()) <= 7100)
+
+
+class KvStoreContentsTest(TestCase):
+    def test_saved_entry_expires_and_reported_entry_stays_until_changed(self):
+        contents = KvStoreContents()
+        contents.note_saved(1, GUIDE, 2500, 10.0)
+        self.assertEqual(2500, contents.tokens(1, GUIDE, 20.0))
+        self.assertEqual(0, contents.tokens(1, GUIDE, 30.0))
+        contents.note_change(1, GUIDE, 2500, 30.0)
+        self.assertEqual(2500, contents.tokens(1, GUIDE, 3000.0))
+        contents.note_change(1, GUIDE, 0, 3001.0)
+        self.assertEqual(0, contents.tokens(1, GUIDE, 3001.0))
+
+    def test_weights_versions_are_separate(self):
+        contents = KvStoreContents()
+        contents.note_change(1, GUIDE, 2500, 10.0)
+        self.assertEqual(0, contents.tokens(2, GUIDE, 10.0))
+
+    def test_prefix_counts_up_to_a_partial_part(self):
+        contents = KvStoreContents()
+        contents.note_change(1, GUIDE, 2500, 10.0)
+        contents.note_change(1, THING, 1000, 10.0)
+        self.assertEqual(3500, contents.held_tokens(1, chain(), 10.0))
+
+
+class SaltTableTest(TestCase):
+    def test_salts_of_scopes_and_versions_differ_and_map_back_to_them(self):
+        table = SaltTable("secret")
+        scopes = [Scope(workspace, model) for workspace in "ab" for model in "mn"]
+        table.prepare(scopes, [1, 2])
+        salts = {table.salt(scope, version) for scope in scopes for version in (1, 2)}
         self.assertEqual(8, len(salts))
-        found = book.find(book.salt(scopes[0], 2))
+        found = table.find(table.salt(scopes[0], 2))
         self.assertEqual((scopes[0], 2), (found.scope, found.weights_version))
-        self.assertIsNone(book.find("a stranger's"))
+        self.assertIsNone(table.find("unknown"))
 
     def test_hosts_with_one_secret_choose_the_same_salts(self):
-        one, two = SaltBook("secret"), SaltBook("secret")
+        one, two = SaltTable("secret"), SaltTable("secret")
         self.assertEqual(one.salt(SCOPE, 3), two.salt(SCOPE, 3))
-        self.assertNotEqual(one.salt(SCOPE, 3), SaltBook("other").salt(SCOPE, 3))
+        self.assertNotEqual(one.salt(SCOPE, 3), SaltTable("other").salt(SCOPE, 3))
 
 
 class CacheReaderRoleTest(TestCase):
@@ -147,9 +147,13 @@
         found = []
         for name, hall in hosts:
             own = Member(name, hall, "")
-            mates = frozenset(other for other, its in hosts if its == hall) - {name}
-            near = Neighbours(mates, mates, frozenset(its for _, its in hosts))
-            if is_cache_reader(own, "runner", upstream_hall, near):
+            hall_peers = frozenset(
+                other for other, other_hall in hosts if other_hall == hall
+            ) - {name}
+            peers = LivePeers(
+                hall_peers, hall_peers, frozenset(other_hall for _, other_hall in hosts)
+            )
+            if is_cache_reader(own, "runner", upstream_hall, peers):
                 found.append((name, hall))
         return found
 
@@ -158,7 +162,7 @@
         (reader,) = self.readers(hosts, "hall-1")
         self.assertEqual("hall-1", reader[1])
 
-    def test_one_of_all_reads_where_the_hall_has_no_host(self):
+    def test_one_of_all_hosts_reads_for_a_hall_without_hosts(self):
         hosts = [(f"h{number}", f"hall-{number % 3}") for number in range(9)]
         self.assertEqual(1, len(self.readers(hosts, "hall-9")))
 
@@ -187,7 +191,7 @@
             1, nodes, Routing(services=[service], kept_stores=list(self.stores))
         )
         self.view = TreeView(tree)
-        self.scheduler.handle(TreeInForce(self.view), 0.0)
+        self.scheduler.handle(TreeChanged(self.view), 0.0)
         self.list_runners(("a", 1), ("b", 1))
 
     def list_runners(self, *versions):
@@ -208,10 +212,10 @@
         read = HostListRead(HostList(len(entries), entries))
         self.scheduler.handle(read, 0.0)
 
-    def tell(self, name, label, *changes):
+    def report(self, name, label, *changes):
         prefixes, tokens = zip(*changes, strict=True)
-        seen = CacheSeen(name, (CacheChanges(label, prefixes, tokens),))
-        self.scheduler.handle(seen, 1.0)
+        event = CacheReported(name, (CacheChanges(label, prefixes, tokens),))
+        self.scheduler.handle(event, 1.0)
 
     def arrive(self, request_id="r1", parts=None):
         event = RequestArrived(
@@ -229,14 +233,18 @@
 
 
 class ImportTest(ImportCase):
-    """Where a prompt goes, and from where its runner takes what it lacks."""
+    """Placement of a prompt, and the source from which its runner imports."""
 
-    def test_a_prompt_goes_where_it_is_held(self):
-        self.tell("b", life_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
+    def test_prompt_is_placed_where_it_is_cached(self):
+        self.report(
+            "b", generation_label(CacheGeneration("b", 1)), (GUIDE, 2500), (THING, 3700)
+        )
         self.assertEqual("b", self.arrive().upstream)
 
-    def test_a_busy_holder_is_imported_from(self):
-        self.tell("b", life_label(Life("b", 1)), (GUIDE, 2500), (THING, 3700))
+    def test_prompt_is_imported_from_a_busy_holder(self):
+        self.report(
+            "b", generation_label(CacheGeneration("b", 1)), (GUIDE, 2500), (THING, 3700)
+        )
         holder = self.scheduler.upstreams.get("b")
         for number in range(64):
             holder.start(f"x{number}", 5000, 1.0)
@@ -249,92 +257,108 @@
 
     def test_nothing_is_imported_from_other_weights(self):
         self.list_runners(("a", 1), ("b", 1), ("old", 0))
-        self.tell("old", life_label(Life("old", 0)), (GUIDE, 2500), (THING, 3700))
+        self.report(
+            "old",
+            generation_label(CacheGeneration("old", 0)),
+            (GUIDE, 2500),
+            (THING, 3700),
+        )
         holder = self.scheduler.upstreams.get("old")
         for number in range(64):
             holder.start(f"x{number}", 5000, 1.0)
         self.assertEqual("10.9.0.1:1", self.arrive().import_address)
 
-    def test_the_store_is_asked_when_nobody_is_known_to_hold_anything(self):
+    def test_store_is_queried_when_no_cache_is_known_to_hold_the_prompt(self):
         self.assertEqual("10.9.0.1:1", self.arrive().import_address)
 
-    def test_a_shared_part_is_saved_once(self):
+    def test_shared_part_is_saved_once(self):
         self.assertEqual("10.9.0.1:1", self.arrive("r1").save_address)
         self.assertEqual("", self.arrive("r2").save_address)
 
-    def test_what_the_store_tells_it_holds_is_not_saved_again(self):
-        self.tell("kept", life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
+    def test_entry_reported_by_the_store_is_not_saved_again(self):
+        self.report(
+            "kept", generation_label(store_generation(1)), (GUIDE, 2500), (THING, 3700)
+        )
         dispatch = self.arrive()
         self.assertEqual("", dispatch.save_address)
         self.assertEqual(6200, dispatch.choice.imported_tokens)
 
-    def test_a_store_that_came_back_empty_is_saved_to_again(self):
-        self.tell("kept", life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
-        self.scheduler.handle(CacheSeen("kept", (), is_reset=True), 2.0)
+    def test_prompt_is_saved_again_after_a_store_reset(self):
+        self.report(
+            "kept", generation_label(store_generation(1)), (GUIDE, 2500), (THING, 3700)
+        )
+        self.scheduler.handle(CacheReported("kept", (), is_reset=True), 2.0)
         self.assertEqual("10.9.0.1:1", self.arrive().save_address)
 
-    def test_peers_saves_count(self):
+    def test_save_of_a_peer_is_not_repeated(self):
         other = Scheduler(
             parse_settings('[host]\nname = "f"\nhall = "h"\n', source="t")
         )
         other.pool.imports.apply(self.view.routes)
         self.arrive("r1")
-        told = self.scheduler.summary(1, 1, False, 1.0).placed
-        saved = [item for item in told if item.upstream == "kept"]
+        published = self.scheduler.summary(1, 1, False, 1.0).placed
+        saved = [item for item in published if item.upstream == "kept"]
         self.assertEqual(1, len(saved))
         other.pool.imports.note_reported(saved[0], 1.0)
-        self.assertIsNone(other.pool.imports.take_store(1, chain(), 1.0))
+        self.assertIsNone(other.pool.imports.select_store(1, chain(), 1.0))
 
 
-class QueueAtLinkTest(ImportCase):
-    """What moves from a cache already is waited for, so short prompts do without."""
+class LinkQueueTest(ImportCase):
+    """Imports wait for transfers in progress, so short prompts are computed instead."""
 
     SHORT = (PromptPart(b"style", 100), PromptPart(b"own", 400))
 
     def setUp(self):
         super().setUp()
-        # At 5.9 us a token the store's link is busy for 0.3 s.
-        self.scheduler.pool.moves.begin("x", Move("kept", "a", 50_000))
+        # At 5.9 us per token the store's link is busy for 0.3 s.
+        self.scheduler.pool.cache_transfers.begin(
+            "x", CacheTransfer("kept", "a", 50_000)
+        )
 
-    def test_a_short_prompt_is_computed_instead(self):
+    def test_short_prompt_is_computed_instead(self):
         self.assertEqual("", self.arrive(parts=self.SHORT).import_address)
 
-    def test_a_long_one_waits_for_its_cache(self):
+    def test_long_prompt_waits_for_its_import(self):
         self.assertEqual("10.9.0.1:1", self.arrive().import_address)
 
-    def test_a_short_one_takes_from_an_idle_link(self):
-        self.scheduler.pool.moves.end("x")
+    def test_short_prompt_is_imported_over_an_idle_link(self):
+        self.scheduler.pool.cache_transfers.end("x")
         dispatch = self.arrive(parts=self.SHORT)
         self.assertEqual("10.9.0.1:1", dispatch.import_address)
 
-    def test_peers_are_told_and_count(self):
-        told = self.scheduler.summary(1, 1, False, 1.0).upstreams
+    def test_transfers_of_peers_are_published_and_counted(self):
+        published = self.scheduler.summary(1, 1, False, 1.0).upstreams
         self.assertEqual(
-            [("a", MOVES_LABEL, 50_000), ("kept", MOVES_LABEL, 50_000)],
-            [(item.upstream, item.incarnation, item.waiting_tokens) for item in told],
+            [("a", TRANSFERS_LABEL, 50_000), ("kept", TRANSFERS_LABEL, 50_000)],
+            [
+                (item.upstream, item.incarnation, item.waiting_tokens)
+                for item in published
+            ],
         )
-        summary = Summary(1, 1, 1, False, [], told, [])
+        summary = Summary(1, 1, 1, False, [], published, [])
         self.scheduler.handle(PeerSummaryReceived("p", "h", 1, summary), 1.0)
-        self.assertEqual(100_000, self.scheduler.pool.moves.waiting_tokens("kept"))
+        self.assertEqual(
+            100_000, self.scheduler.pool.cache_transfers.waiting_tokens("kept")
+        )
 
-    def test_a_move_counts_until_the_answer_begins(self):
+    def test_transfer_counts_until_the_answer_starts(self):
         dispatch = self.arrive("r1")
-        moves = self.scheduler.pool.moves
-        self.assertGreater(moves.waiting_tokens("kept"), 50_000)
+        cache_transfers = self.scheduler.pool.cache_transfers
+        self.assertGreater(cache_transfers.waiting_tokens("kept"), 50_000)
         self.scheduler.handle(AttemptDelivered("r1", dispatch.attempt_id), 1.5)
-        self.assertEqual(50_000, moves.waiting_tokens("kept"))
+        self.assertEqual(50_000, cache_transfers.waiting_tokens("kept"))
 
 
-class FarMoveTest(TestCase):
-    def test_a_move_between_halls_takes_twice_as_long(self):
+class CrossHallTransferTest(TestCase):
+    def test_transfer_between_halls_takes_twice_as_long(self):
         source = ImportSource("s", "s:1", 5000, 1e-5, 1, hall="h")
-        near, far = source.seconds(0, "h"), source.seconds(0, "k")
-        self.assertAlmostEqual(2 * (near - SETUP_SECONDS), far - SETUP_SECONDS)
+        peers, far = source.seconds(0, "h"), source.seconds(0, "k")
+        self.assertAlmostEqual(2 * (peers - SETUP_SECONDS), far - SETUP_SECONDS)
         self.assertEqual(0.0, source.seconds(5000, "k"))
 
 
 class SeveralStoresTest(ImportCase):
-    """Each store holds its own, and any may be asked."""
+    """Each prompt is saved to one of several stores, and any may be queried."""
 
     stores = tuple(
         KeptStore(f"kept-{hall}", f"{hall}:1", hall, 600_000, 25e9) for hall in "hij"
@@ -346,29 +370,38 @@
         self.store = "kept-" + first.save_address.partition(":")[0]
         self.address = first.save_address
         for name in "ab":
-            self.tell(name, life_label(Life(name, 1)), (GUIDE, 0), (THING, 0))
+            self.report(
+                name, generation_label(CacheGeneration(name, 1)), (GUIDE, 0), (THING, 0)
+            )
         self.others = [store for store in self.stores if store.address != self.address]
 
-    def test_a_prompt_is_saved_to_one_store_and_imported_from_there(self):
+    def test_prompt_is_saved_to_one_store_and_imported_from_it(self):
         dispatch = self.arrive()
         self.assertEqual("", dispatch.save_address)
         self.assertEqual(self.address, dispatch.import_address)
 
-    def test_a_prompt_is_imported_from_the_store_that_told_of_it(self):
-        self.scheduler.handle(CacheSeen(self.store, (), is_reset=True), 2.0)
+    def test_prompt_is_imported_from_the_store_that_reported_it(self):
+        self.scheduler.handle(CacheReported(self.store, (), is_reset=True), 2.0)
         other = self.others[0]
-        self.tell(other.name, life_label(kept_life(1)), (GUIDE, 2500), (THING, 3700))
+        self.report(
+            other.name,
+            generation_label(store_generation(1)),
+            (GUIDE, 2500),
+            (THING, 3700),
+        )
         dispatch = self.arrive()
         self.assertEqual(other.address, dispatch.import_address)
         self.assertEqual(6200, dispatch.choice.imported_tokens)
 
-    def test_one_store_that_came_back_empty_says_nothing_of_another(self):
-        self.scheduler.handle(CacheSeen(self.others[0].name, (), is_reset=True), 2.0)
+    def test_reset_of_one_store_does_not_affect_another(self):
+        self.scheduler.handle(
+            CacheReported(self.others[0].name, (), is_reset=True), 2.0
+        )
         self.assertEqual("", self.arrive().save_address)
 
-    def test_a_store_that_dropped_a_part_is_not_the_one_that_has_it(self):
-        label = life_label(kept_life(1))
-        self.tell(self.store, label, (GUIDE, 2500), (THING, 3700))
-        self.tell(self.others[0].name, label, (GUIDE, 0), (THING, 0))
+    def test_part_dropped_by_one_store_is_imported_from_another(self):
+        label = generation_label(store_generation(1))
+        self.report(self.store, label, (GUIDE, 2500), (THING, 3700))
+        self.report(self.others[0].name, label, (GUIDE, 0), (THING, 0))
         self.assertEqual(self.address, self.arrive().import_address)
         self.assertEqual("", self.arrive("r2").save_address)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -16,7 +16,7 @@
     MemberTable,
     PeerSummaryReceived,
     Scheduler,
-    TargetsRead,
+    TargetsReceived,
     TargetWeights,
 )
 from rampwick_router._assembly import Assembly, Clocks
@@ -66,7 +66,7 @@
         return self.now_seconds
 
     def receive_targets(self, *targets):
-        self.scheduler.post(TargetsRead(targets))
+        self.scheduler.post(TargetsReceived(targets))
 
 
 @attrs.define
@@ -194,7 +194,7 @@
         async def main():
             daemon = make_daemon(Member("h0", "h", "h0:1"))
             if is_holder:
-                lease = daemon.steward.lease
+                lease = daemon.rollout_controller.lease
                 record = LeaseRecord("h0", "w", 10.0)
                 lease.note_written(record, 7, write_began_seconds=NOW_SECONDS)
             link = RecordingLink(peer=Member("h1", "h", "h1:1"))
@@ -243,7 +243,7 @@
                     daemon.scheduler.post(
                         PeerSummaryReceived(member.name, "h", 1, summary)
                     )
-            return daemon.steward.is_candidate()
+            return daemon.rollout_controller.is_candidate()
 
         return anyio.run(main)
 
@@ -289,7 +289,7 @@
     def is_open(self, host, seconds):
         host.now_seconds += seconds
         upstreams = host.scheduler._scheduler.upstreams
-        return upstreams.is_open(upstreams.get("r"), host.now_seconds)
+        return upstreams.is_eligible(upstreams.get("r"), host.now_seconds)
 
     def sync(self, sender, receiver):
         request, reply = RecordingLink(), RecordingLink()
@@ -298,7 +298,7 @@
         receiver.sync.handle(request, reply.messages[0])
 
     def read(self, host, *targets, **options):
-        event = TargetsRead(targets, read_at_seconds=host.now_seconds, **options)
+        event = TargetsReceived(targets, read_at_seconds=host.now_seconds, **options)
         host.scheduler.post(event)
 
     def observer(self, *versions):
@@ -354,7 +354,7 @@
     OLD, NEW = WeightsTarget("m", 1), WeightsTarget("m", 2)
 
     def weights(self):
-        return TargetWeights(guessed_age_seconds=10.0)
+        return TargetWeights(assumed_age_seconds=10.0)
 
     def state(self, weights, now_seconds):
         """Return how long version 1 is outdated, and whether the change is sent."""
@@ -418,7 +418,9 @@
         # A model that no other test uses: the first log destination receives buffered
         # lines.
         target = WeightsTarget("logged", 3)
-        event = TargetsRead((target,), "read from the platform", read_at_seconds=99.5)
+        event = TargetsReceived(
+            (target,), "read from the platform", read_at_seconds=99.5
+        )
         with self.capture_logs() as lines:
             host.scheduler.post(event)
             host.scheduler.post(event)
@@ -431,8 +433,8 @@
         host = Host()
         host.receive_targets(WeightsTarget("m", 3))
         self.assertEqual(math.inf, host.scheduler.targets_age_seconds())
-        host.scheduler.post(TargetsRead((), read_at_seconds=99.5))
-        host.scheduler.post(TargetsRead((), read_at_seconds=99.0))
+        host.scheduler.post(TargetsReceived((), read_at_seconds=99.5))
+        host.scheduler.post(TargetsReceived((), read_at_seconds=99.0))
         self.assertEqual(0.5, host.scheduler.targets_age_seconds())
 
     def test_older_targets_that_arrive_late_are_ignored(self):
--- a/tests/test_routed.py
+++ b/tests/test_routed.py
@@ -1,4 +1,4 @@
-"""Requests on routes, end to end: one final answer, its own, and no run too many."""
+"""End-to-end tests of requests on routes: response integrity and retry rules."""
 
 import hashlib
 from collections import Counter
@@ -14,69 +14,71 @@
 
 from .scripted import KEY, Hangup, list_upstream, make_tree, run_routed
 
-STUCK_SECONDS = 30.0
+TEST_TIMEOUT_SECONDS = 30.0
 
 
 def run(scenario, upstreams=None, **options):
     """Run a scenario with a host and its upstreams."""
 
     async def main():
-        with anyio.fail_after(STUCK_SECONDS):
+        with anyio.fail_after(TEST_TIMEOUT_SECONDS):
             async with run_routed(
                 upstreams or {"labels": ["a", "b"], "notes": ["c", "d"]}, **options
-            ) as (host, found):
-                return await scenario(host, found)
+            ) as (host, servers):
+                return await scenario(host, servers)
 
     return anyio.run(main)
 
 
-def ran(found):
-    """Return the names of the upstreams that saw a request, in no order."""
-    return sorted(name for name, item in found.items() for _ in item.requests)
+def ran(servers):
+    """Return the sorted names of upstreams, one for each request received."""
+    return sorted(name for name, item in servers.items() for _ in item.requests)
 
 
-def all_scripts(found, *scripts):
-    """Give every upstream the same scripts."""
-    for upstream in found.values():
+def all_scripts(servers, *scripts):
+    """Set the same scripts for every upstream."""
+    for upstream in servers.values():
         upstream.scripts = list(scripts)
 
 
-async def cut(exchange):
-    """Close without an answer."""
+async def close_connection(exchange):
+    """Close the connection without a response."""
     raise Hangup
 
 
 async def refuse(exchange):
-    """Say that the request was not run."""
+    """Respond that the request was not run."""
     await exchange.answer(b"", 503, b"Rampwick-Not-Run: refused")
 
 
 async def misdirect(exchange):
-    """Say that the request is for another upstream."""
+    """Respond that the request is for another upstream."""
     await exchange.answer(b"", 421, b"Rampwick-Not-Run: misdirected")
 
 
 class ForwardingTest(TestCase):
-    def test_method_path_query_and_body_go_on_unchanged(self):
-        async def scenario(host, found):
-            answer = await host.call(
+    def test_method_path_query_and_body_are_forwarded_unchanged(self):
+        async def scenario(host, servers):
+            response = await host.call(
                 "/once/a%2Fb?x=1&y=%20", body=b"\x00body", headers={"X-Own": "kept"}
             )
-            (seen,) = [item for one in found.values() for item in one.requests]
-            return answer, seen
+            (received,) = [item for one in servers.values() for item in one.requests]
+            return response, received
 
-        answer, seen = run(scenario)
+        response, received = run(scenario)
         self.assertEqual(
-            (200, b"done", True), (answer.status, answer.body, answer.is_whole)
+            (200, b"done", True), (response.status, response.body, response.is_whole)
         )
-        self.assertEqual(("POST", "/once/a%2Fb?x=1&y=%20"), (seen.method, seen.target))
-        self.assertEqual(b"\x00body", seen.body)
-        self.assertEqual("kept", seen.headers["x-own"])
-        self.assertNotIn("authorization", seen.headers)
-        self.assertEqual("t", seen.headers["rampwick-workspace"])
-
-    def test_what_a_caller_must_not_set_is_dropped(self):
-        async def scenario(host, found):
+        self.assertEqual(
+            ("POST", "/once/a%2Fb?x=1&y=%20"), (received.method, received.target)
+        )
+        self.assertEqual(b"\x00body", received.body)
+        self.assertEqual("kept", received.headers["x-own"])
+        self.assertNotIn("authorization", received.headers)
+        self.assertEqual("t", received.headers["rampwick-workspace"])
+
+    def test_reserved_headers_from_callers_are_dropped(self):
+        async def scenario(host, servers):
             forged = {
                 "Rampwick-Workspace": "other",
                 "Rampwick-Cache-Salt": "x",
@@ -86,30 +88,32 @@
                 "X-Hop": "1",
             }
             await host.call("/once/1", headers=forged)
-            (seen,) = [item for one in found.values() for item in one.requests]
-            return seen
-
-        seen = run(scenario)
-        self.assertEqual("t", seen.headers["rampwick-workspace"])
-        self.assertNotIn("rampwick-cache-salt", seen.headers)
-        self.assertNotIn("rampwick-save-to", seen.headers)
-        self.assertNotIn("x-hop", seen.headers)
-        self.assertEqual(seen.upstream.name, seen.headers["rampwick-incarnation"])
-
-    def test_an_upstreams_own_failure_goes_through_as_it_is(self):
-        async def scenario(host, found):
+            (received,) = [item for one in servers.values() for item in one.requests]
+            return received
+
+        received = run(scenario)
+        self.assertEqual("t", received.headers["rampwick-workspace"])
+        self.assertNotIn("rampwick-cache-salt", received.headers)
+        self.assertNotIn("rampwick-save-to", received.headers)
+        self.assertNotIn("x-hop", received.headers)
+        self.assertEqual(
+            received.upstream.name, received.headers["rampwick-incarnation"]
+        )
+
+    def test_error_response_of_upstream_is_forwarded_unchanged(self):
+        async def scenario(host, servers):
             async def fail(exchange):
                 await exchange.answer(b"broken", 500)
 
-            all_scripts(found, fail)
-            return await host.call("/again/1"), ran(found)
+            all_scripts(servers, fail)
+            return await host.call("/again/1"), ran(servers)
 
-        answer, seen = run(scenario)
-        self.assertEqual((500, b"broken"), (answer.status, answer.body))
-        self.assertEqual(1, len(seen))
+        response, received = run(scenario)
+        self.assertEqual((500, b"broken"), (response.status, response.body))
+        self.assertEqual(1, len(received))
 
-    def test_unknown_route_and_key(self):
-        async def scenario(host, found):
+    def test_unknown_route_and_key_are_rejected(self):
+        async def scenario(host, servers):
             return (
                 (await host.call("/nowhere/1")).status,
                 (await host.call("/once/1", key="other")).status,
@@ -119,158 +123,162 @@
 
         self.assertEqual((404, 401, 401, 200), run(scenario))
 
-    def test_kept_connections_are_used_again(self):
-        async def scenario(host, found):
+    def test_idle_connections_are_reused(self):
+        async def scenario(host, servers):
             for number in range(5):
                 await host.call("/once/1", request_id=f"r{number}")
-            return found["a"].connections_count
+            return servers["a"].connections_count
 
         self.assertEqual(1, run(scenario, {"labels": ["a"]}))
 
 
-class LeavingHostTest(TestCase):
-    """A host that leaves takes only what it will surely answer whole.
+class StoppingHostTest(TestCase):
+    """A host that shuts down accepts only requests that fit before its exit.
 
-    Symptom: callers on kept connections saw answers cut in the middle while hosts were
-    stopped one by one. Sequence: the store had been away, answers took three times what
-    hosts reckon, and a host with four seconds left took requests that needed six.
+    Guards against truncated responses on persistent connections during a rolling
+    restart: after an outage of the store, responses took three times the estimate, and
+    a host with four seconds left accepted requests that took six.
     """
 
-    def leave(self, slow_seconds, left_seconds):
-        async def scenario(host, found):
+    def call_during_shutdown(self, slow_seconds, left_seconds):
+        async def scenario(host, servers):
             daemon = host.daemon
             now_seconds = daemon._clocks.monotonic()
             if slow_seconds:
-                daemon._parts.pace.note(
+                daemon._context.pace.note(
                     slow_seconds,
                     latency_target_seconds=1.0,
                     answer_tokens=0,
                     now_seconds=now_seconds,
                 )
-            daemon.life.begin_stop()
-            daemon.life.gone_by_seconds = now_seconds + left_seconds
-            daemon.life.has_balancer_turned = True
-            return await host.call("/again/1"), ran(found)
+            daemon.lifecycle.begin_stop()
+            daemon.lifecycle.exit_deadline_seconds = now_seconds + left_seconds
+            daemon.lifecycle.balancer_delay_elapsed = True
+            return await host.call("/again/1"), ran(servers)
 
         return run(scenario)
 
-    def test_what_may_not_be_done_is_refused_while_it_has_not_run(self):
-        answer, seen = self.leave(slow_seconds=6.4, left_seconds=5.0)
-        self.assertEqual((503, []), (answer.status, seen))
-        self.assertEqual("close", answer.headers["connection"])
-        # Whole seconds are what this dialect can say.
-        self.assertEqual("1", answer.headers["retry-after"])
-
-    def test_what_will_be_done_is_served(self):
-        answer, seen = self.leave(slow_seconds=0.0, left_seconds=5.0)
-        self.assertEqual((200, 1), (answer.status, len(seen)))
+    def test_request_that_may_not_complete_is_rejected_before_it_runs(self):
+        response, received = self.call_during_shutdown(
+            slow_seconds=6.4, left_seconds=5.0
+        )
+        self.assertEqual((503, []), (response.status, received))
+        self.assertEqual("close", response.headers["connection"])
+        # Retry-After of this dialect has a resolution of one second.
+        self.assertEqual("1", response.headers["retry-after"])
+
+    def test_request_that_fits_is_served(self):
+        response, received = self.call_during_shutdown(
+            slow_seconds=0.0, left_seconds=5.0
+        )
+        self.assertEqual((200, 1), (response.status, len(received)))
 
 
 class NotRunTest(TestCase):
-    """What an answer says of whether a request ran is true."""
+    """The status of an error response matches whether the request ran."""
 
-    def test_a_cut_request_that_must_not_repeat_may_have_run(self):
-        async def scenario(host, found):
-            all_scripts(found, cut)
-            return (await host.call("/once/1")).status, ran(found)
+    def test_broken_request_that_is_not_repeatable_may_have_run(self):
+        async def scenario(host, servers):
+            all_scripts(servers, close_connection)
+            return (await host.call("/once/1")).status, ran(servers)
 
-        status, seen = run(scenario)
+        status, received = run(scenario)
         self.assertEqual(502, status)
-        self.assertEqual(1, len(seen))
+        self.assertEqual(1, len(received))
 
-    def test_a_cut_repeatable_request_runs_at_another(self):
-        async def scenario(host, found):
-            all_scripts(found, cut)
-            return (await host.call("/again/1")).status, ran(found)
+    def test_broken_repeatable_request_is_retried_at_another_upstream(self):
+        async def scenario(host, servers):
+            all_scripts(servers, close_connection)
+            return (await host.call("/again/1")).status, ran(servers)
 
-        status, seen = run(scenario)
-        # Two runs are allowed; both were cut.
+        status, received = run(scenario)
+        # Both allowed attempts were broken off.
         self.assertEqual(502, status)
-        self.assertEqual(["a", "b"], seen)
+        self.assertEqual(["a", "b"], received)
 
-    def test_a_refusal_is_tried_elsewhere_even_if_it_must_not_repeat(self):
-        async def scenario(host, found):
-            found["a"].scripts = [refuse]
-            found["b"].scripts = [refuse]
+    def test_refused_request_is_retried_elsewhere_even_if_not_repeatable(self):
+        async def scenario(host, servers):
+            servers["a"].scripts = [refuse]
+            servers["b"].scripts = [refuse]
             status = (await host.call("/once/1")).status
-            return status, ran(found)
+            return status, ran(servers)
 
-        status, seen = run(scenario)
+        status, received = run(scenario)
         self.assertEqual(503, status)
-        self.assertEqual(["a", "b"], sorted(set(seen)))
+        self.assertEqual(["a", "b"], sorted(set(received)))
 
-    def test_a_misdirected_request_is_not_taken_for_run(self):
-        async def scenario(host, found):
-            found["a"].scripts = [misdirect]
-            found["b"].scripts = [misdirect]
+    def test_misdirected_request_counts_as_not_run(self):
+        async def scenario(host, servers):
+            servers["a"].scripts = [misdirect]
+            servers["b"].scripts = [misdirect]
             return (await host.call("/once/1")).status
 
         self.assertEqual(503, run(scenario))
 
-    def test_refused_after_it_may_have_run_is_not_called_not_run(self):
-        async def scenario(host, found):
-            found["a"].scripts = [cut, refuse]
-            found["b"].scripts = [cut, refuse]
+    def test_refusal_after_a_possible_run_is_not_reported_as_not_run(self):
+        async def scenario(host, servers):
+            servers["a"].scripts = [close_connection, refuse]
+            servers["b"].scripts = [close_connection, refuse]
             return (await host.call("/again/1")).status
 
         self.assertEqual(502, run(scenario))
 
-    def test_no_upstream_is_told_at_once_and_as_not_run(self):
-        async def scenario(host, found):
+    def test_lack_of_upstreams_is_reported_immediately_as_not_run(self):
+        async def scenario(host, servers):
             return await host.call("/once/1")
 
-        answer = run(scenario, {"notes": ["c"]})
-        self.assertEqual(503, answer.status)
-        self.assertIn("retry-after", answer.headers)
+        response = run(scenario, {"notes": ["c"]})
+        self.assertEqual(503, response.status)
+        self.assertIn("retry-after", response.headers)
 
 
 class OwnAnswerTest(TestCase):
-    """A caller gets the answer to its own request or none."""
+    """A caller receives only the response to its own request."""
 
-    def test_an_answer_to_another_request_is_not_passed_on(self):
-        async def scenario(host, found):
+    def test_response_to_another_request_is_not_forwarded(self):
+        async def scenario(host, servers):
             async def cross(exchange):
                 await exchange.answer(b"other's", request_id="other")
 
-            all_scripts(found, cross)
+            all_scripts(servers, cross)
             return await host.call("/once/1")
 
-        answer = run(scenario)
-        self.assertEqual(502, answer.status)
-        self.assertNotIn(b"other's", answer.body)
+        response = run(scenario)
+        self.assertEqual(502, response.status)
+        self.assertNotIn(b"other's", response.body)
 
-    def test_a_success_without_proof_is_not_passed_on(self):
-        async def scenario(host, found):
+    def test_unsigned_success_is_not_forwarded(self):
+        async def scenario(host, servers):
             async def forge(exchange):
                 await exchange.answer(b"forged", signed=False)
 
-            all_scripts(found, forge)
+            all_scripts(servers, forge)
             return await host.call("/once/1")
 
-        answer = run(scenario)
-        self.assertEqual(502, answer.status)
-        self.assertNotIn(b"forged", answer.body)
+        response = run(scenario)
+        self.assertEqual(502, response.status)
+        self.assertNotIn(b"forged", response.body)
 
-    def test_bytes_after_an_answer_spoil_only_their_connection(self):
-        async def scenario(host, found):
+    def test_surplus_bytes_after_a_response_close_the_connection(self):
+        async def scenario(host, servers):
             async def twice(exchange):
                 head = exchange.head(length=4)
                 await exchange.send(head + b"done" + head + b"more")
 
-            found["a"].scripts = [twice, lambda exchange: exchange.answer(b"next")]
+            servers["a"].scripts = [twice, lambda exchange: exchange.answer(b"next")]
             first = await host.call("/once/1", request_id="r1")
             second = await host.call("/once/1", request_id="r2")
-            return first.body, second.body, found["a"].connections_count
+            return first.body, second.body, servers["a"].connections_count
 
         self.assertEqual((b"done", b"next", 2), run(scenario, {"labels": ["a"]}))
 
-    def test_a_surplus_answer_that_comes_late_is_not_taken_for_the_next(self):
-        async def scenario(host, found):
+    def test_late_surplus_response_is_not_taken_for_the_next_one(self):
+        async def scenario(host, servers):
             async def twice(exchange):
                 await exchange.answer(b"done")
                 await exchange.send(exchange.head(length=4) + b"more")
 
-            found["a"].scripts = [twice, lambda exchange: exchange.answer(b"next")]
+            servers["a"].scripts = [twice, lambda exchange: exchange.answer(b"next")]
             first = await host.call("/once/1", request_id="r1")
             await anyio.sleep(0.05)
             second = await host.call("/once/1", request_id="r2")
@@ -278,45 +286,45 @@
 
         self.assertEqual((b"done", b"next"), run(scenario, {"labels": ["a"]}))
 
-    def test_an_unframed_answer_that_is_closed_is_whole(self):
-        async def scenario(host, found):
+    def test_unframed_response_is_complete_at_close(self):
+        async def scenario(host, servers):
             async def unframed(exchange):
                 await exchange.send(exchange.head() + b"to the end")
                 raise Hangup
 
-            all_scripts(found, unframed)
+            all_scripts(servers, unframed)
             return await host.call("/once/1")
 
-        answer = run(scenario)
-        self.assertEqual((200, b"to the end"), (answer.status, answer.body))
+        response = run(scenario)
+        self.assertEqual((200, b"to the end"), (response.status, response.body))
 
-    def test_an_unframed_answer_that_is_reset_is_not_whole(self):
-        async def scenario(host, found):
+    def test_unframed_response_is_incomplete_at_reset(self):
+        async def scenario(host, servers):
             async def unframed(exchange):
                 await exchange.send(exchange.head() + b"not to the")
                 await anyio.sleep(0.05)
                 exchange.reset()
                 raise Hangup
 
-            all_scripts(found, unframed)
+            all_scripts(servers, unframed)
             return await host.call("/once/1")
 
         self.assertEqual(502, run(scenario).status)
 
-    def test_an_answer_cut_short_is_not_whole(self):
-        async def scenario(host, found):
+    def test_truncated_response_is_incomplete(self):
+        async def scenario(host, servers):
             async def short(exchange):
                 await exchange.send(exchange.head(length=10) + b"half")
                 raise Hangup
 
-            all_scripts(found, short)
+            all_scripts(servers, short)
             return await host.call("/once/1")
 
         self.assertEqual(502, run(scenario).status)
 
 
 def event(number):
-    """Return one event of a stream."""
+    """Return one server-sent event."""
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
@@ -324,20 +332,20 @@
 
 
 def chunk(data):
-    """Return one chunk."""
+    """Return one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def stream_of(first, last, stop_after=None, half=b""):
-    """Return a script that streams events, whole or cut after one of them."""
+def stream_of(first, last, stop_after=None, partial_event=b""):
+    """Return a script that streams events, optionally truncated after one of them."""
 
     async def script(exchange):
         await exchange.send(exchange.head(extra=CHUNKED))
         for number in range(first, last + 1):
             await exchange.send(chunk(event(number)))
             if number == stop_after:
-                if half:
-                    await exchange.send(chunk(half))
+                if partial_event:
+                    await exchange.send(chunk(partial_event))
                 raise Hangup
         await exchange.send(b"0\r\n\r\n")
 
@@ -345,77 +353,82 @@
 
 
 class StreamTest(TestCase):
-    """Streams come whole and in order, or visibly not whole."""
+    """Streams arrive complete and in order, or are recognizably incomplete."""
 
     def expect(self, last):
         return b"".join(event(number) for number in range(1, last + 1))
 
-    def test_a_whole_stream_goes_through(self):
-        async def scenario(host, found):
-            all_scripts(found, stream_of(1, 5))
+    def test_complete_stream_is_forwarded(self):
+        async def scenario(host, servers):
+            all_scripts(servers, stream_of(1, 5))
             return await host.call("/stream/1")
 
-        answer = run(scenario)
+        response = run(scenario)
         self.assertEqual(
-            (200, self.expect(5), True), (answer.status, answer.body, answer.is_whole)
+            (200, self.expect(5), True),
+            (response.status, response.body, response.is_whole),
         )
 
-    def test_a_broken_stream_goes_on_at_another_after_the_last_whole_event(self):
-        async def scenario(host, found):
-            asked = []
+    def test_broken_stream_resumes_elsewhere_after_the_last_complete_event(self):
+        async def scenario(host, servers):
+            resumed_after = []
 
             async def resume(exchange):
-                asked.append(exchange.headers.get("last-event-id"))
+                resumed_after.append(exchange.headers.get("last-event-id"))
                 await stream_of(4, 6)(exchange)
 
-            # Whichever is asked second goes on where the first one broke off.
-            found["c"].scripts = [self.breaks_then(found, "d", resume)]
-            found["d"].scripts = [self.breaks_then(found, "c", resume)]
-            return await host.call("/stream/1"), asked
+            # Whichever upstream is second resumes where the first one broke off.
+            servers["c"].scripts = [self.break_then_resume(servers, "d", resume)]
+            servers["d"].scripts = [self.break_then_resume(servers, "c", resume)]
+            return await host.call("/stream/1"), resumed_after
 
-        answer, asked = run(scenario)
-        self.assertEqual(["3"], asked)
-        self.assertEqual((self.expect(6), True), (answer.body, answer.is_whole))
+        response, resumed_after = run(scenario)
+        self.assertEqual(["3"], resumed_after)
+        self.assertEqual((self.expect(6), True), (response.body, response.is_whole))
 
-    def breaks_then(self, found, other, resume):
+    def break_then_resume(self, servers, other, resume):
         async def script(exchange):
-            found[other].scripts = [resume]
-            await stream_of(1, 9, stop_after=3, half=b"id: 4\ndata: ha")(exchange)
+            servers[other].scripts = [resume]
+            await stream_of(1, 9, stop_after=3, partial_event=b"id: 4\ndata: ha")(
+                exchange
+            )
 
         return script
 
-    def test_events_that_come_again_are_left_out(self):
-        async def scenario(host, found):
+    def test_repeated_events_are_dropped(self):
+        async def scenario(host, servers):
             again = stream_of(1, 6)
-            found["c"].scripts = [self.breaks_then(found, "d", again)]
-            found["d"].scripts = [self.breaks_then(found, "c", again)]
+            servers["c"].scripts = [self.break_then_resume(servers, "d", again)]
+            servers["d"].scripts = [self.break_then_resume(servers, "c", again)]
             return await host.call("/stream/1")
 
-        answer = run(scenario)
-        self.assertEqual((self.expect(6), True), (answer.body, answer.is_whole))
+        response = run(scenario)
+        self.assertEqual((self.expect(6), True), (response.body, response.is_whole))
 
-    def test_a_stream_that_may_not_go_on_elsewhere_ends_visibly_cut(self):
-        async def scenario(host, found):
-            all_scripts(found, stream_of(1, 9, stop_after=3, half=b"id: 4\ndata: h"))
-            return await host.call("/brittle/1"), ran(found)
+    def test_stream_that_is_not_resumable_ends_truncated(self):
+        async def scenario(host, servers):
+            all_scripts(
+                servers, stream_of(1, 9, stop_after=3, partial_event=b"id: 4\ndata: h")
+            )
+            return await host.call("/brittle/1"), ran(servers)
 
-        answer, seen = run(scenario)
-        self.assertEqual((self.expect(3), False), (answer.body, answer.is_whole))
-        self.assertEqual(1, len(seen))
+        response, received = run(scenario)
+        self.assertEqual((self.expect(3), False), (response.body, response.is_whole))
+        self.assertEqual(1, len(received))
 
-    def test_a_caller_that_comes_back_is_given_the_rest(self):
-        async def scenario(host, found):
-            all_scripts(found, stream_of(4, 6))
-            answer = await host.call("/stream/1", headers={"Last-Event-Id": "3"})
-            (seen,) = [item for one in found.values() for item in one.requests]
-            return answer, seen.headers["last-event-id"]
+    def test_returning_caller_receives_the_remaining_events(self):
+        async def scenario(host, servers):
+            all_scripts(servers, stream_of(4, 6))
+            response = await host.call("/stream/1", headers={"Last-Event-Id": "3"})
+            (received,) = [item for one in servers.values() for item in one.requests]
+            return response, received.headers["last-event-id"]
 
-        answer, asked = run(scenario)
-        self.assertEqual("3", asked)
-        self.assertEqual(b"".join(event(number) for number in (4, 5, 6)), answer.body)
+        response, resumed_after = run(scenario)
+        self.assertEqual("3", resumed_after)
+        self.assertEqual(b"".join(event(number) for number in (4, 5, 6)), response.body)
 
-    def test_a_caller_that_leaves_stops_the_upstream(self):
-        async def scenario(host, found):
+    def test_disconnect_of_the_caller_stops_the_upstream(self):
+        async def scenario(host, servers):
             async def endless(exchange):
                 await exchange.send(exchange.head(extra=CHUNKED))
                 number = 0
@@ -424,10 +437,10 @@
                     await exchange.send(chunk(event(number)))
                     await anyio.sleep(0.005)
 
-            all_scripts(found, endless)
+            all_scripts(servers, endless)
             with anyio.move_on_after(0.2):
                 await host.call("/stream/1")
-            while any(upstream.open_count for upstream in found.values()):
+            while any(upstream.open_count for upstream in servers.values()):
                 await anyio.sleep(0.005)
             return True
 
@@ -435,8 +448,8 @@
 
 
 class ConfigurationAgeTest(TestCase):
-    def test_a_key_is_not_honoured_once_the_store_is_lost_for_too_long(self):
-        async def scenario(host, found):
+    def test_key_is_rejected_after_a_long_outage_of_the_store(self):
+        async def scenario(host, servers):
             before = (await host.call("/once/1")).status
             host.store.failure = PlatformUnavailableError("away", step="test")
             host.store.changed.set()
@@ -455,8 +468,8 @@
         self.assertEqual((200, 503, 200), (before, refused.status, open_status))
         self.assertIn("retry-after", refused.headers)
 
-    def test_a_key_taken_away_is_refused_as_soon_as_it_is_heard(self):
-        async def scenario(host, found):
+    def test_revoked_key_is_rejected_once_the_change_is_received(self):
+        async def scenario(host, servers):
             before = (await host.call("/once/1")).status
             tree = make_tree(2, nodes={"/": make_tree().nodes["/"]})
             host.store.write("config/main", tree)
@@ -466,8 +479,8 @@
 
         self.assertEqual((200, 401), run(scenario))
 
-    def test_an_invalid_configuration_is_refused_whole_and_confirms_nothing(self):
-        async def scenario(host, found):
+    def test_invalid_configuration_is_rejected_and_confirms_no_keys(self):
+        async def scenario(host, servers):
             bad = attrs.evolve(make_tree().routing.routes[0], path_prefix="no slash")
             host.store.write("config/main", make_tree(2, routes=[bad]))
             while not host.daemon.follower.problem:
@@ -486,9 +499,9 @@
 
 
 class LeavingUpstreamTest(TestCase):
-    def test_a_leaving_upstream_gets_nothing_new(self):
-        async def scenario(host, found):
-            list_upstream(host.store, found["a"], "labels", "leaving")
+    def test_leaving_upstream_receives_no_new_requests(self):
+        async def scenario(host, servers):
+            list_upstream(host.store, servers["a"], "labels", "leaving")
             upstreams = host.daemon.scheduler._scheduler.upstreams
             while upstreams.get("a").entry.state != "leaving":
                 await anyio.sleep(0.005)
@@ -497,22 +510,22 @@
             host.store.delete("upstreams/a")
             while upstreams.get("a") is not None:
                 await anyio.sleep(0.005)
-            return len(found["a"].requests), len(found["b"].requests)
+            return len(servers["a"].requests), len(servers["b"].requests)
 
         self.assertEqual((0, 6), run(scenario))
 
 
 class CheapRefusalTest(TestCase):
-    """A hot workspace is refused by the thousand: that must not cost what serving does.
+    """Refusals are cheap, since a busy workspace gets thousands of them.
 
-    Each refusal named the state of every upstream, had its caller watched by a task of
-    its own, and told the scheduler that a request was cancelled which it had refused.
+    Guards against three costs: the state of every upstream in each refusal, a task that
+    watches the caller, and a cancellation event for a request that was refused already.
     """
 
     def refuse(self, count):
         events, tasks = Counter(), Counter()
 
-        async def scenario(host, found):
+        async def scenario(host, servers):
             node = Node(
                 is_workspace=True,
                 key_hashes=[hashlib.sha256(KEY.encode()).hexdigest()],
@@ -533,29 +546,29 @@
                 return handle(event, now_seconds)
 
             scheduler.handle = note
-            watch_caller = RoutedExchange._watch_caller
+            watch_disconnect = RoutedExchange._watch_disconnect
 
             async def watch(exchange, scope):
                 tasks["watch"] += 1
-                await watch_caller(exchange, scope)
+                await watch_disconnect(exchange, scope)
 
-            with mock.patch.object(RoutedExchange, "_watch_caller", watch):
-                answers = [
+            with mock.patch.object(RoutedExchange, "_watch_disconnect", watch):
+                responses = [
                     await host.call("/once/1", request_id=f"r{number}")
                     for number in range(count)
                 ]
             (explained,) = host.daemon.scheduler.decisions(f"r{count - 1}")
-            return answers, explained.action
+            return responses, explained.action
 
-        answers, refusal = run(scenario, {"labels": ["a"]})
-        return answers, refusal, events, tasks
+        responses, refusal = run(scenario, {"labels": ["a"]})
+        return responses, refusal, events, tasks
 
-    def test_it_is_one_event_and_no_task(self):
-        answers, refusal, events, tasks = self.refuse(5)
-        refused = [item for item in answers if item.status == 429]
-        served = len(answers) - len(refused)
+    def test_refusal_takes_one_event_and_no_task(self):
+        responses, refusal, events, tasks = self.refuse(5)
+        refused = [item for item in responses if item.status == 429]
+        served = len(responses) - len(refused)
         self.assertGreaterEqual(len(refused), 4)
-        self.assertEqual(len(answers), events["RequestArrived"])
+        self.assertEqual(len(responses), events["RequestArrived"])
         self.assertEqual(0, events["RequestCancelled"])
         self.assertEqual(served, tasks["watch"])
         self.assertIn("tokens sent by all", refusal.evidence)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -6,14 +6,14 @@
 from rampwick_policy import (
     AttemptDelivered,
     AttemptFailed,
-    AttemptSilent,
+    AttemptStalled,
     Dispatch,
     HostListRead,
     LoadReported,
     Outcome,
     RequestArrived,
     Scheduler,
-    TreeInForce,
+    TreeChanged,
     TreeView,
 )
 from rampwick_router.upstream._stalls import StallDetector
@@ -90,7 +90,7 @@
             Routing([], [Service("s")]),
         )
         self.view = TreeView(tree)
-        self.do(0.0, TreeInForce(self.view))
+        self.do(0.0, TreeChanged(self.view))
         self.do(0.0, HostListRead(HostList(1, entries)))
 
     def do(self, at, event):
@@ -110,14 +110,14 @@
 
     def open_names(self, at):
         table = self.scheduler.upstreams
-        return {item.name for item in table if table.is_open(item, at)}
+        return {item.name for item in table if table.is_eligible(item, at)}
 
     def test_after_two_stalls_the_other_upstreams_of_the_hall_are_avoided(self):
         first, second = self.send(1.0, 20)[:2]
         self.assertNotEqual(first.upstream, second.upstream)
-        self.do(1.5, AttemptSilent(first.request_id, first.attempt_id))
+        self.do(1.5, AttemptStalled(first.request_id, first.attempt_id))
         self.assertEqual(6, len(self.open_names(1.5)))
-        self.do(1.6, AttemptSilent(second.request_id, second.attempt_id))
+        self.do(1.6, AttemptStalled(second.request_id, second.attempt_id))
         self.assertEqual({"near-0"}, self.open_names(1.6))
         # An upstream that responds is available again immediately.
         self.do(1.7, LoadReported("far-5", None))
@@ -126,8 +126,8 @@
     def test_one_response_shows_that_the_hall_is_reachable(self):
         first, second, third = self.send(1.0, 20)[:3]
         self.do(1.3, AttemptDelivered(third.request_id, third.attempt_id))
-        self.do(1.5, AttemptSilent(first.request_id, first.attempt_id))
-        self.do(1.6, AttemptSilent(second.request_id, second.attempt_id))
+        self.do(1.5, AttemptStalled(first.request_id, first.attempt_id))
+        self.do(1.6, AttemptStalled(second.request_id, second.attempt_id))
         self.assertEqual(5, len(self.open_names(1.6)))
 
     def test_closed_connections_are_not_stalls(self):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -39,7 +39,7 @@
     Member,
     Outcome,
     Scheduler,
-    TargetsRead,
+    TargetsReceived,
 )
 from rampwick_router import run_daemon
 from rampwick_router._errors import AttemptError
@@ -480,7 +480,7 @@
         )
         events = [
             HostListRead(HostList(1, [entry])),
-            TargetsRead((WeightsTarget("m", 2),)),
+            TargetsReceived((WeightsTarget("m", 2),)),
         ]
         holders, _ = self.play(reading={"b"}, events=events)
         self.assertEqual(("a", "b"), (holders[0], holders[-1]))
@@ -531,14 +531,14 @@
             for other in controllers.values():
                 if controller.is_holder and other is not controller:
                     version = controller.lease.version
-                    other.lease.note_heard(name, version, self.now_seconds)
+                    other.lease.observe_announcement(name, version, self.now_seconds)
 
     async def step(self, controllers, reading):
         """Advance the time by 0.1 s and let all tasks run."""
         self.now_seconds += 0.1
         for name, controller in controllers.items():
             if name in reading:
-                event = TargetsRead((), read_at_seconds=self.now_seconds)
+                event = TargetsReceived((), read_at_seconds=self.now_seconds)
                 controller._scheduler.post(event)
             controller.wake()
         self.publish_lease(controllers)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Every stream arrives complete and in order, and goes to its own caller."""
+"""Streams arrive complete and in order at the caller that requested them."""
 
 from unittest import mock
 
@@ -19,30 +19,30 @@
 
 
 class CutStreamTest(ScenarioCase):
-    def cut_everywhere(self):
-        """Return what callers saw of streams cut at every position."""
+    def cut_at_each_position(self):
+        """Return the responses to streams that are cut at each position."""
 
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
-            seen = []
+            responses = []
             async with bench.run_host() as host:
                 await host.until_ready("lektor-1")
                 for position in range(1, LENGTH + 1):
                     runner.engine.faults = EngineFaults(cut_after_count=position)
                     prompt = f"cut after {position}"
-                    seen.append(await host.stream(prompt, max_tokens=LENGTH))
-            return seen
+                    responses.append(await host.stream(prompt, max_tokens=LENGTH))
+            return responses
 
         return self.run_scenario(scenario)
 
-    def test_stream_cut_at_every_position_is_resumed_or_ends_with_an_error(self):
-        seen = self.cut_everywhere()
-        self.assert_holds(check_answers(seen, LENGTH))
-        # Three resumes carry a stream over cuts after every second event or more.
-        self.assertEqual([True] * 5, [saw.is_whole for saw in seen[1:]])
+    def test_stream_cut_at_any_position_is_resumed_or_ends_with_an_error(self):
+        responses = self.cut_at_each_position()
+        self.assert_holds(check_answers(responses, LENGTH))
+        # Three resumptions suffice for cuts after every second event or more.
+        self.assertEqual([True] * 5, [response.is_whole for response in responses[1:]])
 
     def repeat_an_event(self):
-        """Return what a caller saw of a stream with one event sent twice."""
+        """Return the response to a stream with one event sent twice."""
 
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
@@ -56,38 +56,38 @@
     def test_repeated_event_is_delivered_once(self):
         self.assert_holds(check_answers(self.repeat_an_event(), LENGTH))
 
-    def test_relay_without_order_is_caught(self):
+    def test_checker_detects_a_relay_that_ignores_event_order(self):
         def admit_all(self, event):
             self.next_position += 1
             return True
 
         with mock.patch.object(SequenceFilter, "admit", admit_all):
-            seen = self.repeat_an_event()
-        self.assertNotEqual([], check_answers(seen, LENGTH))
+            responses = self.repeat_an_event()
+        self.assertNotEqual([], check_answers(responses, LENGTH))
 
-    def test_engine_that_dies_in_mid_stream_ends_it_with_an_explicit_error(self):
+    def test_engine_crash_in_mid_stream_ends_it_with_an_explicit_error(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.05)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
-                seen = []
+                responses = []
 
-                async def ask():
-                    seen.append(await host.stream("to be cut", max_tokens=LENGTH))
+                async def send_request():
+                    responses.append(await host.stream("to be cut", max_tokens=LENGTH))
 
-                tasks.start_soon(ask)
+                tasks.start_soon(send_request)
                 await until(lambda: runner.engine.started)
                 await until(lambda: len(runner.engine.started[0].tokens) >= 2)
                 runner.engine.crash()
-                await until(lambda: seen)
-            return seen
+                await until(lambda: responses)
+            return responses
 
-        (saw,) = self.run_scenario(scenario)
-        self.assert_holds(check_answers([saw], LENGTH))
-        self.assertFalse(saw.is_whole)
-        self.assertEqual("upstream_failed", saw.error_code)
+        (response,) = self.run_scenario(scenario)
+        self.assert_holds(check_answers([response], LENGTH))
+        self.assertFalse(response.is_whole)
+        self.assertEqual("upstream_failed", response.error_code)
 
-    def test_frozen_engine_is_given_up_and_another_one_answers(self):
+    def test_request_at_a_frozen_engine_is_retried_at_another_one(self):
         async def scenario(bench):
             frozen = bench.add_runner("lektor-1")
             extra = "[retry]\nsilence_timeout_seconds = 0.2\n"
@@ -96,28 +96,28 @@
                 anyio.create_task_group() as tasks,
             ):
                 await host.until_ready("lektor-1")
-                seen = []
+                responses = []
 
-                async def ask():
-                    seen.append(
+                async def send_request():
+                    responses.append(
                         await host.stream("through a freeze", max_tokens=LENGTH)
                     )
 
                 frozen.engine.faults = EngineFaults(is_frozen=True)
-                tasks.start_soon(ask)
+                tasks.start_soon(send_request)
                 bench.add_runner("lektor-2")
-                await until(lambda: seen)
+                await until(lambda: responses)
                 frozen.engine.faults = EngineFaults()
-            return seen
+            return responses
 
-        seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assertTrue(seen[0].is_whole)
+        responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assertTrue(responses[0].is_whole)
 
 
 class ResumeElsewhereTest(ScenarioCase):
     async def first_events(self, host, prompt, count):
-        """Read some events, then break off; return them and the last id."""
+        """Read some events, then disconnect; return them, the token and the last id."""
         body = {
             "model": "lektor",
             "prompt": prompt,
@@ -125,16 +125,16 @@
             "stream": True,
         }
         headers = {"Authorization": f"Bearer {KEY}"}
-        got = b""
+        received = b""
         async with host.client.stream(
             "POST", "/v1/completions", json=body, headers=headers
         ) as response:
             token = response.headers["rampwick-stream"]
             async for data in response.aiter_raw():
-                got += data
-                if got.count(b"\n\n") >= count:
+                received += data
+                if received.count(b"\n\n") >= count:
                     break
-        events = got.split(b"\n\n")[:count]
+        events = received.split(b"\n\n")[:count]
         last_id = events[-1].split(b"\n")[0].removeprefix(b"id: ").decode()
         return b"\n\n".join(events) + b"\n\n", token, last_id
 
@@ -142,7 +142,7 @@
         headers = {"Authorization": f"Bearer {key}", "Last-Event-ID": last_id}
         return await host.client.get(f"/v1/streams/{token}", headers=headers)
 
-    def test_caller_comes_back_to_another_host(self):
+    def test_caller_resumes_at_another_host(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.02)
             async with (
@@ -151,93 +151,97 @@
             ):
                 await one.until_ready("lektor-1")
                 await two.until_ready("lektor-1")
-                got, token, last_id = await self.first_events(one, "moving", 2)
-                # The engine goes on although the first host's caller is gone: the
-                # cancellation that it sends is what ends such streams.
-                rest = await self.resume(two, token, last_id)
-                stranger = await self.resume(two, token, last_id, OTHER_KEY)
+                received, token, last_id = await self.first_events(one, "moving", 2)
+                # The engine continues although the caller has disconnected, because the
+                # host's cancellation is patched out below.
+                remainder = await self.resume(two, token, last_id)
+                other_workspace = await self.resume(two, token, last_id, OTHER_KEY)
                 forged = await self.resume(two, token[:-2] + "xx", last_id)
-                return got, rest, stranger, forged
+                return received, remainder, other_workspace, forged
 
         with mock.patch(
             "rampwick_router.upstream._client.UpstreamClient.cancel", do_nothing
         ):
-            got, rest, stranger, forged = self.run_scenario(scenario)
-        self.assertEqual(200, rest.status_code, rest.text)
-        saw = read_stream("moving", 200, got + rest.content)
-        self.assert_holds(check_answers([saw], LENGTH))
-        self.assertTrue(saw.is_whole)
-        self.assertEqual(410, stranger.status_code)
+            received, remainder, other_workspace, forged = self.run_scenario(scenario)
+        self.assertEqual(200, remainder.status_code, remainder.text)
+        response = read_stream("moving", 200, received + remainder.content)
+        self.assert_holds(check_answers([response], LENGTH))
+        self.assertTrue(response.is_whole)
+        self.assertEqual(410, other_workspace.status_code)
         self.assertEqual(410, forged.status_code)
 
-    def test_host_dies_in_mid_stream_and_the_caller_goes_to_another(self):
+    def test_caller_resumes_elsewhere_after_a_crash_of_the_host(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.1)
             async with bench.run_host("entry-2") as two:
                 async with bench.run_host("entry-1") as one:
                     await one.until_ready("lektor-1")
                     await two.until_ready("lektor-1")
-                    # A dead host tells nobody that its callers are gone.
+                    # A crashed host does not cancel the attempts of its callers.
                     drop_cancellations(one.daemon.scheduler)
-                    got, token, last_id = await self.first_events(one, "orphan", 2)
-                return got, await self.resume(two, token, last_id)
+                    received, token, last_id = await self.first_events(one, "orphan", 2)
+                return received, await self.resume(two, token, last_id)
 
-        got, rest = self.run_scenario(scenario)
-        saw = read_stream("orphan", rest.status_code, got + rest.content)
-        self.assert_holds(check_answers([saw], LENGTH))
-        self.assertTrue(saw.is_whole)
+        received, remainder = self.run_scenario(scenario)
+        response = read_stream(
+            "orphan", remainder.status_code, received + remainder.content
+        )
+        self.assert_holds(check_answers([response], LENGTH))
+        self.assertTrue(response.is_whole)
 
-    def test_resumed_twice_at_once_gives_both_the_same(self):
+    def test_concurrent_resumptions_receive_the_same_events(self):
         async def scenario(bench):
             bench.add_runner("lektor-1", step_seconds=0.02)
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1")
-                got, token, last_id = await self.first_events(host, "twice", 1)
-                rests = []
+                received, token, last_id = await self.first_events(host, "twice", 1)
+                remainders = []
 
-                async def ask():
-                    rests.append(await self.resume(host, token, last_id))
+                async def send_request():
+                    remainders.append(await self.resume(host, token, last_id))
 
-                tasks.start_soon(ask)
-                tasks.start_soon(ask)
-                await until(lambda: len(rests) == 2)
+                tasks.start_soon(send_request)
+                tasks.start_soon(send_request)
+                await until(lambda: len(remainders) == 2)
                 return [
-                    read_stream("twice", rest.status_code, got + rest.content)
-                    for rest in rests
+                    read_stream(
+                        "twice", remainder.status_code, received + remainder.content
+                    )
+                    for remainder in remainders
                 ]
 
         with mock.patch(
             "rampwick_router.upstream._client.UpstreamClient.cancel", do_nothing
         ):
-            seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assertTrue(all(saw.is_whole for saw in seen))
+            responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assertTrue(all(response.is_whole for response in responses))
 
 
 class OwnAnswerTest(ScenarioCase):
-    def test_many_callers_each_get_their_own_answer(self):
+    def test_many_callers_receive_their_own_responses(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
             bench.add_runner("lektor-2")
             sent = [f"prompt number {number}" for number in range(40)]
-            seen = []
+            responses = []
             async with bench.run_host() as host, anyio.create_task_group() as tasks:
                 await host.until_ready("lektor-1", "lektor-2")
 
-                async def ask(prompt):
-                    seen.append(await host.stream(prompt, max_tokens=LENGTH))
+                async def send_request(prompt):
+                    responses.append(await host.stream(prompt, max_tokens=LENGTH))
 
                 for prompt in sent:
-                    tasks.start_soon(ask, prompt)
-                await until(lambda: len(seen) == len(sent))
-            return sent, seen
+                    tasks.start_soon(send_request, prompt)
+                await until(lambda: len(responses) == len(sent))
+            return sent, responses
 
-        sent, seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assert_holds(check_final_answers(seen, sent))
-        self.assertTrue(all(saw.is_whole for saw in seen))
+        sent, responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_final_answers(responses, sent))
+        self.assertTrue(all(response.is_whole for response in responses))
 
-    def test_answer_to_another_attempt_is_not_passed_on(self):
+    def test_response_to_another_attempt_is_not_forwarded(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             async with bench.run_host() as host:
@@ -246,10 +250,10 @@
                 extra = {"Rampwick-Repeat": "never"}
                 return await host.stream("crossed", max_tokens=LENGTH, headers=extra)
 
-        saw = self.run_scenario(scenario)
-        self.assertEqual((502, "maybe"), (saw.status, saw.was_run))
+        response = self.run_scenario(scenario)
+        self.assertEqual((502, "maybe"), (response.status, response.was_run))
 
-    def test_cancellation_that_races_the_end_hurts_nobody(self):
+    def test_cancellation_that_races_the_end_affects_no_other_request(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             async with bench.run_host() as host:
@@ -257,16 +261,16 @@
                 for number in range(8):
                     with anyio.move_on_after(0.004 * number):
                         await host.stream(f"left {number}", max_tokens=LENGTH)
-                seen = [await host.stream("stays", max_tokens=LENGTH)]
+                responses = [await host.stream("stays", max_tokens=LENGTH)]
                 await until(lambda: not host.upstream("lektor-1").own_attempts)
                 await until(lambda: runner.engine.running_count == 0)
-            return seen
+            return responses
 
-        seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assertTrue(seen[0].is_whole)
+        responses = self.run_scenario(scenario)
+        self.assert_holds(check_answers(responses, LENGTH))
+        self.assertTrue(responses[0].is_whole)
 
-    def test_caller_that_goes_away_has_its_attempt_cancelled(self):
+    def test_disconnect_of_the_caller_cancels_the_attempt(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1", step_seconds=0.05)
             async with bench.run_host() as host:
@@ -277,7 +281,7 @@
 
         self.run_scenario(scenario)
 
-    def test_ids_differ_after_a_restart(self):
+    def test_attempt_ids_differ_after_a_restart(self):
         async def scenario(bench):
             runner = bench.add_runner("lektor-1")
             for _ in range(2):
@@ -291,7 +295,7 @@
 
 
 def drop_cancellations(scheduler):
-    """Have a scheduler's task not hear of callers that go away."""
+    """Make a scheduler task ignore cancelled requests."""
     post = scheduler.post
 
     def post_others(event):
@@ -302,13 +306,13 @@
 
 
 async def do_nothing(*arguments, **options):
-    """Stand in for a call that shall have no effect."""
+    """Replace a call that must have no effect."""
 
 
 class EventSplitterTest(TestCase):
     @settings(derandomize=True, deadline=None)
     @given(st.data())
-    def test_events_are_the_same_however_bytes_are_grouped(self, data):
+    def test_events_do_not_depend_on_the_boundaries_of_reads(self, data):
         count = data.draw(st.integers(0, 8))
         whole = b"".join(b"id: %d\ndata: x%d\n\n" % (at, at) for at in range(count))
         cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=6)))
@@ -321,25 +325,25 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes_give_events_or_an_attempt_error(self, data):
+    def test_arbitrary_bytes_give_events_or_an_attempt_error(self, data):
         splitter = EventSplitter(64, "peer")
         try:
             splitter.feed(data)
         except AttemptError as error:
             self.assertEqual("peer", error.peer)
 
-    def test_gap_is_an_error(self):
+    def test_gap_in_positions_is_an_error(self):
         keeper = SequenceFilter(0, "peer")
         self.assertTrue(keeper.admit(StreamEvent(0, b"")))
         self.assertFalse(keeper.admit(StreamEvent(0, b"")))
         self.assertRaises(AttemptError, keeper.admit, StreamEvent(2, b""))
 
 
-class StrangerTest(ScenarioCase):
-    def test_hostile_requests_get_a_clear_error(self):
+class InvalidRequestTest(ScenarioCase):
+    def test_invalid_requests_get_a_client_error(self):
         async def scenario(bench):
             bench.add_runner("lektor-1")
-            answers = []
+            responses = []
             extra = "[limits]\nmax_body_bytes = 2048\nbody_timeout_seconds = 0.1\n"
             async with bench.run_host(extra=extra) as host:
                 await host.until_ready("lektor-1")
@@ -356,24 +360,24 @@
                     b"x" * 4096,
                     b"[" * 2000,
                 ):
-                    answers.append(
+                    responses.append(
                         await host.client.post(
                             "/v1/completions", content=body, headers=headers
                         )
                     )
-                slow = await send_half(host.addresses.entry)
+                slow = await send_incomplete(host.addresses.entry)
                 self.assertEqual(200, (await host.complete()).status_code)
-            return answers, slow
+            return responses, slow
 
-        answers, slow = self.run_scenario(scenario)
+        responses, slow = self.run_scenario(scenario)
         self.assertIn(b" 408 ", slow)
-        for answer in answers:
-            self.assertTrue(400 <= answer.status_code < 500, answer.text)
-            self.assertEqual("no", answer.json()["error"]["was_run"])
+        for response in responses:
+            self.assertTrue(400 <= response.status_code < 500, response.text)
+            self.assertEqual("no", response.json()["error"]["was_run"])
 
 
-async def send_half(address):
-    """Send a request whose body never comes whole; return the answer's head."""
+async def send_incomplete(address):
+    """Send a request with an incomplete body; return the start of the response."""
     host, _, port = address.rpartition(":")
     head = (
         f"POST /v1/completions HTTP/1.1\r\nHost: {address}\r\n"
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -6,16 +6,16 @@
 from testtools import TestCase
 
 from rampwick_policy import (
-    LifeName,
+    BurstDetector,
+    IncarnationKey,
     Member,
     RequestArrived,
+    RequestQuarantine,
     Scheduler,
-    SurgeGate,
-    Suspects,
-    TreeInForce,
+    TreeChanged,
     TreeView,
 )
-from rampwick_policy._notices import NoticeBook
+from rampwick_policy._state_changes import StateChangeTracker
 from rampwick_router._scheduler_task import SchedulerTask
 from rampwick_router.peers._urgent_updates import UrgentUpdates
 from rampwick_schema import CrashUpdate, LimitUsage, Node, Tree, parse_settings
@@ -68,10 +68,10 @@
         self.assertEqual([("own", True), ("fleet", False)], both)
 
     def test_a_hall_burst_is_reported_once(self):
-        gate = SurgeGate()
+        gate = BurstDetector()
         usage = LimitUsage("/w", 0, 0, 1000)
         self.assertTrue(gate.has_grown([usage]))
-        gate.note_told([usage])
+        gate.note_published([usage])
         self.assertFalse(gate.has_grown([usage]))
         self.assertFalse(gate.has_grown([attrs.evolve(usage, asked_tokens=1400)]))
         self.assertTrue(gate.has_grown([attrs.evolve(usage, asked_tokens=1600)]))
@@ -89,10 +89,10 @@
         )
         clock = SimpleNamespace(now=100.0)
         task = SchedulerTask(scheduler, lambda: clock.now)
-        task.note_burst = lambda: bursts.append(clock.now)
+        task.on_burst = lambda: bursts.append(clock.now)
         node = Node(is_workspace=True, tokens_per_second=100.0, burst_tokens=200.0)
         view = TreeView(Tree(1, {"/": Node(), "/w": node}))
-        task.post(TreeInForce(view))
+        task.post(TreeChanged(view))
         # Demand that the limit of 1,000 tokens in 8 s can just serve, published at each
         # request.
         for number in range(20):
@@ -103,14 +103,14 @@
                 "interactive",
                 clock.now + 5.0,
                 True,
-                named_tokens=105,
+                declared_tokens=105,
                 was_held=False,
             )
-            scheduler.limits.ask(arrived, clock.now)
-            scheduler.limits.words(clock.now)
+            scheduler.limits.admit(arrived, clock.now)
+            scheduler.limits.usages(clock.now)
         self.assertEqual([], bursts)
         clock.now += 0.1
-        task.post(attrs.evolve(arrived, request_id="s", named_tokens=900))
+        task.post(attrs.evolve(arrived, request_id="s", declared_tokens=900))
         self.assertEqual(clock.now, bursts[-1])
 
 
@@ -139,11 +139,11 @@
         )
 
     def test_each_crash_is_included_in_updates(self):
-        suspects = Suspects(NoticeBook())
+        suspects = RequestQuarantine(StateChangeTracker())
         for number in range(3):
-            life = LifeName("u", str(number))
-            suspects.book.note_end(life, b"f" * 16, "/w", 1.0, 1.0)
-        suspects.judge(2.0)
+            life = IncarnationKey("u", str(number))
+            suspects.tracker.note_crash(life, b"f" * 16, "/w", 1.0, 1.0)
+        suspects.attribute_crashes(2.0)
         updates = suspects.take_update(2.0)
         self.assertEqual([3], [item.ends_count for item in updates.stopped])
         self.assertEqual(3, len(suspects.initial_state(2.0).ended))
