--- a/packages/rampwick-schema/src/rampwick_schema/_filled.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_filled_values.py
@@ -20,7 +20,7 @@
 
 import attrs
 
-from ._rules import Within
+from ._validators import Within
 
 #: Name of the table that holds the filled-in figures.
 FILLED = "filled"
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_peer.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_peer.py
@@ -11,8 +11,8 @@
 
 from ._generated_platform import HostEntry, HostList, WeightsTarget
 from ._generated_tree import Change, Tree
-from ._rules import within
 from ._shown import Shown
+from ._validators import within
 
 
 @attrs.frozen(repr=False)
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_routing.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_routing.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from ._rules import within
 from ._shown import Shown
+from ._validators import within
 
 
 @attrs.frozen(repr=False)
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_settings.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_settings.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from ._rules import one_of, within
 from ._shown import Shown
+from ._validators import one_of, within
 
 
 @attrs.frozen(repr=False)
--- a/packages/rampwick-schema/src/rampwick_schema/_settings.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_settings.py
@@ -6,7 +6,7 @@
 
 from ._convert import structure
 from ._errors import DataError, SettingsError
-from ._filled import take_filled
+from ._filled_values import take_filled
 from ._generated_settings import Settings
 
 #: What the error of a bad settings file says was being done.
--- a/tools/generate_schema.py
+++ b/tools/generate_schema.py
@@ -57,9 +57,9 @@
 
 import attrs
 {% if imports %}
-from ._rules import one_of, within
+from ._validators import one_of, within
 {% else %}
-from ._rules import one_of, within
+from ._validators import one_of, within
 {% endif %}
 from ._shown import Shown
 {% for module in imports %}
