--- a/packages/rampwick-cli/src/rampwick_cli/_main.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_main.py
@@ -9,7 +9,7 @@
 import anyio
 import httpx
 
-from rampwick_platform import AnswerLostError, PlatformError
+from rampwick_platform import OutcomeUnknownError, PlatformError
 from rampwick_policy import ConflictError
 from rampwick_schema import RampwickError, read_settings
 
@@ -62,7 +62,7 @@
     except ConflictError as error:
         complain(f"conflict, nothing was written: {error}")
         return _exit_codes.CONFLICT
-    except AnswerLostError as error:
+    except OutcomeUnknownError as error:
         complain(f"{error}; the write may have taken effect, see tree history")
         return _exit_codes.UNKNOWN
     except PlatformError as error:
--- a/packages/rampwick-platform/src/rampwick_platform/__init__.py
+++ b/packages/rampwick-platform/src/rampwick_platform/__init__.py
@@ -3,10 +3,10 @@
 from ._api import (
     ABSENT as ABSENT,
     MAX_VALUE_BYTES as MAX_VALUE_BYTES,
-    AnswerLostError as AnswerLostError,
     HistoryGoneError as HistoryGoneError,
     Listing as Listing,
     ObjectApi as ObjectApi,
+    OutcomeUnknownError as OutcomeUnknownError,
     PlatformError as PlatformError,
     PlatformUnavailableError as PlatformUnavailableError,
     StoredObject as StoredObject,
@@ -25,11 +25,11 @@
 from ._records import (
     decode_record as decode_record,
     encode_record as encode_record,
-    settle_put as settle_put,
+    put_idempotent as put_idempotent,
 )
 from ._socket_options import LIVENESS_OPTIONS as LIVENESS_OPTIONS
 from ._steady_clock import (
-    open_loop as open_loop,
+    new_event_loop as new_event_loop,
     read_steady_clock as read_steady_clock,
 )
 from ._store_dialect import (
@@ -38,9 +38,9 @@
     read_era as read_era,
 )
 from ._timers import (
-    move_on_at_grid as move_on_at_grid,
-    on_grid as on_grid,
-    sleep_on_grid as sleep_on_grid,
+    align_delay as align_delay,
+    move_on_after_aligned as move_on_after_aligned,
+    sleep_aligned as sleep_aligned,
 )
 from ._tree_store import (
     SNAPSHOT_KEY as SNAPSHOT_KEY,
--- a/packages/rampwick-platform/src/rampwick_platform/_api.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_api.py
@@ -22,7 +22,7 @@
     """The call surely had no effect: it was not sent, or was refused."""
 
 
-class AnswerLostError(PlatformError):
+class OutcomeUnknownError(PlatformError):
     """The call may have taken effect; its answer did not come."""
 
 
@@ -30,7 +30,7 @@
     """A watch asked for changes that the store has forgotten; list again."""
 
 
-class StoreRestoredError(AnswerLostError):
+class StoreRestoredError(OutcomeUnknownError):
     """The store was restored from an older copy while a write was under way.
 
     The write may have replaced another object than the one it expected.
--- a/packages/rampwick-platform/src/rampwick_platform/_claim_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_claim_store.py
@@ -5,7 +5,7 @@
 from rampwick_policy import ClaimDecision, decide_claims, withdraw_claims
 from rampwick_schema import Claim, ClaimShard
 
-from ._api import ABSENT, AnswerLostError, ObjectApi, VersionConflictError
+from ._api import ABSENT, ObjectApi, OutcomeUnknownError, VersionConflictError
 from ._records import decode_record, encode_record
 
 CLAIMS_PREFIX = "claims/"
@@ -35,11 +35,11 @@
                 return decision
             try:
                 await self._write(shard, decision.shard, version)
-            except (VersionConflictError, AnswerLostError):
+            except (VersionConflictError, OutcomeUnknownError):
                 # Read again: the shard itself shows whose write took effect.
                 continue
             return decision
-        raise AnswerLostError("too many races", step="claim keys", peer=_key(shard))
+        raise OutcomeUnknownError("too many races", step="claim keys", peer=_key(shard))
 
     async def withdraw(self, shard: int, write_ids: Sequence[str]) -> None:
         """Free the keys of arrivals that surely did not run."""
@@ -50,7 +50,7 @@
                 return
             try:
                 await self._write(shard, kept, version)
-            except (VersionConflictError, AnswerLostError):
+            except (VersionConflictError, OutcomeUnknownError):
                 continue
             return
 
--- a/packages/rampwick-platform/src/rampwick_platform/_entity_tags.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_entity_tags.py
@@ -6,8 +6,8 @@
 
 from ._api import (
     ABSENT,
-    AnswerLostError,
     Listing,
+    OutcomeUnknownError,
     PlatformError,
     StoredObject,
     VersionConflictError,
@@ -86,7 +86,7 @@
     try:
         return int(response.headers["ETag"].strip('"'))
     except (KeyError, ValueError):
-        raise AnswerLostError("answer without version", step=step) from None
+        raise OutcomeUnknownError("answer without version", step=step) from None
 
 
 def _json(response: httpx.Response, step: str) -> Any:
--- a/packages/rampwick-platform/src/rampwick_platform/_http.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_http.py
@@ -19,9 +19,9 @@
 
 from ._api import (
     ABSENT,
-    AnswerLostError,
     HistoryGoneError,
     Listing,
+    OutcomeUnknownError,
     PlatformError,
     PlatformUnavailableError,
     StoredObject,
@@ -75,7 +75,7 @@
         self._has_answer = False
         #: Called as the store was restored, with its era before and the new one, and
         #: with the call whose answer told it.
-        self.note_restored: Callable[[int, int, str], None] = _ignore_era
+        self.on_restored: Callable[[int, int, str], None] = _ignore_era
         self._client = httpx.AsyncClient(
             base_url=url,
             timeout=call_timeout_seconds,
@@ -199,7 +199,7 @@
                 _describe(error), step=step, peer=self._url
             ) from error
         except httpx.HTTPError as error:
-            raise AnswerLostError(
+            raise OutcomeUnknownError(
                 _describe(error), step=step, peer=self._url
             ) from error
         era = self._dialect.read_era(response)
@@ -208,14 +208,14 @@
         if era < self.era:
             # From before the restore, or without its place in the order.
             message = f"answer of era {era}, the store is in era {self.era}"
-            raise AnswerLostError(message, step=step, peer=self._url)
+            raise OutcomeUnknownError(message, step=step, peer=self._url)
         self._has_answer = True
         return response
 
     def _take_era(self, era: int, call: str) -> None:
         before, self.era = self.era, max(era, self.era)
         if self._has_answer and era > before:
-            self.note_restored(before, era, call)
+            self.on_restored(before, era, call)
 
     def _check(self, response: httpx.Response, step: str) -> None:
         status = response.status_code
@@ -226,7 +226,7 @@
             raise HistoryGoneError(message, step=step, peer=self._url)
         # A server error may come from behind a write that took effect.
         is_refusal = status in (429, 503) or response.is_client_error
-        kind = PlatformUnavailableError if is_refusal else AnswerLostError
+        kind = PlatformUnavailableError if is_refusal else OutcomeUnknownError
         raise kind(message, step=step, peer=self._url)
 
 
--- a/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
@@ -14,11 +14,11 @@
 from rampwick_schema import DataError, Shown, era_of
 
 from ._api import HistoryGoneError, Listing, ObjectApi, PlatformError, StoredObject
-from ._timers import sleep_on_grid
+from ._timers import sleep_aligned
 
 #: Waits between two calls after failures: the first, the factor, the longest.
-FIRST_PAUSE_SECONDS = 0.1
-PAUSE_FACTOR = 1.6
+INITIAL_BACKOFF_SECONDS = 0.1
+BACKOFF_FACTOR = 1.6
 MAX_PAUSE_SECONDS = 0.8
 
 #: Time between two looks at whether this host is to read.
@@ -49,7 +49,7 @@
     objects: dict[str, StoredObject] = attrs.field(factory=dict)
     version: int = 0
 
-    def take_listing(self, listing: Listing) -> bool:
+    def apply_listing(self, listing: Listing) -> bool:
         """Replace everything by a whole listing; return false if it is older."""
         if listing.version < self.store_version:
             return False
@@ -81,7 +81,7 @@
 class KindWatcher:
     """Task that follows one prefix and hands each state to a callback.
 
-    ``take_state`` is called after every successful call, also if nothing changed:
+    ``on_state`` is called after every successful call, also if nothing changed:
     then only the confirmation is newer. While ``is_wanted`` says no, others read and
     no call is made. ``pause_seconds`` go by between two calls, so that many changes
     in a short time are read by few of them.
@@ -93,8 +93,8 @@
         prefix: str,
         *,
         wait_seconds: float,
-        take_state: Callable[[KindState], None],
-        take_problem: Callable[[str], None],
+        on_state: Callable[[KindState], None],
+        on_problem: Callable[[str], None],
         read_clock: Callable[[], float],
         draw: random.Random,
         pause_seconds: float = 0.0,
@@ -103,8 +103,8 @@
         self._api = api
         self._prefix = prefix
         self._wait_seconds = wait_seconds
-        self._take_state = take_state
-        self._take_problem = take_problem
+        self._take_state = on_state
+        self._take_problem = on_problem
         self._read_clock = read_clock
         self._draw = draw
         self._pause_seconds = pause_seconds
@@ -121,7 +121,7 @@
         """Follow until cancelled."""
         while True:
             while not self._is_wanted():
-                await sleep_on_grid(ROLE_SECONDS)
+                await sleep_aligned(ROLE_SECONDS)
             try:
                 confirmed_at_seconds = await self._look()
                 self._note_success(confirmed_at_seconds)
@@ -186,7 +186,7 @@
 
     def _take_listing(self, listing: Listing) -> None:
         known_version = self._view.store_version
-        if not self._view.take_listing(listing):
+        if not self._view.apply_listing(listing):
             # What it does not show it does not confirm either.
             message = f"listing has version {listing.version}, {known_version} is known"
             raise PlatformError(message, step="list", peer=self._prefix)
@@ -203,6 +203,6 @@
         self._take_state(state)
 
     async def _pause(self) -> None:
-        seconds = FIRST_PAUSE_SECONDS * PAUSE_FACTOR ** (self._failures_count - 1)
+        seconds = INITIAL_BACKOFF_SECONDS * BACKOFF_FACTOR ** (self._failures_count - 1)
         seconds = min(MAX_PAUSE_SECONDS, seconds) * self._draw.uniform(0.5, 1.0)
         await anyio.sleep(seconds)
--- a/packages/rampwick-platform/src/rampwick_platform/_lease_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_lease_store.py
@@ -7,7 +7,7 @@
 from rampwick_schema import LeaseRecord, era_of
 
 from ._api import ABSENT, ObjectApi, VersionConflictError
-from ._records import decode_record, encode_record, settle_put
+from ._records import decode_record, encode_record, put_idempotent
 
 
 class LeaseStore:
@@ -17,7 +17,7 @@
         self._api = api
         self._key = key
 
-    async def try_take(
+    async def try_acquire(
         self, watcher: LeaseWatcher, read_clock: Callable[[], float]
     ) -> bool:
         """Take or renew the lease if that is allowed; return whether it is held now.
@@ -69,7 +69,9 @@
         )
         began_seconds = read_clock()
         try:
-            version = await settle_put(self._api, self._key, record, watcher.version)
+            version = await put_idempotent(
+                self._api, self._key, record, watcher.version
+            )
         except VersionConflictError:
             return False
         if watcher.version != ABSENT and era_of(watcher.version) != era_of(version):
--- a/packages/rampwick-platform/src/rampwick_platform/_records.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_records.py
@@ -1,7 +1,7 @@
 """Records on the platform: JSON objects with conditional writes that settle.
 
-An answer can be lost after its write took effect. ``settle_put`` then reads back and
-recognises its own write by the random id that the record holds.
+A response can be lost after its write took effect. ``put_idempotent`` then reads the
+object back and recognizes its own write by the random id in the record.
 """
 
 import json
@@ -9,7 +9,7 @@
 
 from rampwick_schema import structure, unstructure
 
-from ._api import AnswerLostError, ObjectApi, StoredObject, VersionConflictError
+from ._api import ObjectApi, OutcomeUnknownError, StoredObject, VersionConflictError
 
 T = TypeVar("T")
 
@@ -33,19 +33,19 @@
     return structure(data, cls, step=step, peer=stored.key)
 
 
-async def settle_put(
+async def put_idempotent(
     api: ObjectApi, key: str, record: Any, expected_version: int
 ) -> int:
     """Write a record that has a ``write_id``; return its version.
 
-    Raise VersionConflictError if another write was first, and AnswerLostError if
+    Raise VersionConflictError if another write was first, and OutcomeUnknownError if
     it stays unknown: the write may then have taken effect, or still do so. Trying
     again under the same expected version is safe, since only one can succeed.
     """
     for remaining in reversed(range(MAX_TRIES)):
         try:
             return await api.put(key, encode_record(record), expected_version)
-        except (AnswerLostError, VersionConflictError) as error:
+        except (OutcomeUnknownError, VersionConflictError) as error:
             stored = await _read_back(api, key, error)
             if stored is not None and _is_same_write(stored, record):
                 return stored.version
@@ -59,12 +59,12 @@
 
 
 async def _read_back(
-    api: ObjectApi, key: str, cause: AnswerLostError | VersionConflictError
+    api: ObjectApi, key: str, cause: OutcomeUnknownError | VersionConflictError
 ) -> StoredObject | None:
     try:
         return await api.get(key)
     except Exception as error:
-        raise AnswerLostError(
+        raise OutcomeUnknownError(
             f"{cause.message}; reading back failed: {error}",
             step=cause.step,
             peer=cause.peer,
--- a/packages/rampwick-platform/src/rampwick_platform/_steady_clock.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_steady_clock.py
@@ -30,6 +30,6 @@
         return read_steady_clock()
 
 
-def open_loop() -> asyncio.AbstractEventLoop:
+def new_event_loop() -> asyncio.AbstractEventLoop:
     """Return a loop to run a host on."""
     return SteadyLoop()
--- a/packages/rampwick-platform/src/rampwick_platform/_timers.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_timers.py
@@ -20,7 +20,7 @@
 _BEGAN_SECONDS = read_steady_clock()
 
 
-def on_grid(seconds: float, now_seconds: float) -> float:
+def align_delay(seconds: float, now_seconds: float) -> float:
     """Return the wait, about so long, that ends on the grid; short ones stay exact."""
     if seconds < GRID_SECONDS or math.isinf(seconds):
         return seconds
@@ -29,11 +29,11 @@
     return _BEGAN_SECONDS + steps * GRID_SECONDS - now_seconds
 
 
-async def sleep_on_grid(seconds: float) -> None:
+async def sleep_aligned(seconds: float) -> None:
     """Sleep for about so long, to the same moment as others."""
-    await anyio.sleep(on_grid(seconds, anyio.current_time()))
+    await anyio.sleep(align_delay(seconds, anyio.current_time()))
 
 
-def move_on_at_grid(seconds: float) -> anyio.CancelScope:
+def move_on_after_aligned(seconds: float) -> anyio.CancelScope:
     """Return a scope that ends after about so long, at the same moment as others."""
-    return anyio.move_on_after(on_grid(seconds, anyio.current_time()))
+    return anyio.move_on_after(align_delay(seconds, anyio.current_time()))
--- a/packages/rampwick-platform/src/rampwick_platform/_tree_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_tree_store.py
@@ -28,7 +28,7 @@
     StoredObject,
     VersionConflictError,
 )
-from ._records import decode_record, encode_record, settle_put
+from ._records import decode_record, encode_record, put_idempotent
 
 CHANGES_PREFIX = "config/changes/"
 SNAPSHOT_KEY = "config/snapshot"
@@ -120,7 +120,7 @@
         TreeView(tree)
         try:
             key = change_key(change.revision)
-            version = await settle_put(self._api, key, change, ABSENT)
+            version = await put_idempotent(self._api, key, change, ABSENT)
         except VersionConflictError:
             raise await self._conflict(stored.tree.revision) from None
         if era_of(version) != era_of(stored.store_version):
--- a/packages/rampwick-platform/src/rampwick_platform/_weights_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_weights_store.py
@@ -5,7 +5,7 @@
 from rampwick_schema import WeightsTarget, WeightsTargets
 
 from ._api import ABSENT, ObjectApi
-from ._records import decode_record, settle_put
+from ._records import decode_record, put_idempotent
 
 WEIGHTS_KEY = "weights/targets"
 
@@ -30,4 +30,4 @@
             write_id=secrets.token_hex(8), targets=[*others, target]
         )
         version = stored.version if stored else ABSENT
-        await settle_put(self._api, WEIGHTS_KEY, record, version)
+        await put_idempotent(self._api, WEIGHTS_KEY, record, version)
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -10,7 +10,7 @@
 import attrs
 from anyio.abc import TaskGroup
 
-from rampwick_platform import HttpObjectApi, ObjectApi, sleep_on_grid
+from rampwick_platform import HttpObjectApi, ObjectApi, sleep_aligned
 from rampwick_schema import Settings
 
 from ._assembly import Assembly, Clocks as Clocks
@@ -123,7 +123,7 @@
     async def _log_state(self) -> None:
         """Say now and then how the host stands, so that logs alone tell it."""
         while True:
-            await sleep_on_grid(STATE_INTERVAL_SECONDS)
+            await sleep_aligned(STATE_INTERVAL_SECONDS)
             now_seconds = self._clocks.monotonic()
             log.info(
                 "state",
@@ -220,7 +220,7 @@
                 )
             )
         if isinstance(api, HttpObjectApi):
-            api.note_restored = _log_restore
+            api.on_restored = _log_restore
         clocks = clocks or Clocks()
         channels = await stack.enter_async_context(ChannelPool(clocks.monotonic))
         upstreams = UpstreamClient(
--- a/packages/rampwick-router/src/rampwick_router/_life.py
+++ b/packages/rampwick-router/src/rampwick_router/_life.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rampwick_platform import move_on_at_grid
+from rampwick_platform import move_on_after_aligned
 
 
 class Life:
@@ -42,5 +42,5 @@
 
     async def pause(self, seconds: float) -> None:
         """Wait, but not on when the stop is hurried."""
-        with move_on_at_grid(seconds):
+        with move_on_after_aligned(seconds):
             await self._hurrying.wait()
--- a/packages/rampwick-router/src/rampwick_router/_main.py
+++ b/packages/rampwick-router/src/rampwick_router/_main.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from rampwick_platform import open_loop
+from rampwick_platform import new_event_loop
 from rampwick_schema import RampwickError, Settings, read_settings
 
 from ._daemon import Clocks, Daemon, run_daemon
@@ -56,7 +56,7 @@
             arguments.settings,
             None,
             announce,
-            backend_options={"loop_factory": open_loop},
+            backend_options={"loop_factory": new_event_loop},
         )
     return EXIT_OK
 
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -13,7 +13,7 @@
 import attrs
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
-from rampwick_platform import move_on_at_grid
+from rampwick_platform import move_on_after_aligned
 from rampwick_policy import (
     Action,
     CancelAttempt,
@@ -191,7 +191,7 @@
                 await anyio.sleep(TICK_SECONDS)
             else:
                 self._has_work = anyio.Event()
-                with move_on_at_grid(IDLE_TICK_SECONDS):
+                with move_on_after_aligned(IDLE_TICK_SECONDS):
                     await self._has_work.wait()
             self.post(Tick())
 
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -186,8 +186,8 @@
             reader.configuration_prefix,
             wait_seconds=settings.platform.confirm_wait_seconds,
             is_wanted=is_wanted,
-            take_state=self._apply_state,
-            take_problem=self._note_problem,
+            on_state=self._apply_state,
+            on_problem=self._note_problem,
             read_clock=read_clock,
             draw=draw,
         )
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -106,8 +106,8 @@
             wait_seconds=UPSTREAMS_WAIT_SECONDS,
             pause_seconds=WATCH_PAUSE_SECONDS,
             is_wanted=is_wanted,
-            take_state=self._apply_state,
-            take_problem=self._note_problem,
+            on_state=self._apply_state,
+            on_problem=self._note_problem,
             read_clock=read_clock,
             draw=draw,
         )
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
@@ -158,7 +158,7 @@
         assert self._leases is not None
         renewal_seconds = self.lease.duration_seconds * RENEWAL_RATIO
         self._renew_at_seconds = self._read_clock() + renewal_seconds
-        await self._leases.try_take(self.lease, self._read_clock)
+        await self._leases.try_acquire(self.lease, self._read_clock)
 
     async def _check_holder(self, now_seconds: float) -> None:
         """Read the lease once if its holder is unresponsive.
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -11,7 +11,7 @@
     LeaseStore,
     ObjectApi,
     PlatformError,
-    move_on_at_grid,
+    move_on_after_aligned,
 )
 from rampwick_policy import (
     AskReport,
@@ -176,7 +176,7 @@
                 except (PlatformError, DataError) as error:
                     # The lease expires without renewal; no order is sent without it.
                     log.problem("rollout step failed", error=str(error))
-                with move_on_at_grid(self._pause_seconds(is_busy)):
+                with move_on_after_aligned(self._pause_seconds(is_busy)):
                     await self._wake.wait()
 
     def _pause_seconds(self, is_busy: bool) -> float:
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -67,8 +67,8 @@
             reader.targets_prefix,
             wait_seconds=TARGETS_WAIT_SECONDS,
             is_wanted=is_wanted,
-            take_state=self._apply_state,
-            take_problem=_log_problem,
+            on_state=self._apply_state,
+            on_problem=_log_problem,
             read_clock=read_clock,
             draw=draw,
         )
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -8,7 +8,7 @@
 import attrs
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
-from rampwick_platform import ClaimStore, ObjectApi, sleep_on_grid
+from rampwick_platform import ClaimStore, ObjectApi, sleep_aligned
 from rampwick_policy import RunState, key_hash, shard_of
 from rampwick_schema import Claim, ClaimSettings, RampwickError, Shown
 
@@ -205,7 +205,7 @@
             era = self._era
             if era != written_era and await self._write_again():
                 written_era = era
-            await sleep_on_grid(ERA_INTERVAL_SECONDS)
+            await sleep_aligned(ERA_INTERVAL_SECONDS)
 
     async def _write_again(self) -> bool:
         """Claim once more what was won here; return whether all is written."""
--- a/packages/rampwick-router/src/rampwick_router/peers/_directory.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_directory.py
@@ -11,7 +11,7 @@
     ObjectApi,
     PlatformError,
     decode_record,
-    settle_put,
+    put_idempotent,
 )
 from rampwick_policy import Member
 from rampwick_schema import DataError, HostRecord
@@ -110,7 +110,7 @@
             decode_record(stored, HostRecord).peer_address == record.peer_address
         )
         if not is_current:
-            await settle_put(self._api, key, record, version)
+            await put_idempotent(self._api, key, record, version)
         self._recorded_era = self._api.era
 
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_freshness.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_freshness.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from rampwick_platform import sleep_on_grid
+from rampwick_platform import sleep_aligned
 
 from ._links import Link, PeerLinks
 from ._roles import Roles
@@ -39,7 +39,7 @@
         In a large fleet the relay sends the ages with its summaries instead.
         """
         while True:
-            await sleep_on_grid(POLL_INTERVAL_SECONDS)
+            await sleep_aligned(POLL_INTERVAL_SECONDS)
             if self._roles.table.is_large or self._roles.is_reader():
                 continue
             link = self._reader_link()
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from rampwick_platform import move_on_at_grid, sleep_on_grid
+from rampwick_platform import move_on_after_aligned, sleep_aligned
 from rampwick_policy import (
     CrashUpdateReceived,
     LeavingUpdateReceived,
@@ -377,7 +377,7 @@
                 if count % SUMMARIES_PER_HALL_SUMMARY == 0:
                     self.summaries.publish_hall()
             changed = self._configuration.changed
-            with move_on_at_grid(self._interval_seconds):
+            with move_on_after_aligned(self._interval_seconds):
                 await changed.wait()
 
     async def _broadcast_rollout(self) -> None:
@@ -385,7 +385,7 @@
         while True:
             if self._rollout_controller.is_holder:
                 self.broadcast_rollout()
-            await sleep_on_grid(ROLLOUT_INTERVAL_SECONDS)
+            await sleep_aligned(ROLLOUT_INTERVAL_SECONDS)
 
     def broadcast_rollout(self) -> None:
         """Broadcast loads, weights and lease to all hosts now."""
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -15,7 +15,7 @@
 import attrs
 from anyio.abc import TaskGroup
 
-from rampwick_platform import move_on_at_grid, sleep_on_grid
+from rampwick_platform import move_on_after_aligned, sleep_aligned
 from rampwick_policy import Member
 from rampwick_schema import Members, PeerSettings, Shown, encode_message
 
@@ -177,7 +177,7 @@
             while True:
                 self._changed = anyio.Event()
                 self._reconcile(tasks)
-                with move_on_at_grid(RECONCILE_INTERVAL_SECONDS):
+                with move_on_after_aligned(RECONCILE_INTERVAL_SECONDS):
                     await self._changed.wait()
 
     async def monitor_links(self) -> None:
@@ -188,7 +188,7 @@
         again.
         """
         while True:
-            await sleep_on_grid(self._keep_alive_seconds)
+            await sleep_aligned(self._keep_alive_seconds)
             now_seconds = self._read_clock()
             for link in self._links:
                 self.check_link(link, now_seconds)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from rampwick_platform import sleep_on_grid
+from rampwick_platform import sleep_aligned
 from rampwick_policy import (
     CacheChanges,
     CacheSeen,
@@ -164,7 +164,7 @@
                 for source in wanted - self._scopes.keys():
                     scope = self._scopes[source] = anyio.CancelScope()
                     tasks.start_soon(self._follow, source, scope)
-                await sleep_on_grid(self._scheduler.look(self._pause_seconds))
+                await sleep_aligned(self._scheduler.look(self._pause_seconds))
 
     @property
     def is_caught_up(self) -> bool:
@@ -229,7 +229,7 @@
                     self._note_caught_up(source, state)
                     await anyio.sleep(FAILURE_PAUSE_SECONDS)
                 self._note_caught_up(source, state)
-                await sleep_on_grid(POLL_INTERVAL_SECONDS)
+                await sleep_aligned(POLL_INTERVAL_SECONDS)
 
     async def _poll_limited(self, source: CacheSource, state: ReadState) -> bool:
         """Poll for the next events; polls for backlogs are limited in concurrency."""
--- a/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
@@ -14,7 +14,7 @@
 import attrs
 import h11
 
-from rampwick_platform import sleep_on_grid
+from rampwick_platform import sleep_aligned
 from rampwick_policy import Outcome
 from rampwick_schema import Shown
 
@@ -279,7 +279,7 @@
     async def sweep(self) -> None:
         """Close expired idle connections periodically until cancelled."""
         while True:
-            await sleep_on_grid(SWEEP_SECONDS)
+            await sleep_aligned(SWEEP_SECONDS)
             for upstream, channels in list(self._by_upstream.items()):
                 self._close_expired(channels)
                 if not channels.open_count:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tasks.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rampwick_platform import move_on_at_grid
+from rampwick_platform import move_on_after_aligned
 from rampwick_policy import LoadReported, ProbeFailed
 from rampwick_schema import HostEntry
 
@@ -42,7 +42,7 @@
                         now_seconds
                     )
                 )
-                with move_on_at_grid(min(pause_seconds, MAX_PROBE_WAIT_SECONDS)):
+                with move_on_after_aligned(min(pause_seconds, MAX_PROBE_WAIT_SECONDS)):
                     await has_doubt.wait()
 
     async def _probe(self, entry: HostEntry) -> None:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,6 +1,6 @@
 """Fakes at the interfaces, with faults stepped by the test."""
 
-from rampwick_platform import AnswerLostError, Listing, VersionConflictError
+from rampwick_platform import Listing, OutcomeUnknownError, VersionConflictError
 from rampwick_standin import ObjectStore, PreconditionError
 
 
@@ -23,14 +23,14 @@
             await before()
         if self.lose_writes:
             self.lose_writes -= 1
-            raise AnswerLostError("lost", step="put")
+            raise OutcomeUnknownError("lost", step="put")
         try:
             version = self.store.put(key, value, expected_version)
         except PreconditionError as error:
             raise VersionConflictError(str(error), step="put") from None
         if self.lose_answers:
             self.lose_answers -= 1
-            raise AnswerLostError("lost", step="put")
+            raise OutcomeUnknownError("lost", step="put")
         return version
 
     async def list_objects(self, prefix, after_key=""):
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,8 +7,8 @@
 from testtools import TestCase
 
 from rampwick_platform import (
-    AnswerLostError,
     HttpObjectApi,
+    OutcomeUnknownError,
     PlatformError,
     TreeStore,
 )
@@ -378,4 +378,4 @@
                 await api.get("x")
 
         error = self.assertRaises(PlatformError, anyio.run, run)
-        self.assertNotIsInstance(error, AnswerLostError)
+        self.assertNotIsInstance(error, OutcomeUnknownError)
--- a/tests/test_kind_watcher.py
+++ b/tests/test_kind_watcher.py
@@ -26,25 +26,25 @@
 class KindViewTest(TestCase):
     def test_old_news_changes_nothing(self):
         view = KindView()
-        view.take_listing(Listing(10, [stored("a", 9)]))
+        view.apply_listing(Listing(10, [stored("a", 9)]))
         view.take_changes(Listing(12, [stored("a", 8, is_deleted=True)]))
         self.assertEqual(["k/a"], list(view.objects))
-        view.take_listing(Listing(5, []))
+        view.apply_listing(Listing(5, []))
         self.assertEqual(["k/a"], list(view.objects))
 
     def test_a_deletion_is_a_change_with_a_version(self):
         view = KindView()
-        view.take_listing(Listing(10, [stored("a", 9)]))
+        view.apply_listing(Listing(10, [stored("a", 9)]))
         view.take_changes(Listing(12, [stored("a", 12, is_deleted=True)]))
         self.assertEqual(({}, 12), (view.objects, view.version))
 
     def test_a_deletion_that_only_a_listing_shows_has_a_version_too(self):
         """Without one the list of before counted as newer, with what had gone."""
         view = KindView()
-        view.take_listing(Listing(10, [stored("a", 9), stored("b", 8)]))
-        view.take_listing(Listing(12, [stored("b", 8)]))
+        view.apply_listing(Listing(10, [stored("a", 9), stored("b", 8)]))
+        view.apply_listing(Listing(12, [stored("b", 8)]))
         self.assertEqual((["k/b"], 12), (list(view.objects), view.version))
-        view.take_listing(Listing(15, [stored("b", 8)]))
+        view.apply_listing(Listing(15, [stored("b", 8)]))
         self.assertEqual(12, view.version)
 
     @settings(derandomize=True, deadline=None)
@@ -95,8 +95,8 @@
             script,
             "k/",
             wait_seconds=1.5,
-            take_state=states.append,
-            take_problem=problems.append,
+            on_state=states.append,
+            on_problem=problems.append,
             read_clock=script.clock,
             draw=random.Random(1),
             **options,
@@ -190,8 +190,8 @@
                 script,
                 "k/",
                 wait_seconds=1.0,
-                take_state=states.append,
-                take_problem=lambda problem: None,
+                on_state=states.append,
+                on_problem=lambda problem: None,
                 read_clock=script.clock,
                 draw=random.Random(1),
                 is_wanted=lambda: False,
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -63,60 +63,60 @@
         self.one = LeaseWatcher("one", 10.0)
         self.two = LeaseWatcher("two", 10.0)
 
-    def try_take(self, watcher):
+    def try_acquire(self, watcher):
         store = LeaseStore(self.api, "leases/x")
-        return anyio.run(store.try_take, watcher, lambda: self.now_seconds)
+        return anyio.run(store.try_acquire, watcher, lambda: self.now_seconds)
 
     def test_second_host_waits_out_the_first(self):
-        self.assertTrue(self.try_take(self.one))
-        self.assertFalse(self.try_take(self.two))
+        self.assertTrue(self.try_acquire(self.one))
+        self.assertFalse(self.try_acquire(self.two))
         self.now_seconds = 9.0
-        self.assertFalse(self.try_take(self.two))
+        self.assertFalse(self.try_acquire(self.two))
         self.now_seconds = 10.0
         self.assertIsNone(self.one.fencing_number(self.now_seconds))
-        self.assertTrue(self.try_take(self.two))
+        self.assertTrue(self.try_acquire(self.two))
 
     def test_renewal_keeps_the_second_out(self):
-        self.try_take(self.one)
-        self.try_take(self.two)
+        self.try_acquire(self.one)
+        self.try_acquire(self.two)
         self.now_seconds = 8.0
-        self.assertTrue(self.try_take(self.one))
+        self.assertTrue(self.try_acquire(self.one))
         self.now_seconds = 12.0
-        self.assertFalse(self.try_take(self.two))
+        self.assertFalse(self.try_acquire(self.two))
 
     def test_fencing_numbers_rise_with_each_holder(self):
-        self.try_take(self.one)
+        self.try_acquire(self.one)
         first = self.one.fencing_number(self.now_seconds)
-        self.try_take(self.two)
+        self.try_acquire(self.two)
         self.now_seconds = 30.0
-        self.try_take(self.two)
+        self.try_acquire(self.two)
         self.assertGreater(self.two.fencing_number(self.now_seconds), first)
 
     def test_paused_holder_finds_its_lease_gone(self):
-        self.try_take(self.one)
-        self.try_take(self.two)
+        self.try_acquire(self.one)
+        self.try_acquire(self.two)
         self.now_seconds = 11.0
-        self.try_take(self.two)
+        self.try_acquire(self.two)
         # The first wakes: it neither orders nor takes the lease back.
         self.assertIsNone(self.one.fencing_number(self.now_seconds))
-        self.assertFalse(self.try_take(self.one))
+        self.assertFalse(self.try_acquire(self.one))
 
     def test_order_that_would_outlive_the_lease_is_not_sent(self):
-        self.try_take(self.one)
+        self.try_acquire(self.one)
         self.assertIsNotNone(self.one.fencing_number(8.0, needed_seconds=1.0))
         self.assertIsNone(self.one.fencing_number(9.5, needed_seconds=1.0))
 
     def test_lost_answer_of_the_taking_write_still_takes(self):
         self.api.lose_answers = 1
-        self.assertTrue(self.try_take(self.one))
+        self.assertTrue(self.try_acquire(self.one))
 
     def test_two_that_race_have_one_winner(self):
         async def two_takes():
             store = LeaseStore(self.api, "leases/x")
-            await store.try_take(self.two, lambda: self.now_seconds)
+            await store.try_acquire(self.two, lambda: self.now_seconds)
 
         self.api.before_put = two_takes
-        self.assertFalse(self.try_take(self.one))
+        self.assertFalse(self.try_acquire(self.one))
         self.assertIsNotNone(self.two.fencing_number(0.0))
         self.assertIsNone(self.one.fencing_number(0.0))
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -17,10 +17,10 @@
 
 from rampwick_platform import (
     ABSENT,
-    AnswerLostError,
     HistoryGoneError,
     KindWatcher,
     LeaseStore,
+    OutcomeUnknownError,
     StoreRestoredError,
     VersionConflictError,
     read_era,
@@ -55,8 +55,8 @@
                 store,
                 "k/",
                 wait_seconds=0.02,
-                take_state=states.append,
-                take_problem=lambda problem: None,
+                on_state=states.append,
+                on_problem=lambda problem: None,
                 read_clock=lambda: 0.0,
                 draw=random.Random(1),
             )
@@ -87,7 +87,7 @@
             taken = []
             for _ in range(10):
                 clock.now += 1.0
-                taken.append(await leases.try_take(watcher, lambda: clock.now))
+                taken.append(await leases.try_acquire(watcher, lambda: clock.now))
             return any(taken)
 
         self.assertTrue(anyio.run(main))
@@ -210,7 +210,7 @@
             await store.list_objects("k/")
             for era in (2, 0):
                 store.stand_in.era = era
-                with expect(AnswerLostError):
+                with expect(OutcomeUnknownError):
                     await store.list_objects("k/")
             store.stand_in.era = 3
             return (await store.list_objects("k/")).version
@@ -220,7 +220,7 @@
     def test_a_restore_is_told_once(self):
         async def scenario(store):
             eras = []
-            store.note_restored = lambda *told: eras.append(told)
+            store.on_restored = lambda *told: eras.append(told)
             await store.list_objects("k/")
             store.stand_in.restore(eras_count=3)
             await store.list_objects("k/")
@@ -244,8 +244,8 @@
                 store,
                 "k/",
                 wait_seconds=0.02,
-                take_state=lambda state: None,
-                take_problem=lambda problem: None,
+                on_state=lambda state: None,
+                on_problem=lambda problem: None,
                 read_clock=lambda: 0.0,
                 draw=random.Random(1),
             )
@@ -277,7 +277,7 @@
 
             async def take(watcher, at_seconds, leases=leases):
                 clock.now = at_seconds
-                return await leases.try_take(watcher, lambda: clock.now)
+                return await leases.try_acquire(watcher, lambda: clock.now)
 
             return await scenario(store, take)
 
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 from testtools import TestCase
 
-from rampwick_platform import on_grid
+from rampwick_platform import align_delay
 from rampwick_policy import Member, MemberTable, SummaryDigest, diff_hosts, patch_hosts
 from rampwick_policy._membership import Membership
 from rampwick_router.peers._member_updates import MemberUpdates
@@ -252,7 +252,7 @@
         for offset, period_seconds in enumerate(periods):
             now_seconds = 1000.0 + 0.013 * offset
             while now_seconds < 1000.0 + length_seconds:
-                now_seconds += on_grid(period_seconds, now_seconds)
+                now_seconds += align_delay(period_seconds, now_seconds)
                 moments.add(round(now_seconds, 6))
         return moments
 
@@ -266,8 +266,8 @@
             self.assertAlmostEqual(60.0 / period_seconds, count, delta=count / 4)
 
     def test_short_and_endless_waits_stay_as_they_are(self):
-        self.assertEqual(0.05, on_grid(0.05, 7.0))
-        self.assertEqual(math.inf, on_grid(math.inf, 7.0))
+        self.assertEqual(0.05, align_delay(0.05, 7.0))
+        self.assertEqual(math.inf, align_delay(math.inf, 7.0))
 
 
 class MemberUpdatesTest(TestCase):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -24,10 +24,10 @@
 from testtools import TestCase
 
 from rampwick_platform import (
-    AnswerLostError,
     HttpObjectApi,
     LeaseStore,
     Listing,
+    OutcomeUnknownError,
     PlatformUnavailableError,
     StoredObject,
     _kind_watcher,
@@ -94,7 +94,7 @@
             self.version = 2
             # Nothing arrives; only the caller's own timeout ends the wait.
             self.now_seconds += timeout_seconds + WATCH_GRACE_SECONDS
-            raise AnswerLostError("ReadTimeout", step="watch objects")
+            raise OutcomeUnknownError("ReadTimeout", step="watch objects")
         if after_version == self.version:
             await anyio.sleep_forever()
         return self.listing()
@@ -346,7 +346,7 @@
             await self._advanced.wait()
             if self.now_seconds >= self.cut_at_seconds:
                 self.cut_at_seconds = math.inf
-                raise AnswerLostError("cut", step="watch objects")
+                raise OutcomeUnknownError("cut", step="watch objects")
         return Listing(1, [])
 
 
@@ -355,7 +355,7 @@
 
     def play(self, fault, seconds=40.0):
         """Run a single host in simulated time; return the times without a holder."""
-        self.patch(_kind_watcher, "FIRST_PAUSE_SECONDS", 0.0)
+        self.patch(_kind_watcher, "INITIAL_BACKOFF_SECONDS", 0.0)
         store = SimulatedStore()
         settings = read_settings("a")
         scheduler = SchedulerTask(Scheduler(settings), store.read_clock)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -11,7 +11,7 @@
 import anyio.lowlevel
 from testtools import TestCase
 
-from rampwick_platform import open_loop, read_steady_clock
+from rampwick_platform import new_event_loop, read_steady_clock
 from rampwick_policy import LeaseWatcher
 from rampwick_router._assembly import Clocks
 from rampwick_schema import LeaseRecord
@@ -68,5 +68,5 @@
                     await anyio.lowlevel.checkpoint()
                 tasks.cancel_scope.cancel()
 
-        anyio.run(scenario, backend_options={"loop_factory": open_loop})
+        anyio.run(scenario, backend_options={"loop_factory": new_event_loop})
         self.assertEqual([True], woken)
