--- a/packages/rampwick-schema/src/rampwick_schema/_generated_peer.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_peer.py
@@ -1,4 +1,4 @@
-"""Messages between rampwickd processes: a length, then a msgpack array of a code and the fields.
+"""Messages between rampwickd processes: a length prefix, then a msgpack array of code and fields.
 
 Generated from schema/peer.toml by tools/generate_schema.py; do not edit.
 """
@@ -17,7 +17,7 @@
 
 @attrs.frozen(repr=False)
 class Hello(Shown):
-    """First message of each side; the nonce is to be proved."""
+    """First message in each direction; the receiver proves the nonce in its Proof."""
 
     CODE: ClassVar[int] = 1
 
@@ -31,9 +31,9 @@
     incarnation: int = attrs.field(validator=within(0, None))
     #: 16 random bytes.
     nonce: bytes
-    #: IP and port at which the sender takes streams of peers.
+    #: IP and port at which the sender accepts peer connections.
     peer_address: str = attrs.field(default="")
-    #: Speed of the sender's link.
+    #: Link speed of the sender.
     link_megabits_per_second: float = attrs.field(
         default=1000.0, validator=within(0.0, None)
     )
@@ -41,7 +41,7 @@
 
 @attrs.frozen(repr=False)
 class Proof(Shown):
-    """HMAC-SHA256 of the other side's nonce and one's own name under the shared secret."""
+    """HMAC-SHA256 of the receiver's nonce and the sender's name, keyed with the shared secret."""
 
     CODE: ClassVar[int] = 2
 
@@ -51,127 +51,127 @@
 
 @attrs.frozen(repr=False)
 class WorkspaceUsage(Shown):
-    """One host's dealings with one workspace."""
+    """Usage of one workspace at one host."""
 
     #: Path of the workspace.
     workspace: str
-    #: Decayed priced tokens served.
+    #: Priced tokens served, with exponential decay.
     used_tokens: int = attrs.field(validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class UpstreamUsage(Shown):
-    """One host's dealings with one upstream."""
+    """Usage of one upstream by one host."""
 
     #: Name of the upstream.
     upstream: str
-    #: Life of the engine that this is about.
+    #: Incarnation of the engine that the usage refers to.
     incarnation: str
-    #: Attempts open at the upstream.
+    #: Open attempts at the upstream.
     running_count: int = attrs.field(validator=within(0, None))
-    #: Prompt tokens sent whose first token has not come.
+    #: Prompt tokens of requests that have not returned their first token.
     waiting_tokens: int = attrs.field(validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class PlacedPrefix(Shown):
-    """A prefix that a runner holds, by the sender's knowledge."""
+    """A prefix that, according to the sender, a runner has cached."""
 
     #: Name of the runner.
     upstream: str
-    #: Life of the engine that holds it.
+    #: Incarnation of the engine whose cache has the prefix.
     incarnation: str
-    #: Hashes of 8 bytes, deepest first.
+    #: Hashes of 8 bytes, longest prefix first.
     prefixes: list[bytes]
-    #: Tokens that each prefix adds to the one before it.
+    #: Tokens that each prefix adds to its parent prefix.
     extents_tokens: list[int]
 
 
 @attrs.frozen(repr=False)
 class RunnerLoad(Shown):
-    """A load of weights that the sender has ordered and that is not over."""
+    """A load of weights that the sender has ordered and that is in progress."""
 
     #: Name of the runner.
     upstream: str
-    #: Life of the runner that was told.
+    #: Incarnation of the runner that received the order.
     incarnation: str
-    #: Weights that it loads.
+    #: Version of the weights to load.
     weights_version: int = attrs.field(validator=within(0, None))
-    #: Time after which it is over at the latest.
+    #: Time until the load counts as finished or failed.
     remaining_seconds: float = attrs.field(validator=within(0.0, None))
 
 
 @attrs.frozen(repr=False)
 class RunnerWeights(Shown):
-    """Weights that the sender has seen a runner have."""
+    """Weights that the sender observed at a runner."""
 
     #: Name of the runner.
     upstream: str
-    #: Life of the runner.
+    #: Incarnation of the runner.
     incarnation: str
-    #: Its weights.
+    #: Version of the weights.
     weights_version: int = attrs.field(validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class WaitingCount(Shown):
-    """Requests of one workspace that wait for one service."""
+    """Queued requests of one workspace for one service."""
 
     #: Path of the workspace.
     workspace: str
-    #: Service that they wait for; empty for models without one.
+    #: Service of the requests; empty for models without a service.
     service: str
-    #: How many wait.
+    #: Queued requests.
     requests_count: int = attrs.field(validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class LimitUsage(Shown):
-    """What some hosts dealt with under one limit in tokens."""
+    """Usage of one token limit by one or more hosts."""
 
-    #: Node of the tree that the limit stands at.
+    #: Path of the tree node that has the limit.
     path: str
-    #: Tokens sent within the limit's window, as callers name them.
+    #: Tokens sent within the limit's window, as declared by callers.
     sent_tokens: int = attrs.field(validator=within(0, None))
-    #: Tokens of these that leave the window within the next second.
+    #: Part of them that leaves the window within the next second.
     leaving_tokens: int = attrs.field(default=0, validator=within(0, None))
-    #: Tokens asked for, a second.
+    #: Demand in tokens per second.
     asked_tokens: int = attrs.field(default=0, validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class Summary(Shown):
-    """What a host tells each peer at each interval; also its heartbeat."""
+    """Periodic state of a host, sent to each peer; also the heartbeat."""
 
     CODE: ClassVar[int] = 3
 
-    #: Counts up within an incarnation.
+    #: Sequence number within the incarnation.
     sequence: int = attrs.field(validator=within(0, None))
-    #: Revision of the tree in force at the sender.
+    #: Revision of the tree that is active at the sender.
     revision: int = attrs.field(validator=within(0, None))
     #: Version of the sender's host list; -1 for none.
     host_list_version: int = attrs.field(validator=within(-1, None))
-    #: Whether the sender takes no new requests.
+    #: Whether the sender is draining and accepts no new requests.
     is_leaving: bool
-    #: Workspaces in use.
+    #: Usage of workspaces.
     workspaces: list[WorkspaceUsage]
-    #: Upstreams in use.
+    #: Usage of upstreams.
     upstreams: list[UpstreamUsage]
     #: Placements since the last summary.
     placed: list[PlacedPrefix]
-    #: Upstreams that the sender has just found to be down.
+    #: Upstreams that the sender has recently detected as down.
     down: list[str] = attrs.field(factory=list)
-    #: Hosts that the summary speaks for.
+    #: Hosts that the summary covers.
     hosts_count: int = attrs.field(default=1, validator=within(1, None))
-    #: Requests that wait at the sender.
+    #: Queued requests at the sender.
     waiting: list[WaitingCount] = attrs.field(factory=list)
-    #: Limits in use.
+    #: Usage of limits.
     limits: list[LimitUsage] = attrs.field(factory=list)
-    #: Time for which the sender, or whom it heard, has been counting towards limits.
+    #: Time for which the sender, or the peers whose counts it received, has been counting usage of limits.
     limits_known_seconds: float = attrs.field(
         default=0.0, validator=within(0.0, 1000000000.0)
     )
-    #: Whether what is asked under a limit has just grown, so that this is passed on at once.
+    #: Whether the demand under a limit has just increased; such a summary is forwarded immediately.
     has_surged: bool = attrs.field(default=False)
     #: Era of the store in which the sender's revision was written.
     store_era: int | None = attrs.field(default=None, validator=within(0, None))
@@ -179,67 +179,67 @@
 
 @attrs.frozen(repr=False)
 class HallSummary(Shown):
-    """What all hosts of a hall say, told by its relay to other halls and passed on there."""
+    """Aggregated state of all hosts of a hall, sent by its relay to other halls and forwarded there."""
 
     CODE: ClassVar[int] = 10
 
-    #: Hall that it is about.
+    #: Hall of the summarized hosts.
     hall: str
-    #: Host that put it together.
+    #: Host that aggregated the summary.
     relay: str
-    #: Incarnation of that host.
+    #: Incarnation of the relay.
     incarnation: int = attrs.field(validator=within(0, None))
-    #: The sums of its hosts' summaries.
+    #: Sums of the summaries of its hosts.
     summary: Summary
 
 
 @attrs.frozen(repr=False)
 class Beat(Shown):
-    """A host as its hall's relay has heard it last."""
+    """Last state of a host that the relay of its hall has received."""
 
     #: Name of the host.
     host: str
-    #: Its incarnation.
+    #: Incarnation of the host.
     incarnation: int = attrs.field(validator=within(0, None))
-    #: Number of its last summary that is part of the sum.
+    #: Sequence number of its last summary that the sums include.
     sequence: int = attrs.field(validator=within(0, None))
-    #: Whether it takes no new requests.
+    #: Whether the host is draining and accepts no new requests.
     is_leaving: bool
 
 
 @attrs.frozen(repr=False)
 class NamedWeights(Shown):
-    """Weights that were named, and how long ago at the time of telling."""
+    """A weights version and the time since it became a target, as of sending."""
 
     #: Model.
     model: str
-    #: Version of its weights.
+    #: Version of the weights.
     weights_version: int = attrs.field(validator=within(0, None))
-    #: Time since its naming.
+    #: Time since the version became a target.
     age_seconds: float = attrs.field(validator=within(0.0, 1000000000.0))
 
 
 @attrs.frozen(repr=False)
 class FleetSummary(Shown):
-    """What all hosts of the fleet say, told by a hall's relay to each host of its hall. Ages are those at the time of telling; a host counts them from when it sent the summary that its beat names."""
+    """Aggregated state of all hosts of the fleet, sent by a hall's relay to each host of its hall. Ages are as of sending; a receiver counts them from when it sent the summary whose number is in its beat."""
 
     CODE: ClassVar[int] = 16
 
     #: Incarnation of the relay.
     incarnation: int = attrs.field(validator=within(0, None))
-    #: The sums of all hosts' summaries, the receiver's included; revision and host list are the relay's own.
+    #: Sums of the summaries of all hosts, including the receiver; revision and host list are those of the relay.
     summary: Summary
-    #: Hosts of the hall that the relay hears.
+    #: Hosts of the hall that are alive at the relay.
     heard: list[Beat]
-    #: Halls that the relay hears.
+    #: Halls that are alive at the relay.
     halls: list[str]
-    #: Time since the relay's revision was surely the newest.
+    #: Time since the relay's revision was last confirmed as the newest.
     revision_age_seconds: float = attrs.field(validator=within(0.0, None))
-    #: Time since its host list was surely the newest.
+    #: Time since the relay's host list was last confirmed as the newest.
     host_list_age_seconds: float = attrs.field(validator=within(0.0, None))
-    #: Weights that are wanted, as far as the relay knows.
+    #: Target weights as known to the relay.
     targets: list[WeightsTarget]
-    #: When versions were named, as far as the teller saw it or was told.
+    #: Times at which versions became targets, as observed or received by the sender.
     named: list[NamedWeights] = attrs.field(factory=list)
 
 
@@ -249,19 +249,19 @@
 
     #: Name of the host.
     host: str
-    #: Hall that it stands in.
+    #: Hall of the host.
     hall: str
-    #: IP and port of its streams between hosts.
+    #: IP and port of its peer interface.
     peer_address: str
-    #: Start time of its process in nanoseconds.
+    #: Start time of the host's process in nanoseconds.
     incarnation: int = attrs.field(validator=within(0, None))
-    #: Speed of its link.
+    #: Link speed of the host.
     link_megabits_per_second: float = attrs.field(validator=within(0.0, None))
 
 
 @attrs.frozen(repr=False)
 class Members(Shown):
-    """Hosts that the sender knows."""
+    """Membership list of the sender."""
 
     CODE: ClassVar[int] = 11
 
@@ -271,33 +271,33 @@
 
 @attrs.frozen(repr=False)
 class ConfirmRequest(Shown):
-    """Asks a host that reads the platform how old what it has read is."""
+    """Requests the age of the platform data at a reader host."""
 
     CODE: ClassVar[int] = 12
 
-    #: Number that the reply repeats.
+    #: Sequence number that the reply repeats.
     sequence: int = attrs.field(validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class ConfirmReply(Shown):
-    """Ages at the time of the reply, so that the asker can count them from its question."""
+    """Versions and ages as of sending; the requester counts the ages from when it sent the request."""
 
     CODE: ClassVar[int] = 13
 
-    #: Number of the question.
+    #: Sequence number of the request.
     sequence: int = attrs.field(validator=within(0, None))
-    #: Revision of the configuration in force.
+    #: Revision of the active configuration.
     revision: int = attrs.field(validator=within(0, None))
-    #: Time since it was surely the newest.
+    #: Time since it was last confirmed as the newest.
     revision_age_seconds: float = attrs.field(validator=within(0.0, None))
     #: Version of the host list.
     host_list_version: int = attrs.field(validator=within(-1, None))
-    #: Time since it was surely the newest.
+    #: Time since it was last confirmed as the newest.
     host_list_age_seconds: float = attrs.field(validator=within(0.0, None))
-    #: Weights that are wanted, as far as the sender knows.
+    #: Target weights as known to the sender.
     targets: list[WeightsTarget] = attrs.field(factory=list)
-    #: When versions were named, as far as the teller saw it or was told.
+    #: Times at which versions became targets, as observed or received by the sender.
     named: list[NamedWeights] = attrs.field(factory=list)
     #: Era of the store in which the revision was written.
     store_era: int | None = attrs.field(default=None, validator=within(0, None))
@@ -309,43 +309,43 @@
 
     CODE: ClassVar[int] = 14
 
-    #: Version to which it is to be applied.
+    #: Version to which the changes apply.
     base_version: int = attrs.field(validator=within(-1, None))
-    #: Version that it makes.
+    #: Version after the changes.
     version: int = attrs.field(validator=within(0, None))
-    #: Entries that are new or other.
+    #: Added or modified entries.
     changed: list[HostEntry]
-    #: Names that are gone.
+    #: Names of removed entries.
     removed: list[str]
 
 
 @attrs.frozen(repr=False)
 class CacheChange(Shown):
-    """What one life of a cache keeps now of some entries."""
+    """Current contents of some entries in one generation of a cache."""
 
-    #: Life of the engine, or of a store for one version of the weights.
+    #: Cache generation: the incarnation of the engine, or of a store for one weights version.
     incarnation: str
     #: Keys of 8 bytes.
     prefixes: list[bytes]
-    #: Tokens kept of each; 0 means that it is gone.
+    #: Cached tokens of each entry; 0 for an evicted entry.
     kept_tokens: list[int]
 
 
 @attrs.frozen(repr=False)
 class CacheUpdate(Shown):
-    """What changed of one runner's or store's cache."""
+    """Changes of the cache of one runner or store."""
 
     #: Name of the runner or store.
     upstream: str
-    #: Whether what was known before is to be forgotten.
+    #: Whether all earlier contents are to be discarded.
     is_reset: bool
-    #: Changes by life.
+    #: Changes by cache generation.
     changes: list[CacheChange]
 
 
 @attrs.frozen(repr=False)
 class CacheEventUpdate(Shown):
-    """Cache events that hosts have read for their peers, gathered for a while."""
+    """Cache events that hosts have read for their peers, sent in batches."""
 
     CODE: ClassVar[int] = 9
 
@@ -355,27 +355,27 @@
 
 @attrs.frozen(repr=False)
 class RolloutUpdate(Shown):
-    """What the holder of the steward's lease tells all hosts, at changes and again and again."""
+    """Update from the rollout controller to all hosts, sent at changes and retransmitted periodically."""
 
     CODE: ClassVar[int] = 15
 
-    #: Host that holds the lease.
+    #: Host that holds the rollout lease.
     holder: str
     #: Version of the lease.
     lease_version: int = attrs.field(validator=within(0, None))
-    #: Weights that are wanted.
+    #: Target weights.
     targets: list[WeightsTarget]
-    #: Loads under way.
+    #: Loads in progress.
     loads: list[RunnerLoad]
-    #: Weights that runners were seen to have after loads.
+    #: Weights observed at runners after loads.
     weights: list[RunnerWeights]
-    #: When versions were named, as far as the teller saw it or was told.
+    #: Times at which versions became targets, as observed or received by the sender.
     named: list[NamedWeights] = attrs.field(factory=list)
 
 
 @attrs.frozen(repr=False)
 class ChangesRequest(Shown):
-    """Asks for the changes after a revision."""
+    """Requests the changes after a revision."""
 
     CODE: ClassVar[int] = 4
 
@@ -387,7 +387,7 @@
 
 @attrs.frozen(repr=False)
 class ChangesReply(Shown):
-    """Changes in order, as many as fit."""
+    """Changes in order, limited to the maximum message size."""
 
     CODE: ClassVar[int] = 5
 
@@ -399,27 +399,27 @@
 
 @attrs.frozen(repr=False)
 class TreeReply(Shown):
-    """The whole tree, for a peer too far behind for changes."""
+    """The complete tree, for a peer that is too far behind for changes."""
 
     CODE: ClassVar[int] = 6
 
-    #: Tree in force at the sender.
+    #: Active tree of the sender.
     tree: Tree
 
 
 @attrs.frozen(repr=False)
 class HostListRequest(Shown):
-    """Asks for the sender's host list."""
+    """Requests the receiver's host list."""
 
     CODE: ClassVar[int] = 7
 
-    #: Version that the asker has.
+    #: Version that the requester has.
     after_version: int = attrs.field(validator=within(-1, None))
 
 
 @attrs.frozen(repr=False)
 class HostListReply(Shown):
-    """The newest host list that the sender knows."""
+    """Newest host list of the sender."""
 
     CODE: ClassVar[int] = 8
 
@@ -429,105 +429,105 @@
 
 @attrs.frozen(repr=False)
 class AboardRequest(Shown):
-    """A request that an upstream had when it ended."""
+    """A request that was in flight at an upstream when it crashed."""
 
     #: Hash of caller, path and body, 16 bytes.
     fingerprint: bytes
-    #: Path of the workspace that asked.
+    #: Path of the requesting workspace.
     workspace: str
 
 
 @attrs.frozen(repr=False)
 class EndedUpstream(Shown):
-    """An upstream that closed its connections in the middle of the sender's requests."""
+    """An upstream that closed its connections during requests of the sender and counts as crashed."""
 
     #: Name of the upstream.
     upstream: str
-    #: Life that ended.
+    #: Incarnation that crashed.
     incarnation: str
-    #: Time since then.
+    #: Time since the event.
     age_seconds: float = attrs.field(validator=within(0.0, 1000000000.0))
-    #: What the sender had sent there.
+    #: Requests of the sender that were in flight there.
     aboard: list[AboardRequest]
 
 
 @attrs.frozen(repr=False)
 class LiveUpstream(Shown):
-    """An upstream that answered after it was taken to have ended."""
+    """An upstream that responded after it was considered crashed."""
 
     #: Name of the upstream.
     upstream: str
-    #: Life that goes on.
+    #: Incarnation that is still running.
     incarnation: str
-    #: Time since its answer.
+    #: Time since its response.
     age_seconds: float = attrs.field(validator=within(0.0, 1000000000.0))
 
 
 @attrs.frozen(repr=False)
 class ClearedRequest(Shown):
-    """A request that an upstream answered whole, or that an operator let go."""
+    """A request that an upstream completed or that an operator released from quarantine."""
 
     #: Hash of caller, path and body, 16 bytes.
     fingerprint: bytes
-    #: Time since then.
+    #: Time since the event.
     age_seconds: float = attrs.field(validator=within(0.0, 1000000000.0))
 
 
 @attrs.frozen(repr=False)
 class StoppedRequest(Shown):
-    """A request that is sent to no upstream any more, since those that ran it ended."""
+    """A quarantined request: upstreams that ran it crashed, and it is not sent to upstreams again."""
 
     #: Hash of caller, path and body, 16 bytes.
     fingerprint: bytes
-    #: Path of the workspace that asked.
+    #: Path of the requesting workspace.
     workspace: str
-    #: Time since it was stopped.
+    #: Time since the request was quarantined.
     age_seconds: float = attrs.field(validator=within(0.0, 1000000000.0))
-    #: Upstreams that ended under it.
+    #: Upstreams that crashed while running the request.
     ends_count: int = attrs.field(validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class CrashUpdate(Shown):
-    """What hosts tell each other of upstreams that end under requests."""
+    """Update between hosts about upstreams that crash during requests."""
 
     CODE: ClassVar[int] = 17
 
-    #: Upstreams that ended.
+    #: Crashed upstreams.
     ended: list[EndedUpstream] = attrs.field(factory=list)
-    #: Upstreams that did not end after all.
+    #: Upstreams that are still running after all.
     live: list[LiveUpstream] = attrs.field(factory=list)
-    #: Requests that nothing is held against any more.
+    #: Requests without crash attribution from now on.
     cleared: list[ClearedRequest] = attrs.field(factory=list)
-    #: Requests that are kept from all upstreams.
+    #: Quarantined requests.
     stopped: list[StoppedRequest] = attrs.field(factory=list)
 
 
 @attrs.frozen(repr=False)
 class UpstreamRate(Shown):
-    """What one answer of an upstream said of the requests that it takes."""
+    """Request rate limit in a response of an upstream."""
 
     #: Name of the upstream.
     upstream: str
-    #: Life that answered; empty where lives are not told apart.
+    #: Incarnation that responded; empty where incarnations are not distinguished.
     incarnation: str
-    #: Whether it named a rate.
+    #: Whether the response has a rate limit.
     is_limited: bool
-    #: The rate from all hosts together; 0 if it named none.
+    #: Limit for all hosts together; 0 if the response has none.
     requests_per_second: float = attrs.field(validator=within(0.0, None))
-    #: Time since the request was sent that it answered.
+    #: Time since the request of that response was sent.
     asked_age_seconds: float = attrs.field(validator=within(0.0, 1000000000.0))
-    #: Time since its answer came.
+    #: Time since the response was received.
     heard_age_seconds: float = attrs.field(validator=within(0.0, 1000000000.0))
 
 
 @attrs.frozen(repr=False)
 class RateLimitUpdate(Shown):
-    """What hosts tell each other of the rates that upstreams name."""
+    """Update between hosts about rate limits that upstreams report."""
 
     CODE: ClassVar[int] = 18
 
-    #: The newest word of some upstreams.
+    #: Latest reports of some upstreams.
     rates: list[UpstreamRate] = attrs.field(factory=list)
 
 
@@ -537,17 +537,17 @@
 
     #: Name of the upstream.
     upstream: str
-    #: Its incarnation; empty where incarnations are not told apart.
+    #: Incarnation of the upstream; empty where incarnations are not distinguished.
     incarnation: str
 
 
 @attrs.frozen(repr=False)
 class LeavingUpdate(Shown):
-    """Upstreams that announced their shutdown in an answer."""
+    """Upstreams that announced their shutdown in a response."""
 
     CODE: ClassVar[int] = 19
 
-    #: Their incarnations.
+    #: Incarnations that are shutting down.
     leaving: list[LeavingUpstream] = attrs.field(factory=list)
 
 
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_platform.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_platform.py
@@ -13,29 +13,29 @@
 
 @attrs.frozen(repr=False)
 class HostEntry(Shown):
-    """One entry of the platform's lagging host list."""
+    """An entry of the platform's eventually consistent host list."""
 
     #: Name of the host.
     name: str
-    #: What runs there.
+    #: Kind of the process.
     kind: str = attrs.field(validator=one_of(["entry", "runner", "service", "kvstore"]))
-    #: Hall that it stands in.
+    #: Hall of the host.
     hall: str
-    #: IP and port of its interface.
+    #: IP and port of the host.
     address: str
-    #: Whether it may be given work.
+    #: live, or leaving for a host that gets no new requests.
     state: str = attrs.field(default="live", validator=one_of(["live", "leaving"]))
-    #: Service that it belongs to; runners without routes leave it empty.
+    #: Service of the upstream; empty for runners without routes.
     group: str = attrs.field(default="")
-    #: Life of the upstream where the list tells it; empty where it has to be asked.
+    #: Incarnation of the upstream; empty if the list has none and the upstream has to be queried.
     incarnation: str = attrs.field(default="")
-    #: Model of a runner where the list tells it.
+    #: Model of a runner, if the list has it.
     model: str = attrs.field(default="")
-    #: Loaded weights where the list tells them; the list lags.
+    #: Loaded weights, if the list has them; may be outdated.
     weights_version: int = attrs.field(default=0, validator=within(0, None))
-    #: Requests that it works on at once where the list tells them.
+    #: Concurrent requests of the upstream, if the list has them.
     slots_count: int = attrs.field(default=0, validator=within(0, None))
-    #: Whether it refuses orders with an old fencing number.
+    #: Whether the upstream rejects orders with an outdated fencing number.
     checks_fencing: bool = attrs.field(default=False)
 
 
@@ -45,43 +45,43 @@
 
     #: Version of the list.
     version: int = attrs.field(validator=within(0, None))
-    #: Every known host.
+    #: All known hosts.
     hosts: list[HostEntry]
 
 
 @attrs.frozen(repr=False)
 class Claim(Shown):
-    """One idempotency key that has been claimed."""
+    """A claimed idempotency key."""
 
     #: Hash of workspace and key, in hex.
     key_hash: str
-    #: Id of the arrival that owns the key.
+    #: Id of the request that owns the key.
     write_id: str
-    #: Seconds since 1970 after which the key is free again.
+    #: Unix time at which the claim expires.
     expires_at_seconds: float
 
 
 @attrs.frozen(repr=False)
 class ClaimShard(Shown):
-    """All live claims of one shard."""
+    """Unexpired claims of one shard."""
 
-    #: Live claims.
+    #: Unexpired claims.
     claims: list[Claim]
 
 
 @attrs.frozen(repr=False)
 class HostRecord(Shown):
-    """Where a host's peers find it; each host keeps its own."""
+    """Peer address of a host; each host writes its own record."""
 
     #: Name of the host.
     host: str
-    #: Hall that it stands in.
+    #: Hall of the host.
     hall: str
-    #: IP and port of its streams between hosts.
+    #: IP and port of its peer interface.
     peer_address: str
     #: Random id of the host's last write.
     write_id: str
-    #: Speed of its link.
+    #: Link speed of the host.
     link_megabits_per_second: float = attrs.field(
         default=1000.0, validator=within(0.0, None)
     )
@@ -89,31 +89,31 @@
 
 @attrs.frozen(repr=False)
 class LeaseRecord(Shown):
-    """Who holds a lease; the object's version is the fencing number."""
+    """Holder of a lease; the object's version is the fencing number."""
 
-    #: Host that holds it.
+    #: Host that holds the lease; empty after a release.
     holder: str
     #: Random id of the holder's last write.
     write_id: str
-    #: Length of the lease from the write on; 0 once its holder has given it up.
+    #: Duration of the lease from the write on; after a release, the time until another host may acquire it.
     duration_seconds: float = attrs.field(validator=within(0.0, None))
 
 
 @attrs.frozen(repr=False)
 class WeightsTarget(Shown):
-    """What operators want runners to have loaded."""
+    """The weights that runners of a model are to load."""
 
     #: Model.
     model: str
-    #: Version of its weights.
+    #: Version of the weights.
     weights_version: int = attrs.field(validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class WeightsTargets(Shown):
-    """All targets, as one object."""
+    """All weights targets in one object."""
 
-    #: Random id by which a writer knows its own write again.
+    #: Random id by which a writer recognizes its own write.
     write_id: str
     #: One target for each model.
     targets: list[WeightsTarget]
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_routing.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_routing.py
@@ -1,4 +1,4 @@
-"""Routes from callers' hosts and paths to services, and the services themselves.
+"""Routes from request hosts and paths to services, and the services.
 
 Generated from schema/routing.toml by tools/generate_schema.py; do not edit.
 """
@@ -13,45 +13,45 @@
 
 @attrs.frozen(repr=False)
 class WeightedService(Shown):
-    """A service and its part of a route's traffic."""
+    """A service and its share of the traffic of a route."""
 
     #: Name of the service.
     service: str
-    #: Part of the traffic, relative to the other services of the route.
+    #: Share of the traffic, relative to the other services of the route.
     weight: float = attrs.field(default=1.0, validator=within(0.0, 1000000.0))
 
 
 @attrs.frozen(repr=False)
 class Route(Shown):
-    """Where requests to a host and path prefix go, and on what terms."""
+    """Targets and parameters of requests to a host and path prefix."""
 
-    #: Name of the route, unique in the table.
+    #: Name of the route, unique in the routing table.
     name: str
-    #: Host that callers name, without a port.
+    #: Host of the request, without a port.
     host: str
-    #: Beginning of the path; starts and ends with a slash.
+    #: Prefix of the path; starts and ends with a slash.
     path_prefix: str
     #: Services that share the traffic.
     targets: list[WeightedService]
-    #: Whether a request may run again after a run that may have begun.
+    #: Whether a request may be retried after an attempt that may have started running.
     is_repeatable: bool = attrs.field(default=False)
-    #: Whether the answer is a stream of events.
+    #: Whether the response is an event stream.
     is_stream: bool = attrs.field(default=False)
-    #: Whether a broken stream may go on at another upstream.
+    #: Whether an interrupted stream may be resumed at another upstream.
     is_resumable: bool = attrs.field(default=False)
     #: Whether requests need no key.
     is_public: bool = attrs.field(default=False)
-    #: Longest time that a request is held.
+    #: Maximum time for a request.
     timeout_seconds: float = attrs.field(default=60.0, validator=within(0.001, 3600.0))
-    #: Time within which the answer, or its first event, is worth most.
+    #: Target latency of the response, or of its first event.
     latency_target_seconds: float = attrs.field(
         default=1.0, validator=within(0.001, 3600.0)
     )
-    #: Longest pause between two events that is still in time; 0 if none is set.
+    #: Target for the maximum gap between two events; 0 for no target.
     gap_target_seconds: float = attrs.field(default=0.0, validator=within(0.0, 3600.0))
-    #: Upstreams on which one request may run.
+    #: Maximum number of upstreams on which a request may run.
     max_attempts_count: int = attrs.field(default=1, validator=within(1, 10))
-    #: Rank of the requests; 0 goes first.
+    #: Priority of the requests; 0 is the highest.
     priority_rank: int = attrs.field(default=1, validator=within(0, 9))
 
 
@@ -61,55 +61,55 @@
 
     #: Name of the service.
     name: str
-    #: Path at which an upstream tells its health.
+    #: Path of the upstreams' health check.
     health_path: str = attrs.field(default="/health")
-    #: Connections that one upstream takes from all hosts together.
+    #: Connections that one upstream accepts from all hosts together.
     max_connections_count: int = attrs.field(default=1024, validator=within(1, 1000000))
     #: Whether its upstreams are model engines.
     is_engine: bool = attrs.field(default=False)
     #: Model that the engines serve.
     model: str = attrs.field(default="")
-    #: Requests that one upstream works on at once; 0 if unknown.
+    #: Concurrent requests of one upstream; 0 if unknown.
     slots_count: int = attrs.field(default=0, validator=within(0, 100000))
-    #: Tokens that one engine's prefix cache holds.
+    #: Capacity of one engine's prefix cache in tokens.
     cache_tokens: int = attrs.field(default=0, validator=within(0, None))
-    #: Bytes of cache that one token takes.
+    #: Cache size of one token in bytes.
     token_bytes: int = attrs.field(default=0, validator=within(0, None))
-    #: Speed of one engine's link for cache imports.
+    #: Link speed of one engine for cache imports.
     link_bits_per_second: float = attrs.field(default=0.0, validator=within(0.0, None))
-    #: Waiting reads of cache events that one engine takes.
+    #: Concurrent long polls for cache events that one engine accepts.
     max_event_readers_count: int = attrs.field(default=0, validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class KeptStore(Shown):
-    """A store of kept KV cache that engines save to and import from."""
+    """A KV store to which engines save cache entries and from which they import them."""
 
     #: Name of the store.
     name: str
-    #: IP and port.
+    #: IP and port of the store.
     address: str
-    #: Hall that it stands in.
+    #: Hall of the store.
     hall: str
-    #: Tokens that it holds.
+    #: Capacity of the store in tokens.
     cache_tokens: int = attrs.field(default=0, validator=within(0, None))
-    #: Speed of its link.
+    #: Link speed of the store.
     link_bits_per_second: float = attrs.field(default=0.0, validator=within(0.0, None))
 
 
 @attrs.frozen(repr=False)
 class CallerLimits(Shown):
-    """Bounds on what a caller may send and how long it may rest."""
+    """Limits on the size, duration and idle time of callers' requests and connections."""
 
-    #: Largest header section.
+    #: Maximum size of the header section.
     max_header_bytes: int = attrs.field(default=65536, validator=within(256, 1048576))
-    #: Largest request body.
+    #: Maximum size of a request body.
     max_body_bytes: int = attrs.field(default=4194304, validator=within(0, 1073741824))
-    #: Longest time in which a caller sends a request.
+    #: Maximum time for receiving a request.
     body_timeout_seconds: float = attrs.field(
         default=10.0, validator=within(0.01, 3600.0)
     )
-    #: Longest rest of a kept connection.
+    #: Maximum idle time of a persistent connection.
     idle_timeout_seconds: float = attrs.field(
         default=75.0, validator=within(0.01, 3600.0)
     )
@@ -117,13 +117,13 @@
 
 @attrs.frozen(repr=False)
 class Routing(Shown):
-    """All routes with the services that they lead to."""
+    """All routes and their services."""
 
-    #: Routes; the longest prefix of a host wins.
+    #: Routes; the longest matching prefix of a host applies.
     routes: list[Route] = attrs.field(factory=list)
-    #: Services.
+    #: All services.
     services: list[Service] = attrs.field(factory=list)
-    #: Stores of kept KV cache.
+    #: KV stores.
     kept_stores: list[KeptStore] = attrs.field(factory=list)
-    #: Bounds on callers.
+    #: Limits on callers.
     caller_limits: CallerLimits = attrs.field(factory=CallerLimits)
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_upstream.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_upstream.py
@@ -1,4 +1,4 @@
-"""What upstreams report and are told.
+"""Load reports of upstreams and orders to them.
 
 Generated from schema/upstream.toml by tools/generate_schema.py; do not edit.
 """
@@ -13,43 +13,43 @@
 
 @attrs.frozen(repr=False)
 class LoadReport(Shown):
-    """A runner's own view of its load; it lags."""
+    """Load as reported by a runner; may be outdated."""
 
-    #: Id of this life of the engine.
+    #: Incarnation of the engine.
     incarnation: str
-    #: Model that is served.
+    #: Served model.
     model: str
     #: Version of the loaded weights.
     weights_version: int = attrs.field(validator=within(0, None))
-    #: Requests that it batches at once.
+    #: Maximum batch size in requests.
     slots_count: int = attrs.field(validator=within(1, None))
     #: Requests in the batch.
     running_count: int = attrs.field(validator=within(0, None))
     #: Prompt tokens not yet computed.
     waiting_tokens: int = attrs.field(validator=within(0, None))
-    #: Prefill speed; 0 if the runner does not know it.
+    #: Prefill speed; 0 if unknown to the runner.
     prefill_tokens_per_second: float = attrs.field(validator=within(0.0, None))
-    #: Size of the prefix cache.
+    #: Capacity of the prefix cache.
     cache_tokens: int = attrs.field(validator=within(0, None))
-    #: serve, or loading while weights are loaded.
+    #: serve, or loading while the runner loads weights.
     role: str = attrs.field(default="serve")
-    #: Highest fencing number seen.
+    #: Highest fencing number received.
     fencing_number: int = attrs.field(default=0, validator=within(0, None))
-    #: Orders that this life has taken.
+    #: Orders that this incarnation has accepted.
     orders_count: int = attrs.field(default=0, validator=within(0, None))
 
 
 @attrs.frozen(repr=False)
 class Order(Shown):
-    """A target state for a runner; sending it twice changes nothing."""
+    """Target state of a runner; idempotent."""
 
-    #: Version of the lease under which it is sent.
+    #: Version of the lease under which the order is sent.
     fencing_number: int = attrs.field(validator=within(0, None))
-    #: Weights that shall be loaded.
+    #: Weights to load.
     weights_version: int = attrs.field(validator=within(0, None))
-    #: Role that the runner shall take.
+    #: Target role of the runner.
     role: str = attrs.field(default="serve")
-    #: Orders that the runner must have taken for this one to count; none for any number.
+    #: Number of accepted orders at which the runner applies this one; absent for any number.
     expected_orders_count: int | None = attrs.field(
         default=None, validator=within(0, None)
     )
