--- a/packages/rampwick-platform/src/rampwick_platform/__init__.py
+++ b/packages/rampwick-platform/src/rampwick_platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's object API and what rampwick keeps there."""
+"""Client of the platform's object API, and rampwick's records in its store."""
 
 from ._api import (
     ABSENT as ABSENT,
--- a/packages/rampwick-platform/src/rampwick_platform/_api.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_api.py
@@ -1,4 +1,4 @@
-"""The platform's object API as rampwick uses it, and its errors."""
+"""Interface of the platform's object API, and its exceptions."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -7,88 +7,88 @@
 
 from rampwick_schema import HostList, RampwickError, Shown
 
-#: Expected version of an object that must not exist yet.
+#: Expected version for the creation of an object.
 ABSENT = 0
 
-#: Largest value that the platform holds.
+#: Maximum size of a value in the platform's store.
 MAX_VALUE_BYTES = 1_000_000
 
 
 class PlatformError(RampwickError):
-    """A call to the platform did not bring what was asked for."""
+    """A call to the platform failed."""
 
 
 class PlatformUnavailableError(PlatformError):
-    """The call surely had no effect: it was not sent, or was refused."""
+    """The call had no effect: it was not sent, or it was refused."""
 
 
 class OutcomeUnknownError(PlatformError):
-    """The call may have taken effect; its answer did not come."""
+    """The call may have taken effect: no usable response was received."""
 
 
 class HistoryGoneError(PlatformError):
-    """A watch asked for changes that the store has forgotten; list again."""
+    """The store no longer has the changes that a watch needs; list again."""
 
 
 class StoreRestoredError(OutcomeUnknownError):
-    """The store was restored from an older copy while a write was under way.
+    """The store was restored from an older copy during a write.
 
-    The write may have replaced another object than the one it expected.
+    The write may have replaced an object other than the expected one.
     """
 
 
 class VersionConflictError(PlatformError):
-    """A conditional write found another version than it expected."""
+    """A conditional write did not find the expected version."""
 
 
 @attrs.frozen(repr=False)
 class StoredObject(Shown):
-    """One object; versions rise over the whole store with each write.
+    """An object with its version, which each write increases store-wide.
 
-    They also rise as the store is restored from an older copy: all that is read after
-    that has a higher version than all that was read before.
+    Versions also increase when the store is restored from an older copy: everything
+    that is read afterwards has a higher version than everything read before.
     """
 
     key: str
     version: int
     value: bytes
-    #: Whether a watch tells that it is gone.
+    #: Whether the object was deleted; only in the response to a watch.
     is_deleted: bool = False
 
 
 @attrs.frozen(repr=False)
 class Listing(Shown):
-    """Objects under a prefix, and the store's version that they show."""
+    """Objects under a prefix as of one version of the store."""
 
     version: int
     objects: Sequence[StoredObject]
-    #: Whether there are more; they follow the last key.
+    #: Whether more objects follow after the last key.
     is_truncated: bool = False
 
 
 class ObjectApi(Protocol):
-    """What rampwick needs of the platform; each method is one counted call."""
+    """The platform calls that rampwick uses; each method is one call of the budget."""
 
     @property
     def era(self) -> int:
-        """Number of the store's restores, as far as its answers have told."""
+        """Number of restores of the store, as of its last response."""
 
     async def get(self, key: str) -> StoredObject | None:
-        """Return an object, or none if it does not exist."""
+        """Return an object, or None if it does not exist."""
 
     async def put(self, key: str, value: bytes, expected_version: int) -> int:
-        """Write if the object has the expected version; return the new version."""
+        """Write the object if it has the expected version; return the new version."""
 
     async def list_objects(self, prefix: str, after_key: str = "") -> Listing:
-        """Return the objects whose keys start with a prefix, in order."""
+        """Return the objects whose keys start with a prefix, in key order."""
 
     async def watch(
         self, prefix: str, after_version: int, timeout_seconds: float
     ) -> Listing:
-        """Wait for objects written after a version; none at a time-out.
+        """Wait for objects written after a version; return none on a timeout.
 
         Raise HistoryGoneError if the store was restored since that version.
         """
 
     async def read_hosts(self) -> HostList:
-        """Return the lagging list of hosts."""
+        """Return the list of hosts, which may be outdated."""
--- a/packages/rampwick-platform/src/rampwick_platform/_claim_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_claim_store.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys on the platform, one object for each shard."""
+"""Store of idempotency key claims on the platform, one object for each shard."""
 
 from collections.abc import Sequence
 
@@ -10,46 +10,46 @@
 
 CLAIMS_PREFIX = "claims/"
 
-#: Conditional writes tried against other hosts' before giving up.
-MAX_TRIES = 20
+#: Attempts at a conditional write that races with other hosts.
+MAX_ATTEMPTS = 20
 
 
 class ClaimStore:
-    """Wins or loses claims by conditional writes."""
+    """Claims idempotency keys by conditional writes."""
 
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
 
     async def claim(
-        self, shard: int, wanted: Sequence[Claim], now_seconds: float
+        self, shard: int, requested: Sequence[Claim], now_seconds: float
     ) -> ClaimDecision:
-        """Return which claims were won and lost.
+        """Return which of the requested claims were won and lost.
 
-        Raise PlatformError if that can't be known now: none of the arrivals may
-        then be dispatched.
+        Raise PlatformError if the outcome is unknown: then none of the requests may be
+        dispatched.
         """
-        for _ in range(MAX_TRIES):
-            found, version = await self._read(shard)
-            decision = decide_claims(found, wanted, now_seconds)
-            if not decision.needs_write or decision.shard == found:
+        for _ in range(MAX_ATTEMPTS):
+            current, version = await self._read(shard)
+            decision = decide_claims(current, requested, now_seconds)
+            if not decision.needs_write or decision.shard == current:
                 return decision
             try:
                 await self._write(shard, decision.shard, version)
             except (VersionConflictError, OutcomeUnknownError):
-                # Read again: the shard itself shows whose write took effect.
+                # The shard, when read again, shows whose write took effect.
                 continue
             return decision
         raise OutcomeUnknownError("too many races", step="claim keys", peer=_key(shard))
 
     async def withdraw(self, shard: int, write_ids: Sequence[str]) -> None:
-        """Free the keys of arrivals that surely did not run."""
-        for _ in range(MAX_TRIES):
-            found, version = await self._read(shard)
-            kept = withdraw_claims(found, write_ids)
-            if kept == found:
+        """Release the keys of requests that certainly did not run."""
+        for _ in range(MAX_ATTEMPTS):
+            current, version = await self._read(shard)
+            remaining = withdraw_claims(current, write_ids)
+            if remaining == current:
                 return
             try:
-                await self._write(shard, kept, version)
+                await self._write(shard, remaining, version)
             except (VersionConflictError, OutcomeUnknownError):
                 continue
             return
--- a/packages/rampwick-platform/src/rampwick_platform/_entity_tags.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_entity_tags.py
@@ -1,4 +1,4 @@
-"""Rampwick's own object API: conditional requests with entity tags."""
+"""Dialect of rampwick's native object API: conditional requests with entity tags."""
 
 from typing import Any
 
@@ -14,15 +14,15 @@
 )
 from ._store_dialect import StoreRequest, read_era
 
-#: Header of the store's era, in all its answers.
+#: Response header with the era of the store.
 ERA_HEADER = "Rampwick-Store-Era"
 
 
 class EntityTagDialect:
-    """Keys in the path, versions as entity tags."""
+    """Dialect with keys in the path and versions as entity tags."""
 
     def read_era(self, response: httpx.Response) -> int:
-        """Return the store's era; 0 where an answer gives none."""
+        """Return the era of the store; 0 if the response has none."""
         return read_era(response.headers.get(ERA_HEADER, ""))
 
     def get(self, key: str) -> StoreRequest:
@@ -30,7 +30,7 @@
         return StoreRequest("get object", "GET", f"/v1/objects/{key}")
 
     def read_object(self, key: str, response: httpx.Response) -> StoredObject | None:
-        """Return the object of an answer, or none if it does not exist."""
+        """Return the object in a response, or None if it does not exist."""
         if response.status_code == httpx.codes.NOT_FOUND:
             return None
         return StoredObject(key, _version(response, "get object"), response.content)
@@ -60,7 +60,7 @@
     def watch(
         self, prefix: str, after_version: int, timeout_seconds: float
     ) -> StoreRequest:
-        """Return the request that waits for changes."""
+        """Return the long-poll request for changes."""
         parameters = {
             "prefix": prefix,
             "after_version": str(after_version),
@@ -69,7 +69,7 @@
         return StoreRequest("watch objects", "GET", "/v1/watch", parameters)
 
     def read_listing(self, prefix: str, response: httpx.Response) -> Listing:
-        """Return the objects of a listing or a watch."""
+        """Return the objects in the response to a listing or a watch."""
         step = "list objects"
         data = _json(response, step)
         try:
@@ -79,7 +79,7 @@
             ]
             return Listing(version=data["version"], objects=objects)
         except (KeyError, TypeError, AttributeError) as error:
-            raise PlatformError(f"bad answer: {error!r}", step=step) from None
+            raise PlatformError(f"invalid response: {error!r}", step=step) from None
 
 
 def _version(response: httpx.Response, step: str) -> int:
--- a/packages/rampwick-platform/src/rampwick_platform/_http.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_http.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP: one client, whatever dialect the store speaks."""
+"""HTTP client of the object API, for stores of any dialect."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -34,16 +34,17 @@
 from ._steady_clock import read_steady_clock
 from ._store_dialect import StoreDialect, StoreRequest
 
-#: Added to a watch's own length before its answer counts as lost: the way there and
-#: back, and what a busy store adds.
+#: Added to the duration of a watch before its response counts as lost: the round trip
+#: and the delay of a busy store.
 WATCH_GRACE_SECONDS = 0.5
 
-#: Rest after which a connection is used no more: otherwise the call after one on a dead
-#: connection takes another that is as dead; two watches heard nothing for 7.3 s.
-MAX_REST_SECONDS = 2.0
+#: Idle time after which a connection is not reused. Otherwise a call that follows a
+#: timeout on a dead connection takes another dead one from the pool: two watches
+#: received nothing for 7.3 s.
+MAX_IDLE_SECONDS = 2.0
 
-#: Statuses that a dialect's readers understand.
-MEANINGFUL_STATUSES = frozenset(
+#: Error statuses that the dialect interprets.
+DIALECT_STATUSES = frozenset(
     {
         httpx.codes.NOT_FOUND,
         httpx.codes.CONFLICT,
@@ -53,7 +54,7 @@
 
 
 class HttpObjectApi:
-    """Client of the platform's object API; it owns no task, only connections."""
+    """Client of the platform's object API; it has connections but no tasks."""
 
     def __init__(
         self,
@@ -68,26 +69,26 @@
         self._budget = CallBudget(calls_per_second)
         self._dialect = dialect or EntityTagDialect()
         self._read_clock = read_clock
-        #: Calls made so far by what they were for, a watch as one.
+        #: Number of calls by step and path; a watch is one call.
         self.calls: Counter[str] = Counter()
-        #: Highest era of the store that an answer gave.
+        #: Highest era of the store in any response.
         self.era = 0
-        self._has_answer = False
-        #: Called as the store was restored, with its era before and the new one, and
-        #: with the call whose answer told it.
-        self.on_restored: Callable[[int, int, str], None] = _ignore_era
+        self._has_response = False
+        #: Called when a restore of the store is detected, with the previous and the new
+        #: era and the call whose response had the new era.
+        self.on_restored: Callable[[int, int, str], None] = _ignore_restore
         self._client = httpx.AsyncClient(
             base_url=url,
             timeout=call_timeout_seconds,
             trust_env=False,
             transport=httpx.AsyncHTTPTransport(
                 trust_env=False,
-                # Loading certificates that nobody asks for takes a tenth of a start.
+                # Loading certificates that are not needed takes a tenth of the startup.
                 verify=url.startswith("https:"),
-                # Each dead connection in the pool costs the next call its whole
-                # time-out, unless the kernel has found it dead before.
+                # Each dead connection in the pool makes a call wait for its whole
+                # timeout, unless the kernel has closed it before.
                 socket_options=LIVENESS_OPTIONS,
-                limits=httpx.Limits(keepalive_expiry=MAX_REST_SECONDS),
+                limits=httpx.Limits(keepalive_expiry=MAX_IDLE_SECONDS),
             ),
         )
 
@@ -98,16 +99,17 @@
         await self._client.aclose()
 
     async def get(self, key: str) -> StoredObject | None:
-        """Return an object, or none if it does not exist."""
+        """Return an object, or None if it does not exist."""
         response = await self._call(self._dialect.get(key))
         stored = self._dialect.read_object(key, response)
         return self._with_era(stored) if stored else None
 
     async def put(self, key: str, value: bytes, expected_version: int) -> int:
-        """Write if the object has the expected version; return the new version.
+        """Write the object if it has the expected version; return the new version.
 
-        In another era than that of the expected version its revision may be another
-        object's: such a write is not sent, or its success is a StoreRestoredError.
+        If the era has changed since the expected version, its revision may belong to
+        another object. Such a write is not sent; if the change is detected only in the
+        response, StoreRestoredError is raised although the write succeeded.
         """
         step = "put object"
         expected_era = era_of(expected_version)
@@ -117,14 +119,14 @@
             raise VersionConflictError(message, step=step, peer=self._url)
         request = self._dialect.put(key, value, revision_of(expected_version))
         response = await self._call(request)
-        version = self._lift(self._dialect.read_put(key, response))
+        version = self._version_of(self._dialect.read_put(key, response))
         if not is_absent and expected_era != self.era:
             message = f"{key} was written in era {self.era}, expected {expected_era}"
             raise StoreRestoredError(message, step=step, peer=self._url)
         return version
 
     async def list_objects(self, prefix: str, after_key: str = "") -> Listing:
-        """Return the objects whose keys start with a prefix, in order."""
+        """Return the objects whose keys start with a prefix, in key order."""
         request = self._dialect.list_objects(prefix, after_key)
         response = await self._call(request)
         return self._listing_with_era(self._dialect.read_listing(prefix, response))
@@ -132,7 +134,7 @@
     async def watch(
         self, prefix: str, after_version: int, timeout_seconds: float
     ) -> Listing:
-        """Wait for objects written after a version; none at a time-out.
+        """Wait for objects written after a version; return none on a timeout.
 
         Raise HistoryGoneError if the store was restored since that version.
         """
@@ -148,28 +150,28 @@
 
     def _check_watched_era(self, after_version: int) -> None:
         if era_of(after_version) < self.era:
-            # The changes up to that revision in the new era would never be read.
-            message = f"era {self.era} began"
+            # The watch would skip the changes up to that revision in the new era.
+            message = f"store restored, now in era {self.era}"
             raise HistoryGoneError(message, step="watch objects", peer=self._url)
 
     def _with_era(self, stored: StoredObject) -> StoredObject:
-        return attrs.evolve(stored, version=self._lift(stored.version))
+        return attrs.evolve(stored, version=self._version_of(stored.version))
 
     def _listing_with_era(self, listing: Listing) -> Listing:
         return attrs.evolve(
             listing,
-            version=self._lift(listing.version),
+            version=self._version_of(listing.version),
             objects=[self._with_era(item) for item in listing.objects],
         )
 
-    def _lift(self, revision: int) -> int:
+    def _version_of(self, revision: int) -> int:
         if not 0 <= revision <= MAX_REVISION:
             message = f"revision {revision} is out of range"
             raise PlatformError(message, step="read version", peer=self._url)
         return join_version(self.era, revision)
 
     async def read_hosts(self) -> HostList:
-        """Return the lagging list of hosts."""
+        """Return the list of hosts, which may be outdated."""
         request = StoreRequest("read host list", "GET", "/v1/hosts")
         response = await self._call(request)
         try:
@@ -179,7 +181,7 @@
                 "answer is not JSON", step=request.step, peer=self._url
             ) from None
         host_list = structure(data, HostList, step=request.step, peer=self._url)
-        return attrs.evolve(host_list, version=self._lift(host_list.version))
+        return attrs.evolve(host_list, version=self._version_of(host_list.version))
 
     async def _call(self, request: StoreRequest, **options: Any) -> httpx.Response:
         await anyio.sleep(self._budget.reserve(self._read_clock()))
@@ -203,34 +205,34 @@
                 _describe(error), step=step, peer=self._url
             ) from error
         era = self._dialect.read_era(response)
-        self._take_era(era, f"{step} {request.path}")
+        self._observe_era(era, f"{step} {request.path}")
         self._check(response, step)
         if era < self.era:
-            # From before the restore, or without its place in the order.
+            # The response predates the restore or has no era, so its order is unknown.
             message = f"answer of era {era}, the store is in era {self.era}"
             raise OutcomeUnknownError(message, step=step, peer=self._url)
-        self._has_answer = True
+        self._has_response = True
         return response
 
-    def _take_era(self, era: int, call: str) -> None:
+    def _observe_era(self, era: int, call: str) -> None:
         before, self.era = self.era, max(era, self.era)
-        if self._has_answer and era > before:
+        if self._has_response and era > before:
             self.on_restored(before, era, call)
 
     def _check(self, response: httpx.Response, step: str) -> None:
         status = response.status_code
-        if response.is_success or status in MEANINGFUL_STATUSES:
+        if response.is_success or status in DIALECT_STATUSES:
             return
         message = f"status {status}"
         if status == httpx.codes.GONE:
             raise HistoryGoneError(message, step=step, peer=self._url)
-        # A server error may come from behind a write that took effect.
+        # A write may have taken effect before the server error occurred.
         is_refusal = status in (429, 503) or response.is_client_error
         kind = PlatformUnavailableError if is_refusal else OutcomeUnknownError
         raise kind(message, step=step, peer=self._url)
 
 
-def _ignore_era(before: int, era: int, call: str) -> None:
+def _ignore_restore(before: int, era: int, call: str) -> None:
     return
 
 
--- a/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
@@ -1,8 +1,8 @@
-"""Following all objects under a prefix: a listing, then one watch after another.
+"""Watcher of all objects under a prefix: one listing, then consecutive watches.
 
-What is known is a value with a version and the time at which it was surely the
-store's newest. That time counts from when the call that showed it was sent, so that a
-slow answer never makes old knowledge look fresh.
+The state has a version and the time at which it was last confirmed as the newest in the
+store. That is the time when the confirming call was sent, so that a slow response does
+not make outdated state appear fresh.
 """
 
 import random
@@ -16,41 +16,41 @@
 from ._api import HistoryGoneError, Listing, ObjectApi, PlatformError, StoredObject
 from ._timers import sleep_aligned
 
-#: Waits between two calls after failures: the first, the factor, the longest.
+#: Backoff between calls after failures: initial, factor and maximum.
 INITIAL_BACKOFF_SECONDS = 0.1
 BACKOFF_FACTOR = 1.6
-MAX_PAUSE_SECONDS = 0.8
+MAX_BACKOFF_SECONDS = 0.8
 
-#: Time between two looks at whether this host is to read.
-ROLE_SECONDS = 0.5
+#: Interval of the checks whether this host has to read.
+WANTED_POLL_SECONDS = 0.5
 
 
 @attrs.frozen(repr=False)
 class KindState(Shown):
-    """Objects under a prefix as the store had them."""
+    """Objects under a prefix at one version of the store."""
 
     objects: Mapping[str, StoredObject]
-    #: Highest version of any change that is part of it.
+    #: Highest version of the included changes.
     version: int
-    #: Steady time until which it was surely the newest.
+    #: Steady time at which the state was last confirmed as the newest.
     confirmed_at_seconds: float
-    #: Whether the store could not be read right before.
+    #: Whether the preceding call to the store failed.
     is_after_failure: bool = False
-    #: Version of the store, which other kinds' changes raise, too.
+    #: Version of the store, which changes of other kinds also increase.
     store_version: int = 0
 
 
 @attrs.define(repr=False)
 class KindView(Shown):
-    """Merges listings and watched changes; it does no I/O and reads no clock."""
+    """Merged state of listings and watched changes, without I/O or clock access."""
 
-    #: Version of the store from which the next watch goes on.
+    #: Version of the store after which the next watch starts.
     store_version: int = 0
     objects: dict[str, StoredObject] = attrs.field(factory=dict)
     version: int = 0
 
     def apply_listing(self, listing: Listing) -> bool:
-        """Replace everything by a whole listing; return false if it is older."""
+        """Replace the state with a complete listing; return False if that is older."""
         if listing.version < self.store_version:
             return False
         known = self.objects
@@ -58,14 +58,15 @@
         self.store_version = listing.version
         versions = [item.version for item in listing.objects]
         if known.keys() - self.objects.keys():
-            # A deletion is a change, and nothing in the listing has its version: hosts
-            # would keep the list from before it, and send to what has left.
+            # A deletion is a change, but no object in the listing has its version.
+            # Without the version of the listing, hosts would retain the previous list
+            # and send requests to removed upstreams.
             versions.append(listing.version)
         self.version = max([self.version, *versions])
         return True
 
-    def take_changes(self, listing: Listing) -> None:
-        """Merge what a watch told; older versions of an object change nothing."""
+    def merge_changes(self, listing: Listing) -> None:
+        """Merge the response to a watch; older versions of an object are ignored."""
         for item in listing.objects:
             known = self.objects.get(item.key)
             if known is not None and known.version > item.version:
@@ -79,12 +80,12 @@
 
 
 class KindWatcher:
-    """Task that follows one prefix and hands each state to a callback.
+    """Task that watches one prefix and passes each state to a callback.
 
-    ``on_state`` is called after every successful call, also if nothing changed:
-    then only the confirmation is newer. While ``is_wanted`` says no, others read and
-    no call is made. ``pause_seconds`` go by between two calls, so that many changes
-    in a short time are read by few of them.
+    ``on_state`` is called after every successful call, also if only the confirmation
+    time has changed. While ``is_wanted`` returns False, other hosts read the store and
+    no calls are made. The task waits ``pause_seconds`` between two calls, so that a few
+    calls read many changes in a short time.
     """
 
     def __init__(
@@ -111,65 +112,65 @@
         self._is_wanted = is_wanted
         self._view = KindView()
         self._is_listed = False
-        #: Failures since a watch was answered, and whether the last call failed.
+        #: Failures since the last successful watch, and whether the last call failed.
         self._failures_count = 0
         self._has_failed = False
-        #: Watches in a row whose history was gone.
-        self._gone_count = 0
+        #: Consecutive watches that failed because of missing history.
+        self._history_gone_count = 0
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch until cancelled."""
         while True:
             while not self._is_wanted():
-                await sleep_aligned(ROLE_SECONDS)
+                await sleep_aligned(WANTED_POLL_SECONDS)
             try:
-                confirmed_at_seconds = await self._look()
+                confirmed_at_seconds = await self._poll()
                 self._note_success(confirmed_at_seconds)
                 await anyio.sleep(self._pause_seconds)
             except HistoryGoneError as error:
                 self._is_listed = False
                 self._take_problem(str(error))
-                self._gone_count += 1
-                if self._gone_count > 1:
-                    # A listing was followed by another: without a pause a store that
-                    # has no history would get calls as fast as it answers them.
+                self._history_gone_count += 1
+                if self._history_gone_count > 1:
+                    # The watch after a listing failed as well. Without a backoff, a
+                    # store without history would get calls as fast as it responds.
                     self._failures_count += 1
-                    await self._pause()
+                    await self._back_off()
             except (PlatformError, DataError) as error:
-                # Another watch would confirm nothing until it has waited; a listing
-                # does within one round trip.
+                # A watch confirms the state only after its wait, a listing within one
+                # round trip.
                 self._is_listed = False
                 self._failures_count += 1
                 self._has_failed = True
                 self._take_problem(str(error))
-                await self._pause()
+                await self._back_off()
 
     async def refresh(self) -> None:
-        """Read everything once more, or raise PlatformError."""
-        began_seconds = self._read_clock()
+        """Read all objects again, or raise PlatformError."""
+        started_seconds = self._read_clock()
         self._take_listing(await self._list())
-        self._note_success(began_seconds)
+        self._note_success(started_seconds)
 
-    async def _look(self) -> float:
-        began_seconds = self._read_clock()
+    async def _poll(self) -> float:
+        started_seconds = self._read_clock()
         if not self._is_listed:
             self._take_listing(await self._list())
             self._is_listed = True
-            return began_seconds
+            return started_seconds
         listing = await self._api.watch(
             self._prefix, self._view.store_version, self._wait_seconds
         )
-        # Only this ends a row of failures: a store that answers listings and no watches
-        # would get ten times the calls.
+        # Only a successful watch resets the backoff: otherwise a store that responds to
+        # listings but not to watches would get ten times as many calls.
         self._failures_count = 0
-        self._gone_count = 0
-        self._view.take_changes(listing)
-        waited_seconds = self._read_clock() - began_seconds
-        # An answer without changes came at the end of the wait, so all of the wait
-        # counts, but not the time that its answer was under way.
+        self._history_gone_count = 0
+        self._view.merge_changes(listing)
+        waited_seconds = self._read_clock() - started_seconds
+        # A response without changes was sent at the end of the wait. It confirms the
+        # state as of then, without the transit time of the response.
         if not listing.objects and waited_seconds >= self._wait_seconds:
-            return began_seconds + self._wait_seconds
-        return began_seconds
+            return started_seconds + self._wait_seconds
+        return started_seconds
 
     async def _list(self) -> Listing:
         listing = await self._api.list_objects(self._prefix)
@@ -178,17 +179,19 @@
         while listing.is_truncated and listing.objects:
             listing = await self._api.list_objects(self._prefix, objects[-1].key)
             if era_of(listing.version) != era_of(version):
-                raise HistoryGoneError("restored", step="list", peer=self._prefix)
+                raise HistoryGoneError("store restored", step="list", peer=self._prefix)
             objects += listing.objects
-        # Pages are read one after the other; the first one's version is the one up
-        # to which all changes are surely in.
+        # Pages are read consecutively; only the changes up to the version of the first
+        # page are certainly included.
         return Listing(version=version, objects=objects)
 
     def _take_listing(self, listing: Listing) -> None:
         known_version = self._view.store_version
         if not self._view.apply_listing(listing):
-            # What it does not show it does not confirm either.
-            message = f"listing has version {listing.version}, {known_version} is known"
+            # An older listing does not confirm the known state.
+            message = (
+                f"listing has version {listing.version}, older than {known_version}"
+            )
             raise PlatformError(message, step="list", peer=self._prefix)
 
     def _note_success(self, confirmed_at_seconds: float) -> None:
@@ -202,7 +205,7 @@
         self._has_failed = False
         self._take_state(state)
 
-    async def _pause(self) -> None:
+    async def _back_off(self) -> None:
         seconds = INITIAL_BACKOFF_SECONDS * BACKOFF_FACTOR ** (self._failures_count - 1)
-        seconds = min(MAX_PAUSE_SECONDS, seconds) * self._draw.uniform(0.5, 1.0)
+        seconds = min(MAX_BACKOFF_SECONDS, seconds) * self._draw.uniform(0.5, 1.0)
         await anyio.sleep(seconds)
--- a/packages/rampwick-platform/src/rampwick_platform/_lease_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_lease_store.py
@@ -1,4 +1,4 @@
-"""Taking and renewing a lease on the platform."""
+"""Acquisition and renewal of a lease on the platform."""
 
 import secrets
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class LeaseStore:
-    """One lease object, taken by conditional writes."""
+    """A lease object that is acquired by conditional writes."""
 
     def __init__(self, api: ObjectApi, key: str) -> None:
         self._api = api
@@ -20,11 +20,11 @@
     async def try_acquire(
         self, watcher: LeaseWatcher, read_clock: Callable[[], float]
     ) -> bool:
-        """Take or renew the lease if that is allowed; return whether it is held now.
+        """Acquire or renew the lease if permitted; return whether it is held now.
 
-        The lease is read only if nothing is known of it, if the store was restored
-        since, or if a write found another version than the known one. A platform error
-        leaves what was held to run out by itself.
+        The lease is read only if its state is unknown, if the store has been restored
+        since, or if a write did not find the expected version. After a platform error a
+        held lease expires unless it is renewed later.
         """
         if not watcher.version or era_of(watcher.version) < self._api.era:
             await self.read(watcher, read_clock)
@@ -41,7 +41,7 @@
         wait_seconds: float,
         read_clock: Callable[[], float],
     ) -> None:
-        """Give the lease up; the next holder waits so long before it takes it."""
+        """Release the lease; the next holder waits ``wait_seconds`` to acquire it."""
         record = LeaseRecord(
             holder="", write_id=secrets.token_hex(8), duration_seconds=wait_seconds
         )
@@ -51,7 +51,7 @@
     async def read(
         self, watcher: LeaseWatcher, read_clock: Callable[[], float]
     ) -> None:
-        """Learn of the lease as it is now."""
+        """Read the current state of the lease."""
         stored = await self._api.get(self._key)
         if stored is None:
             watcher.observe_absence(read_clock())
@@ -67,7 +67,7 @@
             write_id=secrets.token_hex(8),
             duration_seconds=watcher.duration_seconds,
         )
-        began_seconds = read_clock()
+        started_seconds = read_clock()
         try:
             version = await put_idempotent(
                 self._api, self._key, record, watcher.version
@@ -75,9 +75,9 @@
         except VersionConflictError:
             return False
         if watcher.version != ABSENT and era_of(watcher.version) != era_of(version):
-            # It may have replaced the record of a host that holds the lease.
+            # The write may have replaced the record of the current holder.
             watcher.give_up()
             watcher.observe(record, version, read_clock())
             return False
-        watcher.note_written(record, version, began_seconds)
+        watcher.note_written(record, version, started_seconds)
         return True
--- a/packages/rampwick-platform/src/rampwick_platform/_records.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_records.py
@@ -1,4 +1,4 @@
-"""Records on the platform: JSON objects with conditional writes that settle.
+"""Records on the platform: JSON objects with idempotent conditional writes.
 
 A response can be lost after its write took effect. ``put_idempotent`` then reads the
 object back and recognizes its own write by the random id in the record.
@@ -13,18 +13,18 @@
 
 T = TypeVar("T")
 
-#: Times that a write without an answer is tried again under the same version.
-MAX_TRIES = 4
+#: Attempts at a write without a response, all with the same expected version.
+MAX_ATTEMPTS = 4
 
 
 def encode_record(record: Any) -> bytes:
-    """Return a record as the JSON text that the platform holds."""
+    """Return a record as JSON for the platform's store."""
     text = json.dumps(unstructure(record), separators=(",", ":"), sort_keys=True)
     return text.encode()
 
 
 def decode_record(stored: StoredObject, cls: type[T]) -> T:
-    """Return a record from a stored object, or raise DataError."""
+    """Return the record in a stored object, or raise DataError."""
     step = f"read {cls.__name__}"
     try:
         data = json.loads(stored.value)
@@ -38,23 +38,23 @@
 ) -> int:
     """Write a record that has a ``write_id``; return its version.
 
-    Raise VersionConflictError if another write was first, and OutcomeUnknownError if
-    it stays unknown: the write may then have taken effect, or still do so. Trying
-    again under the same expected version is safe, since only one can succeed.
+    Raise VersionConflictError if another write came first, and OutcomeUnknownError if
+    the outcome remains unknown: the write may have taken effect or may still do so.
+    Retries with the same expected version are safe, since only one can succeed.
     """
-    for remaining in reversed(range(MAX_TRIES)):
+    for remaining in reversed(range(MAX_ATTEMPTS)):
         try:
             return await api.put(key, encode_record(record), expected_version)
         except (OutcomeUnknownError, VersionConflictError) as error:
             stored = await _read_back(api, key, error)
-            if stored is not None and _is_same_write(stored, record):
+            if stored is not None and _is_own_write(stored, record):
                 return stored.version
             if isinstance(error, VersionConflictError) or not remaining:
                 raise
     raise AssertionError("unreachable")
 
 
-def _is_same_write(stored: StoredObject, record: Any) -> bool:
+def _is_own_write(stored: StoredObject, record: Any) -> bool:
     return decode_record(stored, type(record)).write_id == record.write_id
 
 
--- a/packages/rampwick-platform/src/rampwick_platform/_socket_options.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_socket_options.py
@@ -1,23 +1,23 @@
-"""Options by which the kernel notices that a connection is silent for good.
+"""Socket options with which the kernel detects dead connections.
 
-A peer that lost its power, or a way that lost the connection, says nothing: without
-these an idle connection counts as sound for hours, and one with bytes under way for
-a quarter of an hour.
+A remote host without power or a network partition does not close connections. Without
+these options an idle connection is considered open for hours, and one with
+unacknowledged data for a quarter of an hour.
 """
 
 import socket
 
-#: Unacknowledged bytes after this time break a connection, so that a peer behind a
-#: cut does not hold requests until their deadlines.
+#: Time after which unacknowledged data closes a connection, so that requests to a peer
+#: behind a network partition do not wait until their deadlines.
 USER_TIMEOUT_MILLISECONDS = 2000
 
-#: Keep-alive probes of a silent connection: first after, then every, so many. They
-#: cost two packets a second on a connection at rest.
+#: Keep-alive probes of an idle connection: initial delay, interval and count. They cost
+#: two packets per second.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES_COUNT = 3
 
-#: Level, name and value of each, as ``setsockopt`` takes them.
+#: Arguments of ``setsockopt``: level, name and value.
 LIVENESS_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
--- a/packages/rampwick-platform/src/rampwick_platform/_steady_clock.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_steady_clock.py
@@ -1,35 +1,35 @@
-"""The steady clock, which goes on while the machine is suspended.
+"""The steady clock, a monotonic clock that includes suspend time.
 
-The usual one (CLOCK_MONOTONIC) stands still meanwhile: a host would wake up with a
-lease, confirmed keys and a list of upstreams that seem as young as before, while others
-have long acted without it.
+CLOCK_MONOTONIC stops while the machine is suspended. After a resume, a host would
+consider its lease, confirmed keys and list of upstreams as fresh as before, although
+other hosts have acted in the meantime.
 """
 
 import asyncio
 import time
 
-#: The clock that counts a suspend; the usual one where the system has no such clock.
+#: Clock that includes suspend time, or CLOCK_MONOTONIC if the system has none.
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def read_steady_clock() -> float:
-    """Return seconds that count whether the machine runs or is suspended."""
+    """Return the time in seconds, including time in suspend."""
     return time.clock_gettime(_CLOCK)
 
 
-class SteadyLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers are due by the steady clock.
+class SteadyEventLoop(asyncio.SelectorEventLoop):
+    """Event loop whose timers use the steady clock.
 
-    The kernel's own wait for the next of them goes by the usual clock, so that after a
-    suspend the loop wakes up to one look at time later: a second in a host without
-    requests, a tenth with some.
+    The kernel waits for the next timer by CLOCK_MONOTONIC. After a resume, the loop
+    therefore wakes up late by up to one interval of its periodic tasks: a second in a
+    host without requests, a tenth of a second otherwise.
     """
 
     def time(self) -> float:
-        """Return the steady time."""
+        """Return the time of the steady clock."""
         return read_steady_clock()
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop to run a host on."""
-    return SteadyLoop()
+    """Return an event loop for a host."""
+    return SteadyEventLoop()
--- a/packages/rampwick-platform/src/rampwick_platform/_store_dialect.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_store_dialect.py
@@ -1,4 +1,4 @@
-"""How one object store is spoken to over HTTP; the plumbing around it is shared."""
+"""Interface for the HTTP dialect of an object store; the client is common to all."""
 
 from typing import Protocol
 
@@ -9,21 +9,21 @@
 
 from ._api import Listing, StoredObject
 
-#: Digits of an era that are read; longer ones are no era.
+#: Maximum number of digits of an era; longer numbers are invalid.
 MAX_ERA_DIGITS = 6
 
 
 def read_era(text: str) -> int:
-    """Return the era that a header's text gives; 0 if it is no whole number."""
+    """Return the era in a header value; 0 if it is not a whole number."""
     is_era = text.isascii() and text.isdigit() and len(text) <= MAX_ERA_DIGITS
     return int(text) if is_era else 0
 
 
 @attrs.frozen(repr=False)
 class StoreRequest(Shown):
-    """One call to a store."""
+    """A call to a store."""
 
-    #: What is being done, for errors and logs.
+    #: Name of the operation in errors and logs.
     step: str
     method: str
     path: str
@@ -33,24 +33,23 @@
 
 
 class StoreDialect(Protocol):
-    """Requests to a store, and what its answers mean.
+    """Encodes requests to a store and decodes its responses.
 
-    Readers raise PlatformError, or one of its kinds; a status that says that nothing
-    was done has been dealt with before they are called, unless ``is_refusal`` says
-    that it has a meaning of its own.
+    The ``read_`` methods raise PlatformError or a subclass. The client handles error
+    statuses before it calls them, except for those that a dialect interprets itself.
     """
 
     def read_era(self, response: httpx.Response) -> int:
-        """Return the store's era as an answer gives it; 0 where it gives none.
+        """Return the era of the store in a response; 0 if the response has none.
 
-        It rises whenever the store is restored from an older copy.
+        The era increases whenever the store is restored from an older copy.
         """
 
     def get(self, key: str) -> StoreRequest:
         """Return the request for an object."""
 
     def read_object(self, key: str, response: httpx.Response) -> StoredObject | None:
-        """Return the object of an answer, or none if it does not exist."""
+        """Return the object in a response, or None if it does not exist."""
 
     def put(self, key: str, value: bytes, expected_version: int) -> StoreRequest:
         """Return the request for a conditional write."""
@@ -64,7 +63,7 @@
     def watch(
         self, prefix: str, after_version: int, timeout_seconds: float
     ) -> StoreRequest:
-        """Return the request that waits for changes."""
+        """Return the long-poll request for changes."""
 
     def read_listing(self, prefix: str, response: httpx.Response) -> Listing:
-        """Return the objects of a listing or a watch."""
+        """Return the objects in the response to a listing or a watch."""
--- a/packages/rampwick-platform/src/rampwick_platform/_tree_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_tree_store.py
@@ -1,9 +1,9 @@
-"""The tree on the platform: a log of changes, one object for each revision.
+"""The tree on the platform: a log of changes with one object for each revision.
 
-Creating the object of the next revision is the acceptance: of two writers only one
-can. The writer has validated the whole tree as its change leaves it, and its base is
-the very revision before, so every accepted revision is valid. A snapshot object,
-renewed now and then, saves starting hosts from reading the whole log.
+A change is accepted by creating the object of the next revision, which only one of
+several writers can do. Writers validate the whole tree with their change, based on the
+immediately preceding revision, so every accepted revision is valid. A periodically
+updated snapshot object spares starting hosts from reading the whole log.
 """
 
 import secrets
@@ -33,7 +33,7 @@
 CHANGES_PREFIX = "config/changes/"
 SNAPSHOT_KEY = "config/snapshot"
 
-#: A writer renews the snapshot when its revision is a multiple of this.
+#: Number of revisions between two updates of the snapshot.
 SNAPSHOT_INTERVAL = 32
 
 STEP = "write tree"
@@ -41,19 +41,19 @@
 
 @attrs.frozen(repr=False)
 class StoredTree(Shown):
-    """The newest tree and the store's version that it was read at."""
+    """The newest tree and the version of the store at which it was read."""
 
     tree: Tree
     store_version: int
 
 
 def change_key(revision: int) -> str:
-    """Return the key of a revision's object; keys sort by revision."""
+    """Return the key of the object for a revision; keys sort by revision."""
     return f"{CHANGES_PREFIX}{revision:012d}"
 
 
 class TreeStore:
-    """Reads and writes the tree through the object API."""
+    """Reads and writes the tree with the object API."""
 
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
@@ -64,7 +64,7 @@
         return self._api.era
 
     async def load(self, base: Tree | None = None) -> StoredTree:
-        """Return the newest tree, starting from ``base`` or the snapshot."""
+        """Return the newest tree, based on ``base`` or the snapshot."""
         follower = ConfigurationFollower()
         snapshot = base or await self._read_snapshot()
         if snapshot is not None:
@@ -75,7 +75,7 @@
         return StoredTree(follower.view.tree, listing.version)
 
     async def history(self, after_revision: int = 0) -> list[Change]:
-        """Return the changes after a revision, the oldest first."""
+        """Return the changes after a revision, oldest first."""
         listing = await self._api.list_objects(
             CHANGES_PREFIX, change_key(after_revision)
         )
@@ -93,11 +93,12 @@
         base_revision: int | None,
         now_seconds: float,
     ) -> Change:
-        """Have a change accepted, or raise and leave everything as it was.
+        """Write a change and return it, or raise and leave the tree unchanged.
 
-        ``make_edits`` gets the newest tree. With a ``base_revision`` the change is
-        refused if any of its nodes was changed since: ConflictError says by whom. It is
-        refused, too, if the store is older than the base, or restored meanwhile.
+        ``make_edits`` is called with the newest tree. With a ``base_revision``,
+        ConflictError is raised if any of the edited nodes has changed since; its
+        message has the changes and their authors. ConflictError is also raised if the
+        store is older than the base revision or was restored in the meantime.
         """
         stored = await self.load()
         if base_revision is not None and base_revision > stored.tree.revision:
@@ -108,7 +109,7 @@
             )
         edits = list(make_edits(stored.tree))
         if base_revision is not None:
-            await self._check_untouched(edits, base_revision)
+            await self._check_unchanged(edits, base_revision)
         change = Change(
             revision=stored.tree.revision + 1,
             write_id=secrets.token_hex(8),
@@ -122,26 +123,28 @@
             key = change_key(change.revision)
             version = await put_idempotent(self._api, key, change, ABSENT)
         except VersionConflictError:
-            raise await self._conflict(stored.tree.revision) from None
+            raise await self._conflict_error(stored.tree.revision) from None
         if era_of(version) != era_of(stored.store_version):
             raise ConflictError(
                 "the store was restored from an older copy as revision "
                 f"{change.revision} was written: see the history",
                 step=STEP,
             )
-        await self._renew_snapshot(tree)
+        await self._update_snapshot(tree)
         return change
 
-    async def _check_untouched(
+    async def _check_unchanged(
         self, edits: Sequence[NodeEdit], base_revision: int
     ) -> None:
         since = await self.history(base_revision)
-        mine = {edit.path for edit in edits}
-        clashing = [change for change in since if mine & touched_paths([change])]
-        if clashing:
-            raise ConflictError(describe_changes(clashing), step=STEP)
-
-    async def _conflict(self, base_revision: int) -> ConflictError:
+        edited_paths = {edit.path for edit in edits}
+        conflicting = [
+            change for change in since if edited_paths & touched_paths([change])
+        ]
+        if conflicting:
+            raise ConflictError(describe_changes(conflicting), step=STEP)
+
+    async def _conflict_error(self, base_revision: int) -> ConflictError:
         since = await self.history(base_revision)
         return ConflictError(describe_changes(since), step=STEP)
 
@@ -149,8 +152,8 @@
         stored = await self._api.get(SNAPSHOT_KEY)
         return decode_record(stored, Tree) if stored else None
 
-    async def _renew_snapshot(self, tree: Tree) -> None:
-        # Best effort: without it, the log is still whole.
+    async def _update_snapshot(self, tree: Tree) -> None:
+        # Best effort: the log is complete without the snapshot.
         if tree.revision % SNAPSHOT_INTERVAL:
             return
         try:
@@ -164,7 +167,7 @@
 
 
 def decode_changes(listing: Listing) -> list[Change]:
-    """Return the changes of a listing; one that can't be read raises DataError."""
+    """Return the changes in a listing, or raise DataError if one is invalid."""
     return [_decode_change(stored) for stored in listing.objects]
 
 
@@ -177,7 +180,7 @@
 
 
 def describe_changes(changes: Sequence[Change]) -> str:
-    """Return one line that tells a losing writer what others changed."""
+    """Return a one-line description of the changes of other writers."""
     parts = [
         f"revision {change.revision} by {change.author} changed "
         + ", ".join(sorted(touched_paths([change])))
--- a/packages/rampwick-platform/src/rampwick_platform/_weights_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_weights_store.py
@@ -1,4 +1,4 @@
-"""Targets of the runners' weights, kept as one object on the platform."""
+"""Weights targets of the runners, stored as one object on the platform."""
 
 import secrets
 
@@ -11,21 +11,21 @@
 
 
 class WeightsStore:
-    """Reads and writes the targets."""
+    """Reads and writes the weights targets."""
 
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
 
     async def load(self) -> list[WeightsTarget]:
-        """Return the targets; none were ever set where there is no object."""
+        """Return the targets; an empty list if none has been set."""
         stored = await self._api.get(WEIGHTS_KEY)
         return decode_record(stored, WeightsTargets).targets if stored else []
 
     async def set_target(self, target: WeightsTarget) -> None:
-        """Replace one model's target; VersionConflictError if another write raced."""
+        """Replace the target of a model; VersionConflictError if a write came first."""
         stored = await self._api.get(WEIGHTS_KEY)
-        known = decode_record(stored, WeightsTargets).targets if stored else []
-        others = [item for item in known if item.model != target.model]
+        current = decode_record(stored, WeightsTargets).targets if stored else []
+        others = [item for item in current if item.model != target.model]
         record = WeightsTargets(
             write_id=secrets.token_hex(8), targets=[*others, target]
         )
--- a/tests/test_kind_watcher.py
+++ b/tests/test_kind_watcher.py
@@ -27,7 +27,7 @@
     def test_old_news_changes_nothing(self):
         view = KindView()
         view.apply_listing(Listing(10, [stored("a", 9)]))
-        view.take_changes(Listing(12, [stored("a", 8, is_deleted=True)]))
+        view.merge_changes(Listing(12, [stored("a", 8, is_deleted=True)]))
         self.assertEqual(["k/a"], list(view.objects))
         view.apply_listing(Listing(5, []))
         self.assertEqual(["k/a"], list(view.objects))
@@ -35,7 +35,7 @@
     def test_a_deletion_is_a_change_with_a_version(self):
         view = KindView()
         view.apply_listing(Listing(10, [stored("a", 9)]))
-        view.take_changes(Listing(12, [stored("a", 12, is_deleted=True)]))
+        view.merge_changes(Listing(12, [stored("a", 12, is_deleted=True)]))
         self.assertEqual(({}, 12), (view.objects, view.version))
 
     def test_a_deletion_that_only_a_listing_shows_has_a_version_too(self):
@@ -53,7 +53,7 @@
         view = KindView()
         versions = []
         for version in order:
-            view.take_changes(Listing(version, [stored("a", version)]))
+            view.merge_changes(Listing(version, [stored("a", version)]))
             versions.append(view.version)
         self.assertEqual(sorted(versions), versions)
         self.assertEqual(7, view.objects["k/a"].version)
@@ -166,7 +166,7 @@
 
         listing = (0.0, Listing(5, []))
         failure = (0.0, PlatformUnavailableError("down", step="watch"))
-        with mock.patch.object(KindWatcher, "_pause", note):
+        with mock.patch.object(KindWatcher, "_back_off", note):
             self.play(*([listing, failure] * 3), listing, listing, failure)
         self.assertEqual([1, 2, 3, 1], counts)
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -255,7 +255,7 @@
                 pauses.append(store.calls.total())
                 await anyio.sleep(0)
 
-            watcher._pause = note_pause
+            watcher._back_off = note_pause
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(watcher.run)
                 await settle(store, lambda: len(pauses) > 3)
