--- a/tests/test_kind_watcher.py
+++ b/tests/test_kind_watcher.py
@@ -1,4 +1,4 @@
-"""Following a kind in the store: versions, ages, forgotten history, lapses."""
+"""Watching a kind in the store: versions, ages, missing history, expired entries."""
 
 import random
 from unittest import mock
@@ -24,7 +24,7 @@
 
 
 class KindViewTest(TestCase):
-    def test_old_news_changes_nothing(self):
+    def test_outdated_changes_and_listings_are_ignored(self):
         view = KindView()
         view.apply_listing(Listing(10, [stored("a", 9)]))
         view.merge_changes(Listing(12, [stored("a", 8, is_deleted=True)]))
@@ -32,14 +32,14 @@
         view.apply_listing(Listing(5, []))
         self.assertEqual(["k/a"], list(view.objects))
 
-    def test_a_deletion_is_a_change_with_a_version(self):
+    def test_a_deletion_increases_the_version(self):
         view = KindView()
         view.apply_listing(Listing(10, [stored("a", 9)]))
         view.merge_changes(Listing(12, [stored("a", 12, is_deleted=True)]))
         self.assertEqual(({}, 12), (view.objects, view.version))
 
-    def test_a_deletion_that_only_a_listing_shows_has_a_version_too(self):
-        """Without one the list of before counted as newer, with what had gone."""
+    def test_a_deletion_detected_by_a_listing_increases_the_version(self):
+        """Otherwise the previous list, with the deleted objects, counted as newer."""
         view = KindView()
         view.apply_listing(Listing(10, [stored("a", 9), stored("b", 8)]))
         view.apply_listing(Listing(12, [stored("b", 8)]))
@@ -49,7 +49,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.permutations(list(range(1, 8))))
-    def test_the_version_never_falls(self, order):
+    def test_the_version_never_decreases(self, order):
         view = KindView()
         versions = []
         for version in order:
@@ -59,8 +59,8 @@
         self.assertEqual(7, view.objects["k/a"].version)
 
 
-class Script:
-    """An object API that gives out what a test wrote, and counts its own time."""
+class ScriptedApi:
+    """An object API with scripted responses and a scripted clock."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -88,7 +88,7 @@
 
 
 def follow(script, states, problems, **options):
-    """Run a watcher until its script is played."""
+    """Run a watcher until the script has no more responses."""
 
     async def main():
         watcher = KindWatcher(
@@ -115,26 +115,26 @@
 class KindWatcherTest(TestCase):
     def play(self, *answers, **options):
         self.states, self.problems = [], []
-        self.script = Script(*answers)
+        self.script = ScriptedApi(*answers)
         follow(self.script, self.states, self.problems, **options)
         return self.states
 
-    def test_an_age_counts_from_when_the_call_was_sent(self):
+    def test_the_confirmation_time_is_when_the_call_was_sent(self):
         states = self.play(
             (0.7, Listing(5, [stored("a", 4)])),
             (1.0, Listing(6, [stored("b", 6)])),
         )
         self.assertEqual([100.0, 100.7], [item.confirmed_at_seconds for item in states])
 
-    def test_a_watch_that_waited_to_its_end_confirms_the_whole_wait(self):
+    def test_a_watch_without_changes_confirms_the_whole_wait(self):
         states = self.play((0.0, Listing(5, [])), (1.8, Listing(5, [])))
         self.assertEqual(101.5, states[-1].confirmed_at_seconds)
 
-    def test_a_watch_that_was_cut_early_confirms_only_its_beginning(self):
+    def test_a_watch_that_returns_early_confirms_only_its_start(self):
         states = self.play((0.0, Listing(5, [])), (0.4, Listing(5, [])))
         self.assertEqual(100.0, states[-1].confirmed_at_seconds)
 
-    def test_forgotten_history_is_listed_anew_at_once(self):
+    def test_a_watch_without_history_is_followed_by_a_listing_at_once(self):
         self.play(
             (0.0, Listing(5, [stored("a", 4)])),
             (0.0, HistoryGoneError("gone", step="watch")),
@@ -143,22 +143,22 @@
         self.assertEqual(["k/b"], list(self.states[-1].objects))
         self.assertEqual(("list", ""), self.script.calls[2])
 
-    def test_a_failure_is_told_and_the_next_success_knows_of_it(self):
+    def test_a_failure_is_reported_and_flagged_in_the_next_state(self):
         self.play(
             (0.0, Listing(5, [])),
             (0.0, PlatformUnavailableError("down", step="watch")),
             (0.0, Listing(6, [stored("a", 6)])),
             (0.0, Listing(7, [])),
         )
-        # A listing confirms at once where another watch would wait.
+        # A listing confirms the state at once; a watch would wait first.
         kinds = [call[0] for call in self.script.calls[:4]]
         self.assertEqual(["list", "watch", "list", "watch"], kinds)
         flags = [item.is_after_failure for item in self.states]
         self.assertEqual([False, True, False], flags)
         self.assertEqual(1, len(self.problems))
 
-    def test_pauses_grow_while_watches_fail_though_listings_succeed(self):
-        """Ten times the calls went to a store that answered listings only."""
+    def test_the_backoff_grows_while_watches_fail_and_listings_succeed(self):
+        """A store that responded only to listings got ten times as many calls."""
         counts = []
 
         async def note(watcher):
@@ -170,7 +170,7 @@
             self.play(*([listing, failure] * 3), listing, listing, failure)
         self.assertEqual([1, 2, 3, 1], counts)
 
-    def test_pages_are_read_to_the_end_under_the_first_ones_version(self):
+    def test_all_pages_are_read_and_have_the_version_of_the_first(self):
         self.play(
             (0.0, Listing(5, [stored("a", 4)], is_truncated=True)),
             (0.0, Listing(9, [stored("b", 8)])),
@@ -181,8 +181,8 @@
             [("list", ""), ("list", "k/a"), ("watch", 5)], self.script.calls[:3]
         )
 
-    def test_nothing_is_called_while_others_read(self):
-        script = Script((0.0, Listing(5, [])))
+    def test_no_calls_are_made_while_other_hosts_read(self):
+        script = ScriptedApi((0.0, Listing(5, [])))
         states = []
 
         async def main():
@@ -207,18 +207,18 @@
     return HostEntry(name, "runner", "h", f"{name}:1", state=state)
 
 
-class LapseGuardTest(TestCase):
+class ExpiredEntryGuardTest(TestCase):
     def names(self, guard, now):
         return sorted(item.name for item in guard.host_list(now).hosts)
 
-    def test_an_entry_that_vanishes_in_calm_is_gone_at_once(self):
+    def test_an_entry_removed_during_normal_operation_is_removed_at_once(self):
         guard = LapseGuard()
         guard.take([entry("a"), entry("b")], 5, False, 10.0)
         guard.take([entry("a")], 6, False, 11.0)
         self.assertEqual(["a"], self.names(guard, 11.0))
         self.assertIsNone(guard.lapse_end_seconds)
 
-    def test_entries_that_lapsed_with_the_store_are_kept_until_they_are_back(self):
+    def test_entries_that_expired_during_an_outage_are_retained_until_they_return(self):
         guard = LapseGuard()
         guard.take([entry("a"), entry("b"), entry("c")], 5, False, 10.0)
         guard.take([], 20, True, 15.0)
@@ -228,29 +228,31 @@
         guard.take([entry("a"), entry("b")], 22, False, 16.0)
         held = guard.host_list(16.0)
         self.assertEqual(16.8, guard.lapse_end_seconds)
-        # Still missing then: gone, under a version of its own.
+        # Still missing at the end: removed, and the list gets a new version.
         self.assertEqual(["a", "b"], self.names(guard, 16.8))
         self.assertGreater(guard.host_list(16.8).version, held.version)
 
-    def test_what_others_saw_go_meanwhile_is_not_listed_anew(self):
-        """A reader was turned away by the store while others read on.
+    def test_an_entry_that_other_readers_removed_is_not_restored(self):
+        """Guards against a removed runner that reappears in the host list.
 
-        A runner left; the others' list, which this reader knew, was without it. Back
-        at the store, the reader missed the runner in its own last reading, took it for
-        lapsed and told all: a host sent to it 3.5 s after it had left. Found by a hunt,
-        settled by the lists' versions in the logs: 117 without it, 126 with it again.
+        The store rejects the calls of one reader while other readers continue. A runner
+        leaves, and the list of the others, which this reader has received, is without
+        it. After the outage the reader compares the store only with its own last
+        listing, treats the runner as expired and publishes it again: a host sent a
+        request to it 3.5 s after it had left. The logs showed version 117 of the list
+        without the runner and version 126 with it.
         """
         guard = LapseGuard()
         guard.take([entry("a"), entry("b")], 5, False, 10.0)
         newest = HostList(17, [entry("a"), entry("c")])
         guard.take([entry("a"), entry("c")], 9, True, 15.0, newest)
         self.assertEqual(["a", "c"], self.names(guard, 15.0))
-        # What lapses now is kept as ever.
+        # Entries that expire from now on are retained as usual.
         guard.take([entry("a")], 10, False, 15.2, guard.host_list(15.2))
         self.assertEqual(["a", "c"], self.names(guard, 15.3))
 
-    def test_entries_that_a_restored_copy_lacks_are_kept_until_they_are_back(self):
-        """Their watch was told that its history is gone, which is no failure."""
+    def test_entries_missing_in_a_restored_copy_are_retained_until_they_return(self):
+        """The watch fails with missing history, which does not count as an outage."""
         guard = LapseGuard()
         guard.take([entry("a"), entry("b"), entry("c", "leaving")], 50, False, 10.0)
         guard.take([entry("a")], join_version(1, 20), False, 15.0)
@@ -260,26 +262,26 @@
         self.assertEqual(["a", "b"], self.names(guard, 16.7))
         self.assertEqual(["a"], self.names(guard, 16.8))
 
-    def test_the_second_restore_within_seconds_is_one_too(self):
+    def test_a_second_restore_within_seconds_is_detected(self):
         guard = LapseGuard()
         guard.take([entry("a"), entry("b")], 50, False, 10.0)
         guard.take([entry("a")], join_version(1, 20), False, 15.0)
         guard.take([], join_version(4, 20), False, 16.0)
         self.assertEqual(["a", "b"], self.names(guard, 17.7))
 
-    def test_who_reads_late_keeps_what_others_keep(self):
+    def test_a_late_reader_retains_the_entries_that_others_retain(self):
         guard = LapseGuard()
         guard.take([entry("a"), entry("b")], 50, False, 10.0)
         others = HostList(join_version(1, 2 * 20), [entry("a"), entry("b"), entry("c")])
         guard.take([entry("a")], join_version(1, 21), False, 15.0, others)
         self.assertEqual(["a", "b", "c"], self.names(guard, 15.0))
 
-    def test_a_host_that_starts_after_a_restore_holds_nothing(self):
+    def test_a_host_that_starts_after_a_restore_retains_no_entries(self):
         guard = LapseGuard()
         guard.take([entry("a")], join_version(2, 20), False, 15.0)
         self.assertIsNone(guard.lapse_end_seconds)
 
-    def test_what_was_leaving_is_not_kept(self):
+    def test_entries_that_were_leaving_are_not_retained(self):
         guard = LapseGuard()
         guard.take([entry("a", "leaving"), entry("b")], 5, False, 10.0)
         guard.take([], 20, True, 15.0)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,10 +1,10 @@
-"""A store that is restored from an older copy, and goes on from a lower revision.
+"""A store that is restored from an older copy and continues at a lower revision.
 
-Symptom: requests reach an upstream that announced its shutdown in the store, and are
-handled by a configuration that was replaced there. Sequence: the store is away, comes
-back without its last writes, and counts its revisions on from there. Cause: a higher
-revision was taken for a later state. Settled by the readers' listings, ten a second,
-which succeeded and changed nothing until the store had counted past what was known.
+Guards against requests to an upstream that announced its shutdown in the store, and
+against a configuration that was replaced there. The store becomes unavailable, returns
+without its last writes and continues from the older revision. Hosts treated a higher
+revision as a later state: their listings, ten a second, succeeded but had no effect
+until the store had passed the last known revision.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 class RestoredStoreTest(TestCase):
-    def test_what_is_written_after_a_restore_is_read(self):
+    def test_writes_after_a_restore_are_read(self):
         async def main():
             store = RestorableStore()
             store.write("k/kept", LeaseRecord("x", "", 1.0))
@@ -62,16 +62,16 @@
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(watcher.run)
-                await settle(store, lambda: states)
+                await wait_until(store, lambda: states)
                 store.stand_in.restore()
                 store.write("k/new", LeaseRecord("new", "", 1.0))
-                await settle(store, lambda: "k/new" in states[-1].objects)
+                await wait_until(store, lambda: "k/new" in states[-1].objects)
                 tasks.cancel_scope.cancel()
             return sorted(states[-1].objects)
 
         self.assertEqual(["k/kept", "k/new"], anyio.run(main))
 
-    def test_the_lease_is_taken_again_after_a_restore(self):
+    def test_the_lease_is_acquired_again_after_a_restore(self):
         async def main():
             store = RestorableStore()
             write_lease(store, "former")
@@ -84,15 +84,15 @@
             store.stand_in.restore()
             leases = LeaseStore(store, "leases/steward")
             clock = SimpleNamespace(now=now_seconds)
-            taken = []
+            acquired = []
             for _ in range(10):
                 clock.now += 1.0
-                taken.append(await leases.try_acquire(watcher, lambda: clock.now))
-            return any(taken)
+                acquired.append(await leases.try_acquire(watcher, lambda: clock.now))
+            return any(acquired)
 
         self.assertTrue(anyio.run(main))
 
-    def test_an_upstream_that_leaves_after_a_restore_gets_no_request(self):
+    def test_an_upstream_that_leaves_after_a_restore_gets_no_requests(self):
         async def main():
             store = RestorableStore()
             store.stand_in.keep_copy()
@@ -103,11 +103,11 @@
                 for upstream in ups.values():
                     list_upstream(store, upstream, "labels", state="live")
                 scheduler = host.daemon.scheduler._scheduler
-                await settle(store, lambda: host.daemon._hosts.version > 2 * 11)
+                await wait_until(store, lambda: host.daemon._hosts.version > 2 * 11)
                 store.stand_in.restore()
                 list_upstream(store, ups["s1"], "labels", state="leaving")
                 leaving = scheduler.upstreams.get("s1")
-                await settle(store, lambda: leaving.entry.state == "leaving")
+                await wait_until(store, lambda: leaving.entry.state == "leaving")
                 for number in range(10):
                     await host.call("/once/x", request_id=f"q{number}")
                 return len(ups["s1"].requests)
@@ -121,26 +121,26 @@
         st.tuples(st.integers(0, MAX_ERA), st.integers(0, MAX_REVISION)),
         st.tuples(st.integers(0, MAX_ERA), st.integers(0, MAX_REVISION)),
     )
-    def test_versions_compare_by_era_and_then_by_revision(self, one, other):
+    def test_versions_are_ordered_by_era_and_then_by_revision(self, one, other):
         self.assertEqual(one < other, join_version(*one) < join_version(*other))
         version = join_version(*one)
         self.assertEqual(one, (era_of(version), revision_of(version)))
 
-    def test_without_eras_a_version_is_the_revision(self):
+    def test_in_era_zero_the_version_equals_the_revision(self):
         self.assertEqual(61, join_version(0, 61))
 
-    def test_what_does_not_fit_is_no_version(self):
+    def test_eras_and_revisions_out_of_range_are_rejected(self):
         for era, revision in ((-1, 0), (0, -1), (MAX_ERA + 1, 0), (0, 1 << 40)):
             self.assertRaises(ValueError, join_version, era, revision)
 
-    def test_only_whole_numbers_are_eras(self):
+    def test_an_era_must_be_a_whole_number(self):
         self.assertEqual((3, 0, 12), tuple(read_era(text) for text in ("3", "0", "12")))
         for text in ("", "-1", "1.0", "nan", "1, 2", "9" * 4096, "٣", "0x1"):
             self.assertEqual(0, read_era(text))
 
 
-class ErasOfAnswersTest(TestCase):
-    """Calls to a store of nine objects, of which a copy holds three."""
+class ResponseEraTest(TestCase):
+    """Calls to a store with nine objects, of which the copy has three."""
 
     def call(self, scenario):
         async def main():
@@ -153,7 +153,7 @@
 
         return anyio.run(main)
 
-    def test_all_that_is_read_after_a_restore_is_newer(self):
+    def test_everything_read_after_a_restore_has_a_higher_version(self):
         async def scenario(store):
             before = await store.list_objects("k/")
             store.stand_in.restore()
@@ -167,13 +167,13 @@
         )
         self.assertEqual(one, listed)
 
-    def test_a_watch_from_before_is_not_answered_by_what_came_later(self):
+    def test_a_watch_from_before_a_restore_fails(self):
         async def scenario(store):
             await store.list_objects("k/")
             store.stand_in.restore()
             for number in range(9):
                 store.write(f"k/new-{number}", LeaseRecord("", "", 1.0))
-            # The store has a revision 9 again, which is another one's.
+            # The store has assigned revision 9 again, to another object.
             with expect(HistoryGoneError):
                 await store.watch("k/", 9, 0.01)
             calls_count = store.calls.total()
@@ -183,7 +183,7 @@
 
         self.assertEqual(0, self.call(scenario))
 
-    def test_a_write_that_expects_a_version_of_before_is_not_sent(self):
+    def test_a_write_with_a_version_from_before_a_restore_is_not_sent(self):
         async def scenario(store):
             version = (await store.get("k/2")).version
             store.stand_in.restore()
@@ -194,7 +194,7 @@
 
         self.assertEqual(3, self.call(scenario))
 
-    def test_a_write_across_the_restore_is_no_success(self):
+    def test_a_write_during_a_restore_fails(self):
         async def scenario(store):
             version = (await store.get("k/2")).version
             store.stand_in.restore()
@@ -204,7 +204,7 @@
 
         self.assertEqual(join_version(1, 5), self.call(scenario))
 
-    def test_an_answer_of_an_era_before_is_refused(self):
+    def test_a_response_of_an_earlier_era_is_rejected(self):
         async def scenario(store):
             store.stand_in.restore(eras_count=3)
             await store.list_objects("k/")
@@ -217,10 +217,10 @@
 
         self.assertEqual(join_version(3, 3), self.call(scenario))
 
-    def test_a_restore_is_told_once(self):
+    def test_a_restore_is_reported_once(self):
         async def scenario(store):
             eras = []
-            store.on_restored = lambda *told: eras.append(told)
+            store.on_restored = lambda *details: eras.append(details)
             await store.list_objects("k/")
             store.stand_in.restore(eras_count=3)
             await store.list_objects("k/")
@@ -231,7 +231,7 @@
 
 
 class GoneHistoryTest(TestCase):
-    def test_a_store_without_history_is_not_asked_without_pause(self):
+    def test_a_store_without_history_is_read_with_a_backoff(self):
         async def main():
             store = RestorableStore()
             store.write("k/a", LeaseRecord("", "", 1.0))
@@ -249,25 +249,25 @@
                 read_clock=lambda: 0.0,
                 draw=random.Random(1),
             )
-            pauses = []
+            backoffs = []
 
-            async def note_pause():
-                pauses.append(store.calls.total())
+            async def note_backoff():
+                backoffs.append(store.calls.total())
                 await anyio.sleep(0)
 
-            watcher._back_off = note_pause
+            watcher._back_off = note_backoff
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(watcher.run)
-                await settle(store, lambda: len(pauses) > 3)
+                await wait_until(store, lambda: len(backoffs) > 3)
                 tasks.cancel_scope.cancel()
-            return pauses[:3]
+            return backoffs[:3]
 
-        # Two listings at once, and a pause before each one after them.
+        # Two listings without a delay, then a backoff before each further one.
         self.assertEqual([2, 3, 4], anyio.run(main))
 
 
 class RestoredLeaseTest(TestCase):
-    """Two holders never order at once, whatever record of the lease the copy has."""
+    """At most one holder can send orders, whatever lease record the copy has."""
 
     def play(self, scenario):
         async def main():
@@ -275,99 +275,97 @@
             store = RestorableStore()
             leases = LeaseStore(store, "leases/steward")
 
-            async def take(watcher, at_seconds, leases=leases):
+            async def acquire(watcher, at_seconds, leases=leases):
                 clock.now = at_seconds
                 return await leases.try_acquire(watcher, lambda: clock.now)
 
-            return await scenario(store, take)
+            return await scenario(store, acquire)
 
         return anyio.run(main)
 
-    def test_who_finds_its_own_record_of_long_ago_waits_for_the_holder(self):
-        async def scenario(store, take):
+    def test_a_former_holder_that_reads_its_old_record_waits_for_the_holder(self):
+        async def scenario(store, acquire):
             former, holder = LeaseWatcher("former", 3.0), LeaseWatcher("holder", 3.0)
-            await take(former, 100.0)
+            await acquire(former, 100.0)
             store.stand_in.keep_copy()
-            await take(holder, 100.5)
-            self.assertTrue(await take(holder, 104.0))
-            await take(former, 104.1)
+            await acquire(holder, 100.5)
+            self.assertTrue(await acquire(holder, 104.0))
+            await acquire(former, 104.1)
             store.stand_in.restore()
             await store.list_objects("k/")
-            taken = [await take(former, 104.5 + step / 2) for step in range(7)]
+            acquired = [await acquire(former, 104.5 + step / 2) for step in range(7)]
             self.assertTrue(holder.is_held(106.9))
-            return taken
+            return acquired
 
         self.assertEqual([False] * 6 + [True], self.play(scenario))
 
-    def test_a_renewal_that_replaces_anothers_record_holds_nothing(self):
-        async def scenario(store, take):
+    def test_a_renewal_that_replaces_the_record_of_another_host_fails(self):
+        async def scenario(store, acquire):
             former, other = LeaseWatcher("former", 3.0), LeaseWatcher("other", 3.0)
             store.write("k/a", LeaseRecord("", "", 1.0))
             store.stand_in.keep_copy()
-            self.assertTrue(await take(former, 100.0))
+            self.assertTrue(await acquire(former, 100.0))
             store.stand_in.restore()
-            # The same revision as the former holder's record had.
+            # Its record gets the same revision as that of the former holder.
             others = LeaseStore(RestorableStore(store.stand_in), "leases/steward")
-            self.assertTrue(await take(other, 101.0, others))
-            self.assertFalse(await take(former, 101.5))
+            self.assertTrue(await acquire(other, 101.0, others))
+            self.assertFalse(await acquire(former, 101.5))
             self.assertIsNone(former.fencing_number(101.6))
-            # The other one learns of it at its next renewal, and until then orders.
-            self.assertFalse(await take(former, 104.4))
-            self.assertFalse(await take(other, 102.0, others))
-            return await take(former, 104.5)
+            # The other holder may order until its next renewal, which detects this.
+            self.assertFalse(await acquire(former, 104.4))
+            self.assertFalse(await acquire(other, 102.0, others))
+            return await acquire(former, 104.5)
 
         self.assertTrue(self.play(scenario))
 
-    def test_a_lease_that_the_copy_lacks_is_free_after_its_time(self):
-        async def scenario(store, take):
+    def test_a_lease_missing_in_the_copy_is_free_after_its_duration(self):
+        async def scenario(store, acquire):
             store.stand_in.keep_copy()
             holder, next_one = LeaseWatcher("holder", 3.0), LeaseWatcher("next", 3.0)
-            self.assertTrue(await take(holder, 100.0))
-            await take(next_one, 100.1)
+            self.assertTrue(await acquire(holder, 100.0))
+            await acquire(next_one, 100.1)
             first = holder.fencing_number(100.2)
             store.stand_in.restore()
             await store.list_objects("k/")
-            taken = [await take(next_one, 101.0 + step) for step in range(4)]
-            return taken, next_one.fencing_number(104.0) > first
+            acquired = [await acquire(next_one, 101.0 + step) for step in range(4)]
+            return acquired, next_one.fencing_number(104.0) > first
 
         self.assertEqual(([False, False, False, True], True), self.play(scenario))
 
-    def test_the_holder_goes_on_in_the_new_era(self):
-        async def scenario(store, take):
+    def test_the_holder_renews_its_lease_in_the_new_era(self):
+        async def scenario(store, acquire):
             holder = LeaseWatcher("holder", 3.0)
-            await take(holder, 100.0)
+            await acquire(holder, 100.0)
             store.stand_in.keep_copy()
-            await take(holder, 101.0)
+            await acquire(holder, 101.0)
             first = holder.fencing_number(101.1)
             store.stand_in.restore()
-            # The first write finds another version, the second expects that one.
-            taken = [await take(holder, 102.0), await take(holder, 102.1)]
-            return taken, holder.fencing_number(102.2) > first
+            # The first write finds another version, which the second write expects.
+            acquired = [await acquire(holder, 102.0), await acquire(holder, 102.1)]
+            return acquired, holder.fencing_number(102.2) > first
 
         self.assertEqual(([False, True], True), self.play(scenario))
 
-    def test_after_a_restart_a_host_takes_its_own_lease_at_once_but_not_from_a_copy(
-        self,
-    ):
-        async def scenario(store, take):
-            await take(LeaseWatcher("holder", 3.0), 100.0)
+    def test_a_restarted_host_reacquires_its_lease_at_once_but_not_from_a_copy(self):
+        async def scenario(store, acquire):
+            await acquire(LeaseWatcher("holder", 3.0), 100.0)
             restarted = LeaseWatcher("holder", 3.0)
-            found = [await take(restarted, 101.0)]
+            found = [await acquire(restarted, 101.0)]
             store.stand_in.keep_copy()
             store.stand_in.restore()
             restarted = LeaseWatcher("holder", 3.0)
-            return found + [await take(restarted, 102.0 + step) for step in range(4)]
+            return found + [await acquire(restarted, 102.0 + step) for step in range(4)]
 
         self.assertEqual([True, False, False, False, True], self.play(scenario))
 
 
 def expect(kind):
-    """Return a context that expects an error."""
+    """Return a context manager that expects an exception."""
     return unittest.TestCase().assertRaises(kind)
 
 
-async def settle(store: RestorableStore, condition, calls_count: int = 60) -> None:
-    """Wait until a condition holds, or for so many more calls to the store."""
+async def wait_until(store: RestorableStore, condition, calls_count: int = 60) -> None:
+    """Wait until a condition holds or ``calls_count`` more calls have been made."""
     last_count = store.calls.total() + calls_count
     with anyio.fail_after(20.0):
         while not condition() and store.calls.total() < last_count:
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -1,7 +1,8 @@
-"""A machine that was suspended: its steady clock has stood still, real time has not.
+"""Suspend and resume of a machine: leases, ages and timers include suspend time.
 
-Scripted clocks part here as they do then: CLOCK_MONOTONIC stays, CLOCK_BOOTTIME goes
-on. Whatever is so and so old by a host's clock must be so for everybody else.
+The scripted clocks differ as after a suspend: CLOCK_MONOTONIC has stopped,
+CLOCK_BOOTTIME has advanced. A host that used CLOCK_MONOTONIC would consider its lease
+and data fresher than the other hosts do.
 """
 
 import time
@@ -18,7 +19,7 @@
 
 
 class SuspendedClocks:
-    """The kernel's clocks over a suspend."""
+    """Clocks of the kernel with a scripted suspend."""
 
     def __init__(self):
         self.suspended_seconds = 0.0
@@ -39,12 +40,12 @@
         patcher.start()
         self.addCleanup(patcher.stop)
 
-    def test_the_daemons_clock_counts_the_suspend(self):
+    def test_the_clock_of_the_daemon_includes_suspend_time(self):
         before_seconds = Clocks().monotonic()
         self.clocks.suspended_seconds = 30.0
         self.assertGreaterEqual(Clocks().monotonic() - before_seconds, 30.0)
 
-    def test_a_lease_is_over_after_it(self):
+    def test_a_lease_expires_during_a_suspend(self):
         lease = LeaseWatcher("one", 3.0)
         lease.note_written(LeaseRecord("one", "", 3.0), 1, read_steady_clock())
         self.assertTrue(lease.is_held(read_steady_clock()))
@@ -52,7 +53,7 @@
         self.assertFalse(lease.is_held(read_steady_clock()))
         self.assertIsNone(lease.fencing_number(read_steady_clock()))
 
-    def test_timers_of_the_event_loop_are_due_after_it(self):
+    def test_timers_of_the_event_loop_fire_after_a_suspend(self):
         woken = []
 
         async def sleep_long():
