--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: it translates, and its words stay inside."""
+"""The adapter to the users' platform: translation, and no platform names outside."""
 
 import re
 from pathlib import Path
@@ -106,7 +106,7 @@
 
 
 def with_fractions(data, more):
-    """Return the same data with each figure but the version as a fraction."""
+    """Return the data with ``more`` added to each integer except the version."""
     if isinstance(data, dict):
         return {
             key: item if key == "version" else with_fractions(item, more)
@@ -122,7 +122,7 @@
 
 
 class TenantLimitsTest(TestCase):
-    """Limits of tenants, however the manifest writes them."""
+    """Limits of tenants in all forms that a manifest may have."""
 
     def read(self, **fields):
         tenant = {"name": "t1", "api_keys": ["k"], **fields}
@@ -130,7 +130,7 @@
         held = state(stored("config/main", manifest))
         return StoreTranslation().read_tree(held).nodes["/t1"]
 
-    def test_tokens_and_what_a_plain_request_counts(self):
+    def test_token_limits_and_tokens_of_plain_requests(self):
         node = self.read(
             unit="token_stream", plain_tokens=200, rate_per_s=516742, burst=1000.5
         )
@@ -144,22 +144,22 @@
             ),
         )
 
-    def test_requests_count_as_one_where_no_unit_is_named(self):
+    def test_limits_without_a_unit_count_requests(self):
         node = self.read(rate_per_s=12.5)
         self.assertEqual(
             (12.5, None, True),
             (node.tokens_per_second, node.burst_tokens, node.counts_requests),
         )
 
-    def test_zero_or_nothing_is_no_limit(self):
+    def test_zero_or_missing_limits_are_unlimited(self):
         for fields in ({}, {"rate_per_s": 0, "burst": 5}, {"rate_per_s": None}):
             node = self.read(**fields)
             self.assertEqual((None, None), (node.tokens_per_second, node.burst_tokens))
 
-    def test_a_limit_beyond_all_bounds_stops_no_manifest(self):
+    def test_a_limit_above_the_maximum_is_reduced_to_it(self):
         self.assertEqual(1e9, self.read(rate_per_s=1e15).tokens_per_second)
 
-    def test_tokens_are_counted_as_the_caller_names_them(self):
+    def test_declared_tokens_are_the_sum_of_the_header_values(self):
         def named(value):
             headers = [(b"x-rampwick-request-id", b"r1")]
             if value is not None:
@@ -174,7 +174,7 @@
 
 
 class ManifestTest(TestCase):
-    def test_a_manifest_becomes_a_valid_tree(self):
+    def test_a_manifest_is_translated_to_a_valid_tree(self):
         view = TreeView(read_tree(MANIFEST))
         self.assertEqual(7, view.revision)
         route = view.routes.find("one.example", "/a/x")
@@ -203,7 +203,7 @@
         )
         self.assertEqual(15.0, view.routes.routing.caller_limits.idle_timeout_seconds)
 
-    def test_what_can_not_be_translated_is_refused_and_named(self):
+    def test_an_invalid_manifest_is_rejected_with_the_field(self):
         route = dict(MANIFEST["routes"][0])
         del route["timeout_ms"]
         error = self.assertRaises(DataError, read_tree, {**MANIFEST, "routes": [route]})
@@ -212,7 +212,7 @@
         self.assertRaises(DataError, read_tree, {**MANIFEST, "routes": [bad]})
 
     def test_counts_may_be_written_as_fractions(self):
-        """A rank of 1.0 would be no place in a list, and each request would fail."""
+        """A rank of 1.0 is not a list index, so that each request would fail."""
         wanted = read_tree(MANIFEST)
         self.assertEqual(wanted, read_tree(with_fractions(MANIFEST, 0.0)))
         tree = read_tree(with_fractions(MANIFEST, 0.25))
@@ -224,10 +224,10 @@
         for service in tree.routing.services:
             self.assertIs(int, type(service.max_connections_count))
 
-    def test_no_manifest_is_no_tree(self):
+    def test_a_missing_manifest_yields_no_tree(self):
         self.assertIsNone(StoreTranslation().read_tree(state()))
 
-    def test_upstreams_and_weights(self):
+    def test_upstream_entries_and_weights_targets_are_translated(self):
         entry = StoreTranslation().read_upstream(
             stored(
                 "servers/i-1",
@@ -275,7 +275,7 @@
 
 
 class RequestTest(TestCase):
-    def test_a_request_is_read_whole(self):
+    def test_all_fields_of_a_request_are_read(self):
         call = CallerTranslation().read_call(
             raw_call(
                 x_rampwick_request_id="id1",
@@ -297,7 +297,7 @@
         self.assertEqual([800, 410], [part.tokens for part in call.parts])
         self.assertEqual("/a/1", call.path)
 
-    def test_a_request_without_an_id_or_with_two_is_refused(self):
+    def test_a_request_must_have_exactly_one_id(self):
         read = CallerTranslation().read_call
         self.assertRaises(CallerError, read, raw_call())
         twice = raw_call(x_rampwick_request_id="a")
@@ -306,7 +306,7 @@
         bad = raw_call(x_rampwick_request_id="a", x_rampwick_prefix_hash="nonsense")
         self.assertRaises(CallerError, read, bad)
 
-    def test_nothing_that_callers_must_not_set_reaches_an_upstream(self):
+    def test_reserved_headers_of_callers_are_not_forwarded(self):
         forged = {
             "x_rampwick_tenant": "other",
             "x_rampwick_hold": "h",
@@ -361,7 +361,7 @@
         }
         self.assertEqual(expected, dict(sent))
 
-    def test_the_rate_that_an_upstream_names_is_a_short_decimal_number(self):
+    def test_a_rate_limit_is_a_short_decimal_number(self):
         def rate(*values):
             headers = [(b"Server-Limit", value) for value in values]
             facts = UpstreamTranslation().read_answer(
@@ -385,7 +385,7 @@
             self.assertEqual(unreadable, rate(value))
         self.assertEqual(unreadable, rate(b"2", b"x"))
 
-    def test_answers_say_what_they_prove(self):
+    def test_response_headers_are_interpreted(self):
         read = UpstreamTranslation().read_answer
 
         def facts(status, *headers):
@@ -418,7 +418,7 @@
             ),
         )
 
-    def test_errors_may_name_a_fraction_of_a_second(self):
+    def test_retry_after_may_be_a_fraction_of_a_second(self):
         error = CallerError(
             "busy", status=503, code="x", step="y", retry_after_seconds=0.05
         )
@@ -435,7 +435,7 @@
             "i-1", "runner", "b", "10.0.0.9:1", incarnation="i-1", model="m-1"
         )
 
-    def test_an_order_names_runner_fence_and_orders_taken(self):
+    def test_an_order_has_runner_fencing_token_and_order_count(self):
         order = Order(41, 5, expected_orders_count=2)
         request = self.control.order(self.entry, order)
         body = orjson.loads(request.body)
@@ -453,7 +453,7 @@
         )
         self.assertIn((b"x-rampwick-target-instance", b"i-1"), request.headers)
 
-    def test_answers_to_orders(self):
+    def test_results_of_orders(self):
         results = [
             self.control.read_order(AnswerHead(status, [], True))
             for status in (200, 202, 400, 409, 412, 421)
@@ -470,7 +470,7 @@
             results,
         )
 
-    def test_reports(self):
+    def test_reports_are_translated(self):
         body = orjson.dumps(
             {
                 "stage": "unified",
@@ -491,7 +491,7 @@
         )
         self.assertRaises(DataError, self.control.read_probe, self.entry, head, b"{}")
 
-    def test_a_service_is_well_only_if_it_is_the_one(self):
+    def test_a_service_is_healthy_only_if_its_instance_id_matches(self):
         entry = HostEntry("i-2", "service", "b", "10.0.0.9:1", incarnation="i-2")
         own = AnswerHead(200, [(b"X-Rampwick-Instance-Id", b"i-2")], True)
         other = AnswerHead(200, [(b"X-Rampwick-Instance-Id", b"i-3")], True)
@@ -512,7 +512,7 @@
         super().setUp()
         self.store = ObjectsTranslation()
 
-    def test_the_first_write_creates_and_the_next_names_its_revision(self):
+    def test_the_first_write_creates_and_the_next_has_the_revision(self):
         first = self.store.put("leases/x", b'{"a":1}', 0)
         self.assertEqual(("POST", "/-/objects/leases"), (first.method, first.path))
         self.assertNotIn("revision", orjson.loads(first.content)["metadata"])
@@ -521,7 +521,7 @@
         body = orjson.loads(second.content)
         self.assertEqual((412, {"a": 2}), (body["metadata"]["revision"], body["spec"]))
 
-    def test_any_answer_may_name_the_stores_era(self):
+    def test_the_era_is_read_from_any_response(self):
         def answer(**headers):
             return httpx.Response(410, headers=headers)
 
@@ -529,7 +529,7 @@
         for headers in ({}, {"Store-Era": "third"}, {"Store-Era": "-1"}):
             self.assertEqual(0, self.store.read_era(answer(**headers)))
 
-    def test_a_write_that_lost_its_race_is_a_conflict(self):
+    def test_a_write_that_lost_a_race_is_a_version_conflict(self):
         taken = reply(409, object_data("x", 9))
         self.assertRaises(VersionConflictError, self.store.read_put, "leases/x", taken)
         gone = reply(404, {})
@@ -537,7 +537,7 @@
         done = reply(200, object_data("x", 10))
         self.assertEqual(10, self.store.read_put("leases/x", done))
 
-    def test_listings_and_watches(self):
+    def test_listings_and_watches_are_translated(self):
         listing = self.store.read_listing(
             "servers/",
             reply(
@@ -567,7 +567,7 @@
         wait = self.store.watch("servers/", 530, 1.5)
         self.assertEqual({"watch": "530", "wait_ms": "1500"}, wait.parameters)
 
-    def test_an_answer_that_is_none_is_an_error(self):
+    def test_an_invalid_response_is_an_error(self):
         broken = httpx.Response(200, content=b"<html>")
         self.assertRaises(PlatformError, self.store.read_listing, "servers/", broken)
         empty = reply(200, {"events": [{"object": {}}], "store_revision": 3})
@@ -611,24 +611,24 @@
     return None
 
 
-def fill(text, scopes):
-    """Fill a template as the platform describes it, as far as ours uses it."""
+def render(text, scopes):
+    """Render a template with the platform's syntax that deploy/host.toml uses."""
     section = re.compile(r"\{\{#([\w.]+)\}\}(.*?)\{\{/\1\}\}", re.DOTALL)
 
-    def fill_section(match):
+    def render_section(match):
         value = look_up(match.group(1), scopes)
         if not value:
             return ""
         if not isinstance(value, list):
-            return fill(match.group(2), [*scopes, value])
+            return render(match.group(2), [*scopes, value])
         parts = []
         for index, item in enumerate(value):
             comma = "," if index < len(value) - 1 else ""
             body = match.group(2).replace("{{,}}", comma)
-            parts.append(fill(body, [*scopes, item]))
+            parts.append(render(body, [*scopes, item]))
         return "".join(parts)
 
-    def fill_value(match):
+    def render_value(match):
         value = look_up(match.group(1), scopes)
         if match.group(2) or isinstance(value, dict | bool):
             return orjson.dumps(value).decode()
@@ -636,58 +636,58 @@
             return ",".join(map(str, value))
         return "" if value is None else str(value)
 
-    text = section.sub(fill_section, text)
-    return re.sub(r"\{\{([\w.]+)(\|json)?\}\}", fill_value, text)
+    text = section.sub(render_section, text)
+    return re.sub(r"\{\{([\w.]+)(\|json)?\}\}", render_value, text)
 
 
 class TemplateTest(TestCase):
-    def fill(self, fields):
+    def render(self, fields):
         text = (ROOT / "deploy/host.toml").read_text()
-        return parse_settings(fill(text, [fields]), source="template")
+        return parse_settings(render(text, [fields]), source="template")
 
     def test_the_template_yields_valid_settings(self):
-        settings = self.fill(FIELDS)
+        settings = self.render(FIELDS)
         self.assertEqual("10.1.0.30:8782", settings.listen.entry)
         self.assertEqual(5.0, settings.platform.max_key_age_seconds)
         self.assertEqual(3.0, settings.steward.orders_apart_seconds)
         self.assertEqual(FIELDS["seeds"], settings.peers.seeds)
 
-    def test_it_does_so_where_bounds_are_missing(self):
+    def test_the_template_yields_valid_settings_without_bounds(self):
         bounds = {"grace_s": 8}
-        settings = self.fill({**FIELDS, "seeds": [], "bounds": bounds})
+        settings = self.render({**FIELDS, "seeds": [], "bounds": bounds})
         self.assertEqual(0.0, settings.platform.max_key_age_seconds)
 
-    #: Ways in which a figure may be written, or not be there.
-    WRITTEN = (
+    #: Forms that a value may have, including missing and invalid ones.
+    VALUE_FORMS = (
         0, 1, 430, 430.13, 0.2, 5e-4, 1e9, -3, "430.13", "", None, True, False,
         "many", [], [1, 2], {}, {"a": 'it "is"'}, float("nan"), float("inf"),
     )  # fmt: skip
 
-    def test_no_figure_keeps_a_host_from_starting(self):
-        """A fraction where a whole number used to stand stopped a whole fleet."""
+    def test_no_value_prevents_a_host_from_starting(self):
+        """A fraction in place of a whole number kept a whole fleet from starting."""
         for table in ("bounds", "limits"):
             for key in FIELDS[table]:
-                for value in self.WRITTEN:
-                    figures = {**FIELDS[table], key: value}
-                    settings = self.fill({**FIELDS, table: figures})
+                for value in self.VALUE_FORMS:
+                    values = {**FIELDS[table], key: value}
+                    settings = self.render({**FIELDS, table: values})
                     self.assertEqual("front-1", settings.host.name)
 
-    def test_figures_are_taken_as_they_are(self):
+    def test_fractional_values_are_applied_unchanged(self):
         bounds = {**FIELDS["bounds"], "retry_budget_slack": 430.13, "grace_s": 7.5}
-        settings = self.fill({**FIELDS, "bounds": bounds})
+        settings = self.render({**FIELDS, "bounds": bounds})
         self.assertEqual(430.13, settings.retry.fleet_saved_count)
         self.assertEqual(7.5, settings.life.stop_within_seconds)
-        none = self.fill({**FIELDS, "bounds": {**bounds, "retry_budget_slack": 0}})
+        none = self.render({**FIELDS, "bounds": {**bounds, "retry_budget_slack": 0}})
         self.assertEqual(0.0, none.retry.fleet_saved_count)
 
     def test_tables_and_lists_may_be_missing(self):
         for key in ("limits", "bounds", "seeds", "region"):
-            settings = self.fill({**FIELDS, key: None})
+            settings = self.render({**FIELDS, key: None})
             self.assertEqual("bratislava-a", settings.host.hall)
 
 
 class BoundaryTest(TestCase):
-    """No word of the platform's wire stands outside its folder."""
+    """Names of the platform's wire format occur only in the adapter."""
 
     WORDS = re.compile(
         r"x-rampwick-|/-/|kv-from|kv_token|kv_store_addr|path_prefix.:|fencing_token"
@@ -696,7 +696,7 @@
     )
     OUTSIDE = ("packages", "schema", "tools", "measure", "soak")
 
-    def test_words_of_the_wire(self):
+    def test_wire_names_occur_only_in_the_adapter(self):
         found = [
             f"{path.relative_to(ROOT)}: {line.strip()}"
             for folder in self.OUTSIDE
--- a/tests/test_births.py
+++ b/tests/test_births.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from rampwick_adapter._control import ControlTranslation
-from rampwick_adapter._entries import life_name, upstream_id
+from rampwick_adapter._entries import incarnation_name, upstream_id
 from rampwick_adapter._objects import ObjectsTranslation
 from rampwick_adapter._records import StoreTranslation
 from rampwick_adapter._requests import UpstreamTranslation
@@ -76,7 +76,7 @@
         entry = read({key: ENTRY[key] for key in ENTRY if key != "born"})
         self.assertEqual("i-1", entry.name)
         self.assertEqual("odd@name", upstream_id("odd@name"))
-        self.assertEqual("odd@name", upstream_id(life_name("odd@name", 5)))
+        self.assertEqual("odd@name", upstream_id(incarnation_name("odd@name", 5)))
 
     def test_the_platform_hears_the_id(self):
         call = RoutedCall("r1", "one.example", "POST", "/a/1", "k", [])
