--- a/tests/test_kind_watcher.py
+++ b/tests/test_kind_watcher.py
@@ -62,29 +62,29 @@
 class ScriptedApi:
     """An object API with scripted responses and a scripted clock."""
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *responses):
+        self.responses = list(responses)
         self.calls = []
         self.now = 100.0
 
     def clock(self):
         return self.now
 
-    async def answer(self, call):
+    async def respond(self, call):
         self.calls.append(call)
-        if not self.answers:
+        if not self.responses:
             await anyio.sleep_forever()
-        seconds, result = self.answers.pop(0)
+        seconds, result = self.responses.pop(0)
         self.now += seconds
         if isinstance(result, Exception):
             raise result
         return result
 
     async def list_objects(self, prefix, after_key=""):
-        return await self.answer(("list", after_key))
+        return await self.respond(("list", after_key))
 
     async def watch(self, prefix, after_version, timeout_seconds):
-        return await self.answer(("watch", after_version))
+        return await self.respond(("watch", after_version))
 
 
 def follow(script, states, problems, **options):
@@ -104,7 +104,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watcher.run)
             with anyio.fail_after(10.0):
-                while script.answers:
+                while script.responses:
                     await anyio.sleep(0.01)
             await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
@@ -113,29 +113,29 @@
 
 
 class KindWatcherTest(TestCase):
-    def play(self, *answers, **options):
+    def run_script(self, *responses, **options):
         self.states, self.problems = [], []
-        self.script = ScriptedApi(*answers)
+        self.script = ScriptedApi(*responses)
         follow(self.script, self.states, self.problems, **options)
         return self.states
 
     def test_the_confirmation_time_is_when_the_call_was_sent(self):
-        states = self.play(
+        states = self.run_script(
             (0.7, Listing(5, [stored("a", 4)])),
             (1.0, Listing(6, [stored("b", 6)])),
         )
         self.assertEqual([100.0, 100.7], [item.confirmed_at_seconds for item in states])
 
     def test_a_watch_without_changes_confirms_the_whole_wait(self):
-        states = self.play((0.0, Listing(5, [])), (1.8, Listing(5, [])))
+        states = self.run_script((0.0, Listing(5, [])), (1.8, Listing(5, [])))
         self.assertEqual(101.5, states[-1].confirmed_at_seconds)
 
     def test_a_watch_that_returns_early_confirms_only_its_start(self):
-        states = self.play((0.0, Listing(5, [])), (0.4, Listing(5, [])))
+        states = self.run_script((0.0, Listing(5, [])), (0.4, Listing(5, [])))
         self.assertEqual(100.0, states[-1].confirmed_at_seconds)
 
     def test_a_watch_without_history_is_followed_by_a_listing_at_once(self):
-        self.play(
+        self.run_script(
             (0.0, Listing(5, [stored("a", 4)])),
             (0.0, HistoryGoneError("gone", step="watch")),
             (0.0, Listing(90, [stored("b", 80)])),
@@ -144,7 +144,7 @@
         self.assertEqual(("list", ""), self.script.calls[2])
 
     def test_a_failure_is_reported_and_flagged_in_the_next_state(self):
-        self.play(
+        self.run_script(
             (0.0, Listing(5, [])),
             (0.0, PlatformUnavailableError("down", step="watch")),
             (0.0, Listing(6, [stored("a", 6)])),
@@ -167,11 +167,11 @@
         listing = (0.0, Listing(5, []))
         failure = (0.0, PlatformUnavailableError("down", step="watch"))
         with mock.patch.object(KindWatcher, "_back_off", note):
-            self.play(*([listing, failure] * 3), listing, listing, failure)
+            self.run_script(*([listing, failure] * 3), listing, listing, failure)
         self.assertEqual([1, 2, 3, 1], counts)
 
     def test_all_pages_are_read_and_have_the_version_of_the_first(self):
-        self.play(
+        self.run_script(
             (0.0, Listing(5, [stored("a", 4)], is_truncated=True)),
             (0.0, Listing(9, [stored("b", 8)])),
             (0.0, Listing(9, [])),
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -269,7 +269,7 @@
 class RestoredLeaseTest(TestCase):
     """At most one holder can send orders, whatever lease record the copy has."""
 
-    def play(self, scenario):
+    def run_scenario(self, scenario):
         async def main():
             clock = SimpleNamespace(now=100.0)
             store = RestorableStore()
@@ -297,7 +297,7 @@
             self.assertTrue(holder.is_held(106.9))
             return acquired
 
-        self.assertEqual([False] * 6 + [True], self.play(scenario))
+        self.assertEqual([False] * 6 + [True], self.run_scenario(scenario))
 
     def test_a_renewal_that_replaces_the_record_of_another_host_fails(self):
         async def scenario(store, acquire):
@@ -316,7 +316,7 @@
             self.assertFalse(await acquire(other, 102.0, others))
             return await acquire(former, 104.5)
 
-        self.assertTrue(self.play(scenario))
+        self.assertTrue(self.run_scenario(scenario))
 
     def test_a_lease_missing_in_the_copy_is_free_after_its_duration(self):
         async def scenario(store, acquire):
@@ -330,7 +330,9 @@
             acquired = [await acquire(next_one, 101.0 + step) for step in range(4)]
             return acquired, next_one.fencing_number(104.0) > first
 
-        self.assertEqual(([False, False, False, True], True), self.play(scenario))
+        self.assertEqual(
+            ([False, False, False, True], True), self.run_scenario(scenario)
+        )
 
     def test_the_holder_renews_its_lease_in_the_new_era(self):
         async def scenario(store, acquire):
@@ -344,7 +346,7 @@
             acquired = [await acquire(holder, 102.0), await acquire(holder, 102.1)]
             return acquired, holder.fencing_number(102.2) > first
 
-        self.assertEqual(([False, True], True), self.play(scenario))
+        self.assertEqual(([False, True], True), self.run_scenario(scenario))
 
     def test_a_restarted_host_reacquires_its_lease_at_once_but_not_from_a_copy(self):
         async def scenario(store, acquire):
@@ -356,7 +358,7 @@
             restarted = LeaseWatcher("holder", 3.0)
             return found + [await acquire(restarted, 102.0 + step) for step in range(4)]
 
-        self.assertEqual([True, False, False, False, True], self.play(scenario))
+        self.assertEqual([True, False, False, False, True], self.run_scenario(scenario))
 
 
 def expect(kind):
