--- a/measure/_blame_lab.py
+++ b/measure/_blame_lab.py
@@ -14,7 +14,7 @@
 
 from rampwick_policy import BlameBook, BlameRule, LifeName, MostEnds, Suspect, Suspicion
 from rampwick_policy._rendezvous import rank
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._runner import Clock
 
@@ -134,7 +134,7 @@
 
 
 @attrs.define(repr=False)
-class BlameResult(Shown):
+class BlameResult(ReprMixin):
     """What came of a run."""
 
     #: Ends under each deadly request.
--- a/measure/_limit_patterns.py
+++ b/measure/_limit_patterns.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 
 @attrs.frozen(repr=False)
-class LimitPattern(Shown):
+class LimitPattern(ReprMixin):
     """What is asked under one limit, and what happens meanwhile; rates in tokens."""
 
     name: str
--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rampwick_policy import SummaryDigest, SurgeGate, sum_limits, without
-from rampwick_schema import Shown, Summary
+from rampwick_schema import ReprMixin, Summary
 
 from ._limit_patterns import LimitPattern
 from ._limit_ways import WAYS, Way
@@ -30,7 +30,7 @@
 
 
 @attrs.define(repr=False)
-class _Host(Shown):
+class _Host(ReprMixin):
     name: str
     hall: int
     way: Way
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(repr=False)
-class Asked(Shown):
+class Asked(ReprMixin):
     """One request and what came of it."""
 
     at_seconds: float
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -24,7 +24,7 @@
     Standpoint,
 )
 from rampwick_policy._upstream import Upstream
-from rampwick_schema import HostEntry, Shown
+from rampwick_schema import HostEntry, ReprMixin
 
 from ._rate_patterns import RatePattern
 from ._rate_ways import (
@@ -98,7 +98,7 @@
 
 
 @attrs.define(repr=False)
-class RateResult(Shown):
+class RateResult(ReprMixin):
     """What came of a run."""
 
     arrived_count: int = 0
--- a/packages/rampwick-platform/src/rampwick_platform/_api.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_api.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rampwick_schema import HostList, RampwickError, Shown
+from rampwick_schema import HostList, RampwickError, ReprMixin
 
 #: Expected version for the creation of an object.
 ABSENT = 0
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen(repr=False)
-class StoredObject(Shown):
+class StoredObject(ReprMixin):
     """An object with its version, which each write increases store-wide.
 
     Versions also increase when the store is restored from an older copy: everything
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen(repr=False)
-class Listing(Shown):
+class Listing(ReprMixin):
     """Objects under a prefix as of one version of the store."""
 
     version: int
--- a/packages/rampwick-platform/src/rampwick_platform/_budget.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_budget.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 
 @attrs.define(repr=False)
-class CallBudget(Shown):
+class CallBudget(ReprMixin):
     """A token bucket with a burst of one second of calls, but at least one call."""
 
     calls_per_second: float
--- a/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
@@ -11,7 +11,7 @@
 import anyio
 import attrs
 
-from rampwick_schema import DataError, Shown, era_of
+from rampwick_schema import DataError, ReprMixin, era_of
 
 from ._api import HistoryGoneError, Listing, ObjectApi, PlatformError, StoredObject
 from ._timers import sleep_aligned
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(repr=False)
-class KindState(Shown):
+class KindState(ReprMixin):
     """Objects under a prefix at one version of the store."""
 
     objects: Mapping[str, StoredObject]
@@ -41,7 +41,7 @@
 
 
 @attrs.define(repr=False)
-class KindView(Shown):
+class KindView(ReprMixin):
     """Merged state of listings and watched changes, without I/O or clock access."""
 
     #: Version of the store after which the next watch starts.
--- a/packages/rampwick-platform/src/rampwick_platform/_store_dialect.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_store_dialect.py
@@ -5,7 +5,7 @@
 import attrs
 import httpx
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._api import Listing, StoredObject
 
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(repr=False)
-class StoreRequest(Shown):
+class StoreRequest(ReprMixin):
     """A call to a store."""
 
     #: Name of the operation in errors and logs.
--- a/packages/rampwick-platform/src/rampwick_platform/_tree_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_tree_store.py
@@ -18,7 +18,7 @@
     apply_change,
     touched_paths,
 )
-from rampwick_schema import Change, DataError, NodeEdit, Shown, Tree, era_of
+from rampwick_schema import Change, DataError, NodeEdit, ReprMixin, Tree, era_of
 
 from ._api import (
     ABSENT,
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(repr=False)
-class StoredTree(Shown):
+class StoredTree(ReprMixin):
     """The newest tree and the version of the store at which it was read."""
 
     tree: Tree
--- a/packages/rampwick-policy/src/rampwick_policy/_access.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_access.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import Route, Shown
+from rampwick_schema import ReprMixin, Route
 
 from ._tree import TreeView, Workspace
 
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen(repr=False)
-class AccessRules(Shown):
+class AccessRules(ReprMixin):
     """How old a configuration may be; ages count from its last confirmation."""
 
     #: Age up to which keys are honoured; none sets no bound.
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen(repr=False)
-class Access(Shown):
+class Access(ReprMixin):
     """The verdict on a request, with what it may use."""
 
     verdict: Verdict
--- a/packages/rampwick-policy/src/rampwick_policy/_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_admission.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._membership import Membership
 from ._queue import WaitingQueue
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen(repr=False)
-class Rival(Shown):
+class Rival(ReprMixin):
     """A workspace that waits on other hosts."""
 
     standing: Standing
--- a/packages/rampwick-policy/src/rampwick_policy/_blame.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_blame.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Ends after which a request is kept apart from others that are suspected. Two in a row
 #: by chance are rare, and the third is to show which of them it is.
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen(repr=False)
-class LifeName(Shown):
+class LifeName(ReprMixin):
     """One life of an upstream."""
 
     upstream: str
@@ -61,7 +61,7 @@
 
 
 @attrs.define(repr=False)
-class Suspect(Shown):
+class Suspect(ReprMixin):
     """A request that upstreams have ended under."""
 
     fingerprint: bytes
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 from ._events import CacheChanges, CacheSeen
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(repr=False)
-class SaltMeaning(Shown):
+class SaltMeaning(ReprMixin):
     """What was cached under a salt."""
 
     scope: Scope
@@ -58,7 +58,7 @@
 
 
 @attrs.define(repr=False)
-class _Gathered(Shown):
+class _Gathered(ReprMixin):
     """What waits to be told of one cache."""
 
     is_reset: bool = False
@@ -67,7 +67,7 @@
 
 
 @attrs.define(repr=False)
-class CacheBox(Shown):
+class CacheBox(ReprMixin):
     """Cache events gathered for a while; of each entry only the newest is told."""
 
     _by_upstream: dict[str, _Gathered] = attrs.field(factory=dict)
--- a/packages/rampwick-policy/src/rampwick_policy/_claims.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_claims.py
@@ -10,14 +10,14 @@
 
 import attrs
 
-from rampwick_schema import Claim, ClaimShard, Shown
+from rampwick_schema import Claim, ClaimShard, ReprMixin
 
 #: How far the hosts' clocks may differ; a claim stays this much past its expiry.
 CLOCK_MARGIN_SECONDS = 60.0
 
 
 @attrs.frozen(repr=False)
-class ClaimDecision(Shown):
+class ClaimDecision(ReprMixin):
     """What to write to the shard, and how each wanted claim fares if it succeeds."""
 
     shard: ClaimShard
--- a/packages/rampwick-policy/src/rampwick_policy/_configuration.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_configuration.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import Change, Shown, Tree
+from rampwick_schema import Change, ReprMixin, Tree
 
 from ._errors import TreeError
 from ._tree import TreeView, apply_change, empty_tree
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(repr=False)
-class TreeVersion(Shown):
+class TreeVersion(ReprMixin):
     """Place of a tree in the order of all trees."""
 
     revision: int
@@ -52,7 +52,7 @@
 
 
 @attrs.define(repr=False)
-class ConfigurationFollower(Shown):
+class ConfigurationFollower(ReprMixin):
     """The tree in force at this host and the changes that led to it."""
 
     view: TreeView = attrs.field(factory=lambda: TreeView(empty_tree()))
--- a/packages/rampwick-policy/src/rampwick_policy/_departures.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_departures.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import LeavingUpdate, LeavingUpstream, Shown
+from rampwick_schema import LeavingUpdate, LeavingUpstream, ReprMixin
 
 #: Time for which the announcement of an upstream that is no longer listed is kept: an
 #: entry that lapsed with the store may come back for the same incarnation.
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(repr=False)
-class Incarnation(Shown):
+class Incarnation(ReprMixin):
     """One run of an upstream, from its start to its end."""
 
     upstream: str
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import PlacementSettings, Shown
+from rampwick_schema import PlacementSettings, ReprMixin
 
 from . import _events as ev
 from ._admission import Admission
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen(repr=False)
-class Hopeless(Shown):
+class Hopeless(ReprMixin):
     """A request, out of its line already, that can't begin before its deadline."""
 
     item: QueuedRequest
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -9,7 +9,7 @@
     LoadReport,
     NamedWeights,
     RateLimitUpdate,
-    Shown,
+    ReprMixin,
     Summary,
     WeightsTarget,
 )
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(repr=False)
-class RequestArrived(Shown):
+class RequestArrived(ReprMixin):
     """A caller's checked request enters the queue."""
 
     request_id: str
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptAccepted(Shown):
+class AttemptAccepted(ReprMixin):
     """The upstream began to answer, from the life it names."""
 
     request_id: str
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptDelivered(Shown):
+class AttemptDelivered(ReprMixin):
     """The first piece of the answer is about to go to the caller."""
 
     request_id: str
@@ -76,7 +76,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptFailed(Shown):
+class AttemptFailed(ReprMixin):
     """An attempt ended without its whole answer."""
 
     request_id: str
@@ -92,7 +92,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptSilent(Shown):
+class AttemptSilent(ReprMixin):
     """An upstream has not begun to answer an attempt for a while."""
 
     request_id: str
@@ -100,7 +100,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptDone(Shown):
+class AttemptDone(ReprMixin):
     """An attempt brought its whole answer."""
 
     request_id: str
@@ -113,14 +113,14 @@
 
 
 @attrs.frozen(repr=False)
-class RequestCancelled(Shown):
+class RequestCancelled(ReprMixin):
     """The caller went away."""
 
     request_id: str
 
 
 @attrs.frozen(repr=False)
-class LoadReported(Shown):
+class LoadReported(ReprMixin):
     """An upstream answered a probe; plain services send no report."""
 
     upstream: str
@@ -128,7 +128,7 @@
 
 
 @attrs.frozen(repr=False)
-class ProbeFailed(Shown):
+class ProbeFailed(ReprMixin):
     """An upstream did not answer a probe."""
 
     upstream: str
@@ -136,14 +136,14 @@
 
 
 @attrs.frozen(repr=False)
-class HostListRead(Shown):
+class HostListRead(ReprMixin):
     """The platform's list was read."""
 
     host_list: HostList
 
 
 @attrs.frozen(repr=False)
-class PeerSummaryReceived(Shown):
+class PeerSummaryReceived(ReprMixin):
     """A peer sent a summary."""
 
     name: str
@@ -155,14 +155,14 @@
 
 
 @attrs.frozen(repr=False)
-class PeerGone(Shown):
+class PeerGone(ReprMixin):
     """What a peer said counts no more: another tells it, or it has left."""
 
     name: str
 
 
 @attrs.frozen(repr=False)
-class WeightsSeen(Shown):
+class WeightsSeen(ReprMixin):
     """An upstream showed which weights it has: by an answer, or through a peer.
 
     Only the upstream's own word may lower what is known.
@@ -175,7 +175,7 @@
 
 
 @attrs.frozen(repr=False)
-class LoadOrdered(Shown):
+class LoadOrdered(ReprMixin):
     """A runner was told to load weights; until then it serves nothing."""
 
     upstream: str
@@ -186,7 +186,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheSeen(Shown):
+class CacheSeen(ReprMixin):
     """An engine's or a store's own word on its cache, read here or by a peer."""
 
     upstream: str
@@ -196,7 +196,7 @@
 
 
 @attrs.frozen(repr=False)
-class TargetsRead(Shown):
+class TargetsRead(ReprMixin):
     """The weights that the runners shall have."""
 
     targets: tuple[WeightsTarget, ...]
@@ -211,7 +211,7 @@
 
 
 @attrs.frozen(repr=False)
-class RateNamed(Shown):
+class RateNamed(ReprMixin):
     """An answer named the requests that its upstream takes, or named none any more."""
 
     upstream: str
@@ -224,14 +224,14 @@
 
 
 @attrs.frozen(repr=False)
-class RateLimitUpdateReceived(Shown):
+class RateLimitUpdateReceived(ReprMixin):
     """A peer tells which rates upstreams name."""
 
     update: RateLimitUpdate
 
 
 @attrs.frozen(repr=False)
-class UpstreamSignalled(Shown):
+class UpstreamSignalled(ReprMixin):
     """An upstream announced its shutdown, or asked this host for a pause."""
 
     upstream: str
@@ -244,14 +244,14 @@
 
 
 @attrs.frozen(repr=False)
-class LeavingUpdateReceived(Shown):
+class LeavingUpdateReceived(ReprMixin):
     """A peer knows of upstreams that announced their shutdown."""
 
     update: LeavingUpdate
 
 
 @attrs.frozen(repr=False)
-class NeighboursSeen(Shown):
+class NeighboursSeen(ReprMixin):
     """The host hears other hosts than before, or begins to leave."""
 
     neighbours: Neighbours
@@ -259,21 +259,21 @@
 
 
 @attrs.frozen(repr=False)
-class CrashUpdateReceived(Shown):
+class CrashUpdateReceived(ReprMixin):
     """A peer tells of upstreams that end under requests."""
 
     update: CrashUpdate
 
 
 @attrs.frozen(repr=False)
-class TreeInForce(Shown):
+class TreeInForce(ReprMixin):
     """Another revision of the tree is in force here."""
 
     view: TreeView
 
 
 @attrs.frozen(repr=False)
-class Tick(Shown):
+class Tick(ReprMixin):
     """Time has passed."""
 
 
@@ -306,7 +306,7 @@
 
 
 @attrs.frozen(repr=False)
-class Dispatch(Shown):
+class Dispatch(ReprMixin):
     """Send the request to an upstream as this attempt."""
 
     request_id: str
@@ -324,7 +324,7 @@
 
 
 @attrs.frozen(repr=False)
-class Refuse(Shown):
+class Refuse(ReprMixin):
     """Give the caller its final answer: an error, at once."""
 
     request_id: str
@@ -337,7 +337,7 @@
 
 
 @attrs.frozen(repr=False)
-class CancelAttempt(Shown):
+class CancelAttempt(ReprMixin):
     """Stop an attempt at its upstream; nobody waits for it any more."""
 
     request_id: str
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from rampwick_schema import LimitUsage, Shown
+from rampwick_schema import LimitUsage, ReprMixin
 
 from ._limit_reports import LEAVING_SECONDS, PeerReports
 from ._sent_window import SentWindow
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen(repr=False)
-class FleetTerms(Shown):
+class FleetTerms(ReprMixin):
     """What holds for all limits at a moment."""
 
     window_seconds: float
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen(repr=False)
-class OverLimit(Shown):
+class OverLimit(ReprMixin):
     """A request that its workspace's limit has no room for."""
 
     path: str
@@ -88,7 +88,7 @@
 
 
 @attrs.define(repr=False)
-class _Forgiven(Shown):
+class _Forgiven(ReprMixin):
     """What was sent under a higher limit; less and less of it is in the window.
 
     Forgiven whole until it has left, what leaves would be let go again at the old rate,
@@ -114,7 +114,7 @@
 
 
 @attrs.frozen(repr=False)
-class _Outlook(Shown):
+class _Outlook(ReprMixin):
     """How a limit stands at a moment, over all hosts; tokens within the window."""
 
     used: float
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._events import RequestArrived
 from ._queue import QueuedRequest, WaitingQueue
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen(repr=False)
-class Forecast(Shown):
+class Forecast(ReprMixin):
     """What this host may send to upstreams none of which is open and unlimited."""
 
     #: When the first request may go; infinite if none may.
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen(repr=False)
-class Postponement(Shown):
+class Postponement(ReprMixin):
     """A request can't be sent in time; its caller is to come back."""
 
     reason: str
--- a/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._departures import Incarnation
 from ._upstream import Upstream
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(repr=False)
-class FormerEntry(Shown):
+class FormerEntry(ReprMixin):
     """An upstream as it was when its entry went."""
 
     incarnation: Incarnation
--- a/packages/rampwick-policy/src/rampwick_policy/_hall_digest.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_hall_digest.py
@@ -8,7 +8,7 @@
 from rampwick_schema import (
     LimitUsage,
     PlacedPrefix,
-    Shown,
+    ReprMixin,
     Summary,
     UpstreamUsage,
     WaitingCount,
@@ -23,7 +23,7 @@
 
 
 @attrs.define(repr=False)
-class SummaryDigest(Shown):
+class SummaryDigest(ReprMixin):
     """Collects what is told only once, and adds up what stands."""
 
     _placed: list[PlacedPrefix] = attrs.field(factory=list)
--- a/packages/rampwick-policy/src/rampwick_policy/_health.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_health.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Shortest and longest time without new work after a failure.
 MIN_PAUSE_SECONDS = 0.25
@@ -28,7 +28,7 @@
 
 
 @attrs.define(repr=False)
-class Health(Shown):
+class Health(ReprMixin):
     """State machine of one upstream's health; times are in seconds."""
 
     ramp_start_ratio: float
--- a/packages/rampwick-policy/src/rampwick_policy/_imports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_imports.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rampwick_schema import KeptStore, PlacedPrefix, Service, Shown
+from rampwick_schema import KeptStore, PlacedPrefix, ReprMixin, Service
 
 from . import _rendezvous
 from ._kept import KeptKnowledge, kept_version
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen(repr=False)
-class ImportSource(Shown):
+class ImportSource(ReprMixin):
     """A cache that holds a part of a prompt."""
 
     name: str
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen(repr=False)
-class Holder(Shown):
+class Holder(ReprMixin):
     """A runner that may be asked for its cache."""
 
     name: str
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rampwick_schema import Settings, Shown
+from rampwick_schema import ReprMixin, Settings
 
 from . import _events as ev
 from ._admission import Admission
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(repr=False)
-class Rejection(Shown):
+class Rejection(ReprMixin):
     """Why a request gets no place in line."""
 
     reason: str
--- a/packages/rampwick-policy/src/rampwick_policy/_kept.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_kept.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._knowledge import CacheChanges, Life, life_label
 from ._prefix import PrefixChain, held_tokens
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen(repr=False)
-class KeptEntry(Shown):
+class KeptEntry(ReprMixin):
     """One prefix that a store is believed to hold."""
 
     tokens: int
--- a/packages/rampwick-policy/src/rampwick_policy/_knowledge.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_knowledge.py
@@ -10,13 +10,13 @@
 
 import attrs
 
-from rampwick_schema import PlacedPrefix, Shown
+from rampwick_schema import PlacedPrefix, ReprMixin
 
 from ._prefix import Checkpoint, PrefixChain, held_tokens
 
 
 @attrs.frozen(repr=False)
-class Life(Shown):
+class Life(ReprMixin):
     """One life of a runner's cache; another life shares no entry with it."""
 
     incarnation: str
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheChanges(Shown):
+class CacheChanges(ReprMixin):
     """Entries of one life of a cache and how many tokens of each it keeps now."""
 
     #: Life as peers name it.
@@ -40,7 +40,7 @@
 
 
 @attrs.define(repr=False)
-class RunnerCache(Shown):
+class RunnerCache(ReprMixin):
     """Estimate of one runner's cache in its present life."""
 
     life: Life
--- a/packages/rampwick-policy/src/rampwick_policy/_lapses.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lapses.py
@@ -13,7 +13,7 @@
 from rampwick_schema import (
     HostEntry,
     HostList,
-    Shown,
+    ReprMixin,
     era_of,
     join_version,
     revision_of,
@@ -24,7 +24,7 @@
 
 
 @attrs.define(repr=False)
-class LapseGuard(Shown):
+class LapseGuard(ReprMixin):
     """Remembers the entries that may only have lapsed; times are steady seconds."""
 
     _entries: dict[str, HostEntry] = attrs.field(factory=dict)
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -14,14 +14,14 @@
 
 import attrs
 
-from rampwick_schema import LeaseRecord, Shown, era_of
+from rampwick_schema import LeaseRecord, ReprMixin, era_of
 
 #: Version of a lease that is not there.
 ABSENT = 0
 
 
 @attrs.define(repr=False)
-class LeaseWatcher(Shown):
+class LeaseWatcher(ReprMixin):
     """One host's knowledge of the lease; times are its own monotonic seconds."""
 
     host: str
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_book.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_book.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rampwick_schema import LimitUsage, QuotaSettings, Shown, Summary
+from rampwick_schema import LimitUsage, QuotaSettings, ReprMixin, Summary
 
 from . import _events as ev
 from ._fleet_limit import FleetLimit, FleetTerms, OverLimit, allowed_tokens
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen(repr=False)
-class Counted(Shown):
+class Counted(ReprMixin):
     """What a request counts towards one limit, and from when."""
 
     path: str
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(repr=False)
-class LimitState(Shown):
+class LimitState(ReprMixin):
     """One limit as operators are shown it."""
 
     path: str
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rampwick_schema import LimitUsage, Shown
+from rampwick_schema import LimitUsage, ReprMixin
 
 #: Time ahead for which hosts report what will have left their windows.
 LEAVING_SECONDS = 1.0
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen(repr=False)
-class _Report(Shown):
+class _Report(ReprMixin):
     """A peer's last report, with the time at which it held."""
 
     usage: LimitUsage
--- a/packages/rampwick-policy/src/rampwick_policy/_membership.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_membership.py
@@ -9,11 +9,11 @@
 
 import attrs
 
-from rampwick_schema import Shown, Summary
+from rampwick_schema import ReprMixin, Summary
 
 
 @attrs.frozen(repr=False)
-class PeerView(Shown):
+class PeerView(ReprMixin):
     """The newest word of one peer."""
 
     name: str
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen(repr=False)
-class PeerLoad(Shown):
+class PeerLoad(ReprMixin):
     """What peers have under way at one upstream."""
 
     running_count: int = 0
--- a/packages/rampwick-policy/src/rampwick_policy/_moves.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_moves.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rampwick_schema import Shown, UpstreamUsage
+from rampwick_schema import ReprMixin, UpstreamUsage
 
 from ._membership import Membership
 
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(repr=False)
-class Move(Shown):
+class Move(ReprMixin):
     """One import that was asked for."""
 
     source: str
--- a/packages/rampwick-policy/src/rampwick_policy/_notices.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_notices.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 
 @attrs.frozen(repr=False)
-class Notice(Shown):
+class Notice(ReprMixin):
     """One belief that is another now."""
 
     #: What it is about: an upstream, a peer, a target or a limit.
@@ -19,7 +19,7 @@
 
 
 @attrs.define(repr=False)
-class NoticeBook(Shown):
+class NoticeBook(ReprMixin):
     """Beliefs as they were last noted; changes wait here until they are taken."""
 
     _known: dict[tuple[str, str], str] = attrs.field(factory=dict)
--- a/packages/rampwick-policy/src/rampwick_policy/_orders.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_orders.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import Order, Shown, WeightsTarget
+from rampwick_schema import Order, ReprMixin, WeightsTarget
 
 #: Loads under way at once in one region.
 MAX_LOADS = 2
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(repr=False)
-class RunnerState(Shown):
+class RunnerState(ReprMixin):
     """What the steward knows of one runner, from its own report."""
 
     name: str
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(repr=False)
-class PlannedOrder(Shown):
+class PlannedOrder(ReprMixin):
     """An order and whom it is for."""
 
     runner: str
--- a/packages/rampwick-policy/src/rampwick_policy/_placement.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 from ._imports import ImportSource
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(repr=False)
-class RunnerView(Shown):
+class RunnerView(ReprMixin):
     """What a choice may look at; running work counts peers' too."""
 
     name: str
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen(repr=False)
-class Choice(Shown):
+class Choice(ReprMixin):
     """A runner and why it was chosen."""
 
     upstream: str
--- a/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import PlacedPrefix, Shown
+from rampwick_schema import PlacedPrefix, ReprMixin
 
 from ._knowledge import Life, life_label
 from ._prefix import Checkpoint, PrefixChain
@@ -26,7 +26,7 @@
 
 
 @attrs.define(repr=False)
-class PlacementUpdates(Shown):
+class PlacementUpdates(ReprMixin):
     """Placements of this host that have not been sent to peers yet."""
 
     _seen: OrderedDict[bytes, None] = attrs.field(factory=OrderedDict)
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Bytes of one prefix hash.
 HASH_BYTES = 8
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(repr=False)
-class Scope(Shown):
+class Scope(ReprMixin):
     """What a cached entry belongs to besides its text."""
 
     workspace: str
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen(repr=False)
-class Checkpoint(Shown):
+class Checkpoint(ReprMixin):
     """One remembered depth of a prompt."""
 
     prefix: bytes
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen(repr=False)
-class PrefixChain(Shown):
+class PrefixChain(ReprMixin):
     """The checkpoints of one prompt, shallowest first, and its whole length."""
 
     checkpoints: tuple[Checkpoint, ...]
@@ -97,7 +97,7 @@
 
 
 @attrs.frozen(repr=False)
-class PromptPart(Shown):
+class PromptPart(ReprMixin):
     """One named part of a prompt; equal names mean equal text."""
 
     name: bytes
--- a/packages/rampwick-policy/src/rampwick_policy/_queue.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_queue.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._events import RANKED_CLASSES, RequestArrived
 from ._limit_book import Counted
@@ -12,7 +12,7 @@
 
 
 @attrs.define(repr=False)
-class QueuedRequest(Shown):
+class QueuedRequest(ReprMixin):
     """A request with its state; it keeps its place in line over retries."""
 
     arrival: RequestArrived
--- a/packages/rampwick-policy/src/rampwick_policy/_reading_speed.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_reading_speed.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Shortest part of a prompt, in tokens to be read, that tells anything of the speed.
 MIN_TOKENS = 1500
@@ -30,7 +30,7 @@
 
 
 @attrs.define(repr=False)
-class ReadingSpeed(Shown):
+class ReadingSpeed(ReprMixin):
     """Estimate for one model, from a start value on."""
 
     tokens_per_second: float
--- a/packages/rampwick-policy/src/rampwick_policy/_relaying.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relaying.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rampwick_schema import Beat, FleetSummary, Shown, Summary
+from rampwick_schema import Beat, FleetSummary, ReprMixin, Summary
 
 from ._hall_digest import without
 from ._roles import Member, Neighbours
@@ -22,13 +22,13 @@
 
 
 @attrs.frozen(repr=False)
-class _OwnReport(Shown):
+class _OwnReport(ReprMixin):
     told_at_seconds: float
     summary: Summary
 
 
 @attrs.frozen(repr=False)
-class FleetReport(Shown):
+class FleetReport(ReprMixin):
     """What a relay told of the fleet, as this host takes it."""
 
     #: What the others say, this host left out.
--- a/packages/rampwick-policy/src/rampwick_policy/_request.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._errors import LifecycleError
 
@@ -69,7 +69,7 @@
 
 
 @attrs.define(repr=False)
-class RequestLifecycle(Shown):
+class RequestLifecycle(ReprMixin):
     """State machine of one request over all its attempts.
 
     Events of an attempt other than the current one return false and change
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import RateLimitUpdate, Shown, UpstreamRate
+from rampwick_schema import RateLimitUpdate, ReprMixin, UpstreamRate
 
 from ._notices import NoticeBook
 
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(repr=False)
-class RateObservation(Shown):
+class RateObservation(ReprMixin):
     """What one answer said of its upstream's rate."""
 
     #: Life that answered; empty where lives are not told apart.
--- a/packages/rampwick-policy/src/rampwick_policy/_request_turns.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_turns.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 from ._request_rates import RequestRates
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen(repr=False)
-class Standpoint(Shown):
+class Standpoint(ReprMixin):
     """Where a host stands and whom it hears, as far as senders are chosen by it."""
 
     host: str
@@ -90,7 +90,7 @@
 
 
 @attrs.define(repr=False)
-class _Turns(Shown):
+class _Turns(ReprMixin):
     """What one host may send one upstream; a new sender has nothing saved."""
 
     at_seconds: float
@@ -120,7 +120,7 @@
 
 
 @attrs.frozen(repr=False)
-class TurnState(Shown):
+class TurnState(ReprMixin):
     """The rate of one upstream as operators are shown it."""
 
     upstream: str
--- a/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rampwick_schema import Shown, Tree, era_of
+from rampwick_schema import ReprMixin, Tree, era_of
 
 #: Time for which the tree of a copy is not taken over a higher revision.
 COPY_HOLD_SECONDS = 20.0
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen(repr=False)
-class ReadTree(Shown):
+class ReadTree(ReprMixin):
     """A tree as a store shows it."""
 
     tree: Tree
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen(repr=False)
-class TreeOffer(Shown):
+class TreeOffer(ReprMixin):
     """A tree with the era in which it was written, and when it may be taken."""
 
     tree: Tree
@@ -36,7 +36,7 @@
 
 
 @attrs.define(repr=False)
-class RestoredTrees(Shown):
+class RestoredTrees(ReprMixin):
     """Places the trees that a store shows in the order of all trees."""
 
     _era: int = 0
--- a/packages/rampwick-policy/src/rampwick_policy/_retry.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_retry.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rampwick_schema import RetrySettings, Shown
+from rampwick_schema import ReprMixin, RetrySettings
 
 from ._request import Outcome
 
@@ -16,7 +16,7 @@
 
 
 @attrs.define(repr=False)
-class RetryBudget(Shown):
+class RetryBudget(ReprMixin):
     """Each fresh request earns a part of a retry; each retry spends a whole one.
 
     In any span of time no more retries go out than were saved up, plus the earned
--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(repr=False)
-class Member(Shown):
+class Member(ReprMixin):
     """A host of the fleet, as it says of itself."""
 
     name: str
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen(repr=False)
-class Neighbours(Shown):
+class Neighbours(ReprMixin):
     """Whom a host hears: its own hall's hosts by name, and the halls."""
 
     #: Hosts of its own hall.
--- a/packages/rampwick-policy/src/rampwick_policy/_rollout.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_rollout.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rampwick_schema import LoadReport, Shown, WeightsTarget
+from rampwick_schema import LoadReport, ReprMixin, WeightsTarget
 
 from ._orders import PlannedOrder, RunnerState, plan_orders
 from ._upstreams import SERVING_ROLE
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen(repr=False)
-class AskReport(Shown):
+class AskReport(ReprMixin):
     """A runner is to be asked for its report."""
 
     runner: str
@@ -69,7 +69,7 @@
 
 
 @attrs.define(repr=False)
-class RunnerRecord(Shown):
+class RunnerRecord(ReprMixin):
     """What the steward knows of its dealings with one runner."""
 
     report: LoadReport | None = None
--- a/packages/rampwick-policy/src/rampwick_policy/_sent_window.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_sent_window.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Steps of a window. What was sent counts until its whole step has left the window, so
 #: that a sum is too large by one step at the most and never too small.
@@ -13,7 +13,7 @@
 
 
 @attrs.define(repr=False)
-class _Step(Shown):
+class _Step(ReprMixin):
     index: int
     tokens: float
 
--- a/packages/rampwick-policy/src/rampwick_policy/_shares.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shares.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from rampwick_schema import Shown, WorkspaceUsage
+from rampwick_schema import ReprMixin, WorkspaceUsage
 
 from ._tree import Workspace, lineage
 
@@ -26,7 +26,7 @@
 
 
 @attrs.define(repr=False)
-class DecayedUse(Shown):
+class DecayedUse(ReprMixin):
     """Priced tokens by tree path, forgotten with a time constant."""
 
     decay_seconds: float
--- a/packages/rampwick-policy/src/rampwick_policy/_suspects.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_suspects.py
@@ -15,7 +15,7 @@
     CrashUpdate,
     EndedUpstream,
     LiveUpstream,
-    Shown,
+    ReprMixin,
     StoppedRequest,
 )
 
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(repr=False)
-class _End(Shown):
+class _End(ReprMixin):
     """One life that ended with a request aboard."""
 
     life: LifeName
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen(repr=False)
-class _Live(Shown):
+class _Live(ReprMixin):
     """One life that answered after all."""
 
     life: LifeName
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen(repr=False)
-class _Cleared(Shown):
+class _Cleared(ReprMixin):
     """One request that nothing is held against any more."""
 
     fingerprint: bytes
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(repr=False)
-class _Stopped(Shown):
+class _Stopped(ReprMixin):
     """One request that was stopped."""
 
     fingerprint: bytes
--- a/packages/rampwick-policy/src/rampwick_policy/_targets.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_targets.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rampwick_schema import NamedWeights, Shown, WeightsTarget
+from rampwick_schema import NamedWeights, ReprMixin, WeightsTarget
 
 #: Versions of one model whose time of naming is remembered, and how many of the newest
 #: are told to peers: more are seldom named within the time that any may be used.
@@ -19,7 +19,7 @@
 
 
 @attrs.define(repr=False)
-class TargetWeights(Shown):
+class TargetWeights(ReprMixin):
     """Target versions by model, with the time at which each was named.
 
     A host has seen a naming if it was reading all the time. Else its time is guessed:
--- a/packages/rampwick-policy/src/rampwick_policy/_tree.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_tree.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rampwick_schema import Change, Node, NodeEdit, Shown, Tree
+from rampwick_schema import Change, Node, NodeEdit, ReprMixin, Tree
 
 from ._errors import ConflictError, TreeError
 from ._routes import RouteIndex, routing_problems
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen(repr=False)
-class LimitedNode(Shown):
+class LimitedNode(ReprMixin):
     """A node on a workspace's path that sets a limit of its own."""
 
     path: str
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen(repr=False)
-class Workspace(Shown):
+class Workspace(ReprMixin):
     """A workspace with everything that it inherits resolved."""
 
     path: str
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import HostEntry, Shown
+from rampwick_schema import HostEntry, ReprMixin
 
 from ._health import Health
 from ._knowledge import Life, life_label
@@ -25,7 +25,7 @@
 
 
 @attrs.define(repr=False)
-class Upstream(Shown):
+class Upstream(ReprMixin):
     """One runner or service as this host sees it."""
 
     entry: HostEntry
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -8,7 +8,7 @@
 
 from rampwick_platform import ObjectApi, TreeStore, read_steady_clock
 from rampwick_policy import ConfigurationFollower, Member, SaltBook, Scheduler
-from rampwick_schema import Settings, Shown
+from rampwick_schema import ReprMixin, Settings
 
 from ._admin import AdminApp
 from ._integration import Integration
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen(repr=False)
-class Clocks(Shown):
+class Clocks(ReprMixin):
     """Where the daemon reads time, in seconds."""
 
     monotonic: Callable[[], float] = read_steady_clock
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rampwick_policy import OrderResult, PromptPart
-from rampwick_schema import HostEntry, LoadReport, Order, Shown
+from rampwick_schema import HostEntry, LoadReport, Order, ReprMixin
 
 from ._errors import CallerError
 from ._headers import AnswerHead, Header, find_all
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(repr=False)
-class RawCall(Shown):
+class RawCall(ReprMixin):
     """A caller's request line and headers as they came."""
 
     method: str
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen(repr=False)
-class RoutedCall(Shown):
+class RoutedCall(ReprMixin):
     """A caller's request on a route, read from its headers."""
 
     request_id: str
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptTerms(Shown):
+class AttemptTerms(ReprMixin):
     """What one attempt tells its upstream besides the caller's request."""
 
     #: Upstream and life that alone shall run it.
@@ -93,7 +93,7 @@
 
 
 @attrs.frozen(repr=False)
-class RequestRate(Shown):
+class RequestRate(ReprMixin):
     """What an answer says of the requests that its upstream takes from all hosts."""
 
     #: Requests a second; none if it names no rate.
@@ -109,7 +109,7 @@
 
 
 @attrs.frozen(repr=False)
-class UpstreamSignals(Shown):
+class UpstreamSignals(ReprMixin):
     """What an answer asks of whoever sends to its upstream."""
 
     #: Whether the upstream is shutting down and takes no new requests.
@@ -140,7 +140,7 @@
 
 
 @attrs.frozen(repr=False)
-class AnswerFacts(Shown):
+class AnswerFacts(ReprMixin):
     """What an upstream's answer says of the attempt and of the upstream."""
 
     #: Id of the request that it answers; empty if it names none.
@@ -174,7 +174,7 @@
 
 
 @attrs.frozen(repr=False)
-class ErrorAnswer(Shown):
+class ErrorAnswer(ReprMixin):
     """An error as a caller is told it."""
 
     status: int
@@ -206,7 +206,7 @@
 
 
 @attrs.frozen(repr=False)
-class ControlRequest(Shown):
+class ControlRequest(ReprMixin):
     """A call to an upstream that is not a caller's request."""
 
     #: What is being done, for errors and logs.
@@ -239,7 +239,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheEvent(Shown):
+class CacheEvent(ReprMixin):
     """One change of a cache."""
 
     salt: str
@@ -249,7 +249,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheEvents(Shown):
+class CacheEvents(ReprMixin):
     """What a cache told since the last question."""
 
     #: Changes when the cache starts anew, empty.
@@ -272,7 +272,7 @@
 
 
 @attrs.frozen(repr=False)
-class Dialects(Shown):
+class Dialects(ReprMixin):
     """The protocols towards callers and upstreams of routes."""
 
     caller: CallerDialect
--- a/packages/rampwick-router/src/rampwick_router/_errors.py
+++ b/packages/rampwick-router/src/rampwick_router/_errors.py
@@ -3,7 +3,7 @@
 import attrs
 
 from rampwick_policy import Outcome, RunState, Verdict
-from rampwick_schema import RampwickError, Shown
+from rampwick_schema import RampwickError, ReprMixin
 
 
 class CallerError(RampwickError):
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen(repr=False)
-class ErrorKind(Shown):
+class ErrorKind(ReprMixin):
     """Status and code by which a refusal is told."""
 
     status: int
--- a/packages/rampwick-router/src/rampwick_router/_fallback.py
+++ b/packages/rampwick-router/src/rampwick_router/_fallback.py
@@ -14,8 +14,8 @@
     HostEntry,
     HostList,
     Node,
+    ReprMixin,
     SettingsError,
-    Shown,
     Tree,
     structure,
 )
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(repr=False)
-class FallbackFile(Shown):
+class FallbackFile(ReprMixin):
     """The file as written."""
 
     nodes: dict[str, Node]
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen(repr=False)
-class Fallback(Shown):
+class Fallback(ReprMixin):
     """What is in force until something newer is heard."""
 
     tree: Tree
--- a/packages/rampwick-router/src/rampwick_router/_headers.py
+++ b/packages/rampwick-router/src/rampwick_router/_headers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 Header = tuple[bytes, bytes]
 RawHeaders = Sequence[Header]
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen(repr=False)
-class AnswerHead(Shown):
+class AnswerHead(ReprMixin):
     """Status line and headers of an upstream's answer."""
 
     status: int
--- a/packages/rampwick-router/src/rampwick_router/_integration.py
+++ b/packages/rampwick-router/src/rampwick_router/_integration.py
@@ -5,7 +5,7 @@
 import attrs
 
 from rampwick_platform import StoreDialect
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._dialects import Dialects
 from .control import ConfigurationReader, TargetReader, UpstreamReader
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(repr=False)
-class Integration(Shown):
+class Integration(ReprMixin):
     """Translations between a platform's protocols and rampwick's own terms."""
 
     store: StoreDialect
--- a/packages/rampwick-router/src/rampwick_router/_logs.py
+++ b/packages/rampwick-router/src/rampwick_router/_logs.py
@@ -11,7 +11,7 @@
 import attrs
 import eliot
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Lines of one sentence that go out in a second, and that may be saved up. A host
 #: serves some tens of requests a second, so that each leaves its lines; a storm of
@@ -21,7 +21,7 @@
 
 
 @attrs.define(repr=False)
-class LineBudget(Shown):
+class LineBudget(ReprMixin):
     """Token bucket of one sentence's lines."""
 
     saved: float = SAVED_LINES
--- a/packages/rampwick-router/src/rampwick_router/_profile.py
+++ b/packages/rampwick-router/src/rampwick_router/_profile.py
@@ -11,7 +11,7 @@
 import anyio
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Longest profile; what runs for longer would slow a loaded host down unnoticed.
 MAX_PROFILE_SECONDS = 60.0
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(repr=False)
-class CostRow(Shown):
+class CostRow(ReprMixin):
     """What one function or module cost while the profile was taken."""
 
     name: str
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(repr=False)
-class ProfileReport(Shown):
+class ProfileReport(ReprMixin):
     """Where a host's processor time went."""
 
     elapsed_seconds: float
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -30,7 +30,7 @@
     Suspects,
     Tick,
 )
-from rampwick_schema import NamedWeights, Shown, WeightsTarget
+from rampwick_schema import NamedWeights, ReprMixin, WeightsTarget
 
 from ._logs import PartLogger
 
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen(repr=False)
-class Decision(Shown):
+class Decision(ReprMixin):
     """One action with the time at which it was decided."""
 
     at_seconds: float
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen(repr=False)
-class Mailbox(Shown):
+class Mailbox(ReprMixin):
     """Where the decisions about an open request go."""
 
     decisions: MemoryObjectSendStream[Dispatch | Refuse]
--- a/packages/rampwick-router/src/rampwick_router/_servers.py
+++ b/packages/rampwick-router/src/rampwick_router/_servers.py
@@ -11,7 +11,7 @@
 from hypercorn.asyncio import serve
 from hypercorn.config import Config
 
-from rampwick_schema import ListenSettings, Shown
+from rampwick_schema import ListenSettings, ReprMixin
 from rampwick_start import bind
 
 #: Time that the HTTP library is given to close idle connections.
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(repr=False)
-class Addresses(Shown):
+class Addresses(ReprMixin):
     """Where a running daemon listens, as ip:port."""
 
     entry: str
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(repr=False)
-class Listeners(Shown):
+class Listeners(ReprMixin):
     """Bound sockets of one daemon."""
 
     entry: socket.socket
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -29,8 +29,8 @@
 from rampwick_schema import (
     DataError,
     HostEntry,
+    ReprMixin,
     Settings,
-    Shown,
     StewardSettings,
 )
 
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen(repr=False)
-class PendingLoad(Shown):
+class PendingLoad(ReprMixin):
     """A load that this host has ordered, as published to peers."""
 
     upstream: str
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen(repr=False)
-class ObservedWeights(Shown):
+class ObservedWeights(ReprMixin):
     """Weights that a runner reported after an order of this host."""
 
     upstream: str
--- a/packages/rampwick-router/src/rampwick_router/entry/_call.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_call.py
@@ -20,7 +20,7 @@
     Workspace,
     build_chain,
 )
-from rampwick_schema import PlacementSettings, Shown
+from rampwick_schema import PlacementSettings, ReprMixin
 
 from .._errors import CallerError
 
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen(repr=False)
-class CallTerms(Shown):
+class CallTerms(ReprMixin):
     """What holds for a request whatever it asks for."""
 
     workspace: Workspace
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen(repr=False)
-class ModelCall(Shown):
+class ModelCall(ReprMixin):
     """A checked request to a model."""
 
     terms: CallTerms
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -10,7 +10,7 @@
 
 from rampwick_platform import ClaimStore, ObjectApi, sleep_aligned
 from rampwick_policy import RunState, key_hash, shard_of
-from rampwick_schema import Claim, ClaimSettings, RampwickError, Shown
+from rampwick_schema import Claim, ClaimSettings, RampwickError, ReprMixin
 
 from .._errors import CallerError
 from .._logs import PartLogger
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(repr=False)
-class WonClaim(Shown):
+class WonClaim(ReprMixin):
     """A key that this arrival owns; only its holder may dispatch."""
 
     shard: int
@@ -48,14 +48,14 @@
 
 
 @attrs.frozen(repr=False)
-class _Wanted(Shown):
+class _Wanted(ReprMixin):
     shard: int
     claim: Claim
     answer: MemoryObjectSendStream[bool | RampwickError]
 
 
 @attrs.frozen(repr=False)
-class _Kept(Shown):
+class _Kept(ReprMixin):
     shard: int
     claim: Claim
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_parts.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_parts.py
@@ -13,7 +13,7 @@
     TreeView,
     decide_access,
 )
-from rampwick_schema import Settings, Shown
+from rampwick_schema import ReprMixin, Settings
 
 from .._dialects import Dialects, RoutedCall
 from .._life import Life
@@ -42,7 +42,7 @@
 
 
 @attrs.define(repr=False)
-class RequestIds(Shown):
+class RequestIds(ReprMixin):
     """Ids that no other host and no other life of this one gives out."""
 
     host: str
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(repr=False)
-class Parts(Shown):
+class Parts(ReprMixin):
     """The daemon's parts that a request passes through."""
 
     settings: Settings
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -8,7 +8,7 @@
 import orjson
 
 from rampwick_policy import AttemptAccepted, AttemptDelivered, Dispatch, Outcome
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._dialects import read_request_rate, read_signals
 from .._errors import AttemptError
@@ -31,7 +31,7 @@
 
 
 @attrs.define(repr=False)
-class Answer(Shown):
+class Answer(ReprMixin):
     """What has come of an answer so far."""
 
     usage: dict[str, Any] | None = None
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen(repr=False)
-class RelayTarget(Shown):
+class RelayTarget(ReprMixin):
     """The request that a relayed answer is for."""
 
     parts: Parts
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
@@ -9,13 +9,13 @@
     Workspace,
     chain_from_parts,
 )
-from rampwick_schema import Route, Service, Shown
+from rampwick_schema import ReprMixin, Route, Service
 
 from .._dialects import RoutedCall
 
 
 @attrs.frozen(repr=False)
-class RoutedRequest(Shown):
+class RoutedRequest(ReprMixin):
     """A checked request on a route."""
 
     call: RoutedCall
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -13,7 +13,7 @@
     RequestArrived,
     RequestIdentity,
 )
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._dialects import read_request_rate, read_signals
 from .._errors import AttemptError
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen(repr=False)
-class ServiceCall(Shown):
+class ServiceCall(ReprMixin):
     """A checked call to a plain service."""
 
     terms: CallTerms
--- a/packages/rampwick-router/src/rampwick_router/entry/_stream_tokens.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_stream_tokens.py
@@ -12,7 +12,7 @@
 import attrs
 import msgpack
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 SIGNATURE_BYTES = 12
 
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(repr=False)
-class StreamReference(Shown):
+class StreamReference(ReprMixin):
     """Where an answer's stream is."""
 
     workspace: str
--- a/packages/rampwick-router/src/rampwick_router/entry/_whole_events.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_whole_events.py
@@ -9,7 +9,7 @@
 import attrs
 
 from rampwick_policy import Outcome
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._errors import AttemptError
 
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(repr=False)
-class EventBatch(Shown):
+class EventBatch(ReprMixin):
     """Whole events that came together."""
 
     data: bytes
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -17,7 +17,7 @@
 
 from rampwick_platform import move_on_after_aligned, sleep_aligned
 from rampwick_policy import Member
-from rampwick_schema import Members, PeerSettings, Shown, encode_message
+from rampwick_schema import Members, PeerSettings, ReprMixin, encode_message
 
 from .._errors import PeerError
 from .._logs import PartLogger
@@ -57,7 +57,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Link(Shown):
+class Link(ReprMixin):
     """A link to an authenticated peer."""
 
     peer: Member
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -9,7 +9,7 @@
 import attrs
 
 from rampwick_policy import Member, MemberTable, Neighbours, RelayListener
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._scheduler_task import SchedulerTask
 
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(repr=False)
-class RolesView(Shown):
+class RolesView(ReprMixin):
     """The roles of a host, from its own view of the fleet."""
 
     #: Whether the fleet is large enough for relays to aggregate their halls.
--- a/packages/rampwick-router/src/rampwick_router/peers/_sync.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_sync.py
@@ -28,7 +28,7 @@
     HostListChanges,
     HostListReply,
     HostListRequest,
-    Shown,
+    ReprMixin,
     Summary,
     TreeReply,
 )
@@ -57,7 +57,7 @@
 
 
 @attrs.define(repr=False)
-class PeerSync(Shown):
+class PeerSync(ReprMixin):
     """Exchanges configuration and host lists with peers."""
 
     _follower: ConfigurationFollower
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -20,7 +20,7 @@
     life_label,
     part_key,
 )
-from rampwick_schema import DataError, Shown
+from rampwick_schema import DataError, ReprMixin
 
 from .._dialects import CacheDialect, CacheEvents
 from .._errors import AttemptError
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheSource(Shown):
+class CacheSource(ReprMixin):
     """A cache whose events are read."""
 
     name: str
@@ -84,7 +84,7 @@
 
 
 @attrs.define(repr=False)
-class EventBacklog(Shown):
+class EventBacklog(ReprMixin):
     """Combined effect of the events from before this host caught up, for peers.
 
     Engines retain thousands of events but hold only dozens of entries. Sent one by one,
@@ -114,7 +114,7 @@
 
 
 @attrs.define(repr=False)
-class ReadState(Shown):
+class ReadState(ReprMixin):
     """Progress of reading one cache."""
 
     epoch: int | None = None
--- a/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
@@ -16,7 +16,7 @@
 
 from rampwick_platform import sleep_aligned
 from rampwick_policy import Outcome
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._errors import AttemptError
 from .._headers import AnswerHead, RawHeaders
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Channel(Shown):
+class Channel(ReprMixin):
     """One connection to an upstream."""
 
     peer: str
@@ -181,7 +181,7 @@
 
 
 @attrs.define(repr=False)
-class _UpstreamChannels(Shown):
+class _UpstreamChannels(ReprMixin):
     """Connections to one incarnation of an upstream."""
 
     idle: list[Channel] = attrs.field(factory=list)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -17,7 +17,7 @@
     HostEntry,
     LoadReport,
     Order,
-    Shown,
+    ReprMixin,
     structure,
     unstructure,
 )
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen(repr=False)
-class StreamStart(Shown):
+class StreamStart(ReprMixin):
     """Response headers that identify an attempt, read before the first event."""
 
     attempt_id: str
@@ -199,7 +199,7 @@
 
 
 @attrs.frozen(repr=False)
-class UpstreamResponse(Shown):
+class UpstreamResponse(ReprMixin):
     """A response in progress."""
 
     head: AnswerHead
--- a/packages/rampwick-router/src/rampwick_router/upstream/_sse.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_sse.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._errors import AttemptError, Outcome
 
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(repr=False)
-class StreamEvent(Shown):
+class StreamEvent(ReprMixin):
     """One event; an event without an id has no position."""
 
     position: int | None
--- a/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
@@ -11,14 +11,14 @@
 import anyio
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Time between two checks: small compared to the timeouts in use.
 CHECK_INTERVAL_SECONDS = 0.2
 
 
 @attrs.define(eq=False, repr=False)
-class ReadMonitor(Shown):
+class ReadMonitor(ReprMixin):
     """State of reading one response; the reader records when it waits for data."""
 
     timeout_seconds: float
--- a/packages/rampwick-schema/src/rampwick_schema/__init__.py
+++ b/packages/rampwick-schema/src/rampwick_schema/__init__.py
@@ -87,8 +87,8 @@
     Tree as Tree,
 )
 from ._generated_upstream import LoadReport as LoadReport, Order as Order
+from ._repr_mixin import ReprMixin as ReprMixin
 from ._settings import parse_settings as parse_settings, read_settings as read_settings
-from ._shown import Shown as Shown
 from ._store_versions import (
     MAX_ERA as MAX_ERA,
     MAX_REVISION as MAX_REVISION,
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_peer.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_peer.py
@@ -11,12 +11,12 @@
 
 from ._generated_platform import HostEntry, HostList, WeightsTarget
 from ._generated_tree import Change, Tree
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 from ._validators import within
 
 
 @attrs.frozen(repr=False)
-class Hello(Shown):
+class Hello(ReprMixin):
     """First message in each direction; the receiver proves the nonce in its Proof."""
 
     CODE: ClassVar[int] = 1
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(repr=False)
-class Proof(Shown):
+class Proof(ReprMixin):
     """HMAC-SHA256 of the receiver's nonce and the sender's name, keyed with the shared secret."""
 
     CODE: ClassVar[int] = 2
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen(repr=False)
-class WorkspaceUsage(Shown):
+class WorkspaceUsage(ReprMixin):
     """Usage of one workspace at one host."""
 
     #: Path of the workspace.
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen(repr=False)
-class UpstreamUsage(Shown):
+class UpstreamUsage(ReprMixin):
     """Usage of one upstream by one host."""
 
     #: Name of the upstream.
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen(repr=False)
-class PlacedPrefix(Shown):
+class PlacedPrefix(ReprMixin):
     """A prefix that, according to the sender, a runner has cached."""
 
     #: Name of the runner.
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen(repr=False)
-class RunnerLoad(Shown):
+class RunnerLoad(ReprMixin):
     """A load of weights that the sender has ordered and that is in progress."""
 
     #: Name of the runner.
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen(repr=False)
-class RunnerWeights(Shown):
+class RunnerWeights(ReprMixin):
     """Weights that the sender observed at a runner."""
 
     #: Name of the runner.
@@ -114,7 +114,7 @@
 
 
 @attrs.frozen(repr=False)
-class WaitingCount(Shown):
+class WaitingCount(ReprMixin):
     """Queued requests of one workspace for one service."""
 
     #: Path of the workspace.
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen(repr=False)
-class LimitUsage(Shown):
+class LimitUsage(ReprMixin):
     """Usage of one token limit by one or more hosts."""
 
     #: Path of the tree node that has the limit.
@@ -140,7 +140,7 @@
 
 
 @attrs.frozen(repr=False)
-class Summary(Shown):
+class Summary(ReprMixin):
     """Periodic state of a host, sent to each peer; also the heartbeat."""
 
     CODE: ClassVar[int] = 3
@@ -178,7 +178,7 @@
 
 
 @attrs.frozen(repr=False)
-class HallSummary(Shown):
+class HallSummary(ReprMixin):
     """Aggregated state of all hosts of a hall, sent by its relay to other halls and forwarded there."""
 
     CODE: ClassVar[int] = 10
@@ -194,7 +194,7 @@
 
 
 @attrs.frozen(repr=False)
-class Beat(Shown):
+class Beat(ReprMixin):
     """Last state of a host that the relay of its hall has received."""
 
     #: Name of the host.
@@ -208,7 +208,7 @@
 
 
 @attrs.frozen(repr=False)
-class NamedWeights(Shown):
+class NamedWeights(ReprMixin):
     """A weights version and the time since it became a target, as of sending."""
 
     #: Model.
@@ -220,7 +220,7 @@
 
 
 @attrs.frozen(repr=False)
-class FleetSummary(Shown):
+class FleetSummary(ReprMixin):
     """Aggregated state of all hosts of the fleet, sent by a hall's relay to each host of its hall. Ages are as of sending; a receiver counts them from when it sent the summary whose number is in its beat."""
 
     CODE: ClassVar[int] = 16
@@ -244,7 +244,7 @@
 
 
 @attrs.frozen(repr=False)
-class MemberRecord(Shown):
+class MemberRecord(ReprMixin):
     """One host of the fleet."""
 
     #: Name of the host.
@@ -260,7 +260,7 @@
 
 
 @attrs.frozen(repr=False)
-class Members(Shown):
+class Members(ReprMixin):
     """Membership list of the sender."""
 
     CODE: ClassVar[int] = 11
@@ -270,7 +270,7 @@
 
 
 @attrs.frozen(repr=False)
-class ConfirmRequest(Shown):
+class ConfirmRequest(ReprMixin):
     """Requests the age of the platform data at a reader host."""
 
     CODE: ClassVar[int] = 12
@@ -280,7 +280,7 @@
 
 
 @attrs.frozen(repr=False)
-class ConfirmReply(Shown):
+class ConfirmReply(ReprMixin):
     """Versions and ages as of sending; the requester counts the ages from when it sent the request."""
 
     CODE: ClassVar[int] = 13
@@ -304,7 +304,7 @@
 
 
 @attrs.frozen(repr=False)
-class HostListChanges(Shown):
+class HostListChanges(ReprMixin):
     """The difference between two versions of the host list."""
 
     CODE: ClassVar[int] = 14
@@ -320,7 +320,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheChange(Shown):
+class CacheChange(ReprMixin):
     """Current contents of some entries in one generation of a cache."""
 
     #: Cache generation: the incarnation of the engine, or of a store for one weights version.
@@ -332,7 +332,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheUpdate(Shown):
+class CacheUpdate(ReprMixin):
     """Changes of the cache of one runner or store."""
 
     #: Name of the runner or store.
@@ -344,7 +344,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheEventUpdate(Shown):
+class CacheEventUpdate(ReprMixin):
     """Cache events that hosts have read for their peers, sent in batches."""
 
     CODE: ClassVar[int] = 9
@@ -354,7 +354,7 @@
 
 
 @attrs.frozen(repr=False)
-class RolloutUpdate(Shown):
+class RolloutUpdate(ReprMixin):
     """Update from the rollout controller to all hosts, sent at changes and retransmitted periodically."""
 
     CODE: ClassVar[int] = 15
@@ -374,7 +374,7 @@
 
 
 @attrs.frozen(repr=False)
-class ChangesRequest(Shown):
+class ChangesRequest(ReprMixin):
     """Requests the changes after a revision."""
 
     CODE: ClassVar[int] = 4
@@ -386,7 +386,7 @@
 
 
 @attrs.frozen(repr=False)
-class ChangesReply(Shown):
+class ChangesReply(ReprMixin):
     """Changes in order, limited to the maximum message size."""
 
     CODE: ClassVar[int] = 5
@@ -398,7 +398,7 @@
 
 
 @attrs.frozen(repr=False)
-class TreeReply(Shown):
+class TreeReply(ReprMixin):
     """The complete tree, for a peer that is too far behind for changes."""
 
     CODE: ClassVar[int] = 6
@@ -408,7 +408,7 @@
 
 
 @attrs.frozen(repr=False)
-class HostListRequest(Shown):
+class HostListRequest(ReprMixin):
     """Requests the receiver's host list."""
 
     CODE: ClassVar[int] = 7
@@ -418,7 +418,7 @@
 
 
 @attrs.frozen(repr=False)
-class HostListReply(Shown):
+class HostListReply(ReprMixin):
     """Newest host list of the sender."""
 
     CODE: ClassVar[int] = 8
@@ -428,7 +428,7 @@
 
 
 @attrs.frozen(repr=False)
-class AboardRequest(Shown):
+class AboardRequest(ReprMixin):
     """A request that was in flight at an upstream when it crashed."""
 
     #: Hash of caller, path and body, 16 bytes.
@@ -438,7 +438,7 @@
 
 
 @attrs.frozen(repr=False)
-class EndedUpstream(Shown):
+class EndedUpstream(ReprMixin):
     """An upstream that closed its connections during requests of the sender and counts as crashed."""
 
     #: Name of the upstream.
@@ -452,7 +452,7 @@
 
 
 @attrs.frozen(repr=False)
-class LiveUpstream(Shown):
+class LiveUpstream(ReprMixin):
     """An upstream that responded after it was considered crashed."""
 
     #: Name of the upstream.
@@ -464,7 +464,7 @@
 
 
 @attrs.frozen(repr=False)
-class ClearedRequest(Shown):
+class ClearedRequest(ReprMixin):
     """A request that an upstream completed or that an operator released from quarantine."""
 
     #: Hash of caller, path and body, 16 bytes.
@@ -474,7 +474,7 @@
 
 
 @attrs.frozen(repr=False)
-class StoppedRequest(Shown):
+class StoppedRequest(ReprMixin):
     """A quarantined request: upstreams that ran it crashed, and it is not sent to upstreams again."""
 
     #: Hash of caller, path and body, 16 bytes.
@@ -488,7 +488,7 @@
 
 
 @attrs.frozen(repr=False)
-class CrashUpdate(Shown):
+class CrashUpdate(ReprMixin):
     """Update between hosts about upstreams that crash during requests."""
 
     CODE: ClassVar[int] = 17
@@ -504,7 +504,7 @@
 
 
 @attrs.frozen(repr=False)
-class UpstreamRate(Shown):
+class UpstreamRate(ReprMixin):
     """Request rate limit in a response of an upstream."""
 
     #: Name of the upstream.
@@ -522,7 +522,7 @@
 
 
 @attrs.frozen(repr=False)
-class RateLimitUpdate(Shown):
+class RateLimitUpdate(ReprMixin):
     """Update between hosts about rate limits that upstreams report."""
 
     CODE: ClassVar[int] = 18
@@ -532,7 +532,7 @@
 
 
 @attrs.frozen(repr=False)
-class LeavingUpstream(Shown):
+class LeavingUpstream(ReprMixin):
     """One incarnation of an upstream that is shutting down."""
 
     #: Name of the upstream.
@@ -542,7 +542,7 @@
 
 
 @attrs.frozen(repr=False)
-class LeavingUpdate(Shown):
+class LeavingUpdate(ReprMixin):
     """Upstreams that announced their shutdown in a response."""
 
     CODE: ClassVar[int] = 19
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_platform.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_platform.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 from ._validators import one_of, within
 
 
 @attrs.frozen(repr=False)
-class HostEntry(Shown):
+class HostEntry(ReprMixin):
     """An entry of the platform's eventually consistent host list."""
 
     #: Name of the host.
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(repr=False)
-class HostList(Shown):
+class HostList(ReprMixin):
     """The host list at one version."""
 
     #: Version of the list.
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen(repr=False)
-class Claim(Shown):
+class Claim(ReprMixin):
     """A claimed idempotency key."""
 
     #: Hash of workspace and key, in hex.
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen(repr=False)
-class ClaimShard(Shown):
+class ClaimShard(ReprMixin):
     """Unexpired claims of one shard."""
 
     #: Unexpired claims.
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen(repr=False)
-class HostRecord(Shown):
+class HostRecord(ReprMixin):
     """Peer address of a host; each host writes its own record."""
 
     #: Name of the host.
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen(repr=False)
-class LeaseRecord(Shown):
+class LeaseRecord(ReprMixin):
     """Holder of a lease; the object's version is the fencing number."""
 
     #: Host that holds the lease; empty after a release.
@@ -100,7 +100,7 @@
 
 
 @attrs.frozen(repr=False)
-class WeightsTarget(Shown):
+class WeightsTarget(ReprMixin):
     """The weights that runners of a model are to load."""
 
     #: Model.
@@ -110,7 +110,7 @@
 
 
 @attrs.frozen(repr=False)
-class WeightsTargets(Shown):
+class WeightsTargets(ReprMixin):
     """All weights targets in one object."""
 
     #: Random id by which a writer recognizes its own write.
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_routing.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_routing.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 from ._validators import within
 
 
 @attrs.frozen(repr=False)
-class WeightedService(Shown):
+class WeightedService(ReprMixin):
     """A service and its share of the traffic of a route."""
 
     #: Name of the service.
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen(repr=False)
-class Route(Shown):
+class Route(ReprMixin):
     """Targets and parameters of requests to a host and path prefix."""
 
     #: Name of the route, unique in the routing table.
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(repr=False)
-class Service(Shown):
+class Service(ReprMixin):
     """A group of upstreams that serve the same requests."""
 
     #: Name of the service.
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen(repr=False)
-class KeptStore(Shown):
+class KeptStore(ReprMixin):
     """A KV store to which engines save cache entries and from which they import them."""
 
     #: Name of the store.
@@ -98,7 +98,7 @@
 
 
 @attrs.frozen(repr=False)
-class CallerLimits(Shown):
+class CallerLimits(ReprMixin):
     """Limits on the size, duration and idle time of callers' requests and connections."""
 
     #: Maximum size of the header section.
@@ -116,7 +116,7 @@
 
 
 @attrs.frozen(repr=False)
-class Routing(Shown):
+class Routing(ReprMixin):
     """All routes and their services."""
 
     #: Routes; the longest matching prefix of a host applies.
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_settings.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_settings.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 from ._validators import one_of, within
 
 
 @attrs.frozen(repr=False)
-class HostSettings(Shown):
+class HostSettings(ReprMixin):
     """Identity of this process."""
 
     #: Name of the host, unique in the fleet.
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen(repr=False)
-class ListenSettings(Shown):
+class ListenSettings(ReprMixin):
     """Listening addresses; port 0 selects a free port and prints it."""
 
     #: IP address for callers, peers and operators.
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen(repr=False)
-class PlatformSettings(Shown):
+class PlatformSettings(ReprMixin):
     """The platform's object API."""
 
     #: Base URL; if empty, the host runs without a platform, on the fallback tree.
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen(repr=False)
-class PeerSettings(Shown):
+class PeerSettings(ReprMixin):
     """Connections between rampwickd processes."""
 
     #: Shared secret for the authentication of peers; if empty, peering is disabled.
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen(repr=False)
-class PlacementSettings(Shown):
+class PlacementSettings(ReprMixin):
     """Placement of requests on runners."""
 
     #: Weight of the time to recompute a token relative to waiting time; higher values favour the cache hit rate, lower values the time to first token.
@@ -148,7 +148,7 @@
 
 
 @attrs.frozen(repr=False)
-class QueueSettings(Shown):
+class QueueSettings(ReprMixin):
     """Request queue."""
 
     #: Maximum number of queued requests on this host.
@@ -164,7 +164,7 @@
 
 
 @attrs.frozen(repr=False)
-class QuotaSettings(Shown):
+class QuotaSettings(ReprMixin):
     """Enforcement of the tree's token limits in the fleet."""
 
     #: Sliding window over which the tokens sent by all hosts are compared with a limit.
@@ -178,7 +178,7 @@
 
 
 @attrs.frozen(repr=False)
-class RetrySettings(Shown):
+class RetrySettings(ReprMixin):
     """Retries and health checks of upstreams."""
 
     #: Retry budget as a fraction of first attempts.
@@ -214,7 +214,7 @@
 
 
 @attrs.frozen(repr=False)
-class LimitSettings(Shown):
+class LimitSettings(ReprMixin):
     """Limits on callers' requests."""
 
     #: Maximum size of a request body.
@@ -238,7 +238,7 @@
 
 
 @attrs.frozen(repr=False)
-class LifeSettings(Shown):
+class LifeSettings(ReprMixin):
     """Startup and shutdown."""
 
     #: Time between reporting not ready and refusing new requests, so that load balancers can react.
@@ -260,7 +260,7 @@
 
 
 @attrs.frozen(repr=False)
-class ClaimSettings(Shown):
+class ClaimSettings(ReprMixin):
     """Requests with at-most-once execution."""
 
     #: Time for which an idempotency key is retained.
@@ -272,7 +272,7 @@
 
 
 @attrs.frozen(repr=False)
-class StewardSettings(Shown):
+class StewardSettings(ReprMixin):
     """Rollout controller: orders to runners, sent by one host of a region at a time."""
 
     #: Whether this host may hold the lease.
@@ -300,7 +300,7 @@
 
 
 @attrs.frozen(repr=False)
-class Settings(Shown):
+class Settings(ReprMixin):
     """All settings of one rampwickd process."""
 
     #: Identity of this process.
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_tree.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_tree.py
@@ -8,12 +8,12 @@
 import attrs
 
 from ._generated_routing import Routing
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 from ._validators import one_of, within
 
 
 @attrs.frozen(repr=False)
-class Node(Shown):
+class Node(ReprMixin):
     """Values at one node of the tree; absent values are inherited."""
 
     #: Share among siblings; not inherited, 1 if absent.
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen(repr=False)
-class Tree(Shown):
+class Tree(ReprMixin):
     """The complete tree at one revision; paths look like /herbaria/labels."""
 
     #: Number of changes accepted so far.
@@ -77,7 +77,7 @@
 
 
 @attrs.frozen(repr=False)
-class NodeEdit(Shown):
+class NodeEdit(ReprMixin):
     """New state of one node; an absent node is a deletion."""
 
     #: Path of the node.
@@ -87,7 +87,7 @@
 
 
 @attrs.frozen(repr=False)
-class Change(Shown):
+class Change(ReprMixin):
     """An accepted change, stored in the object of its revision."""
 
     #: Revision after the change.
--- a/packages/rampwick-schema/src/rampwick_schema/_generated_upstream.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_generated_upstream.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 from ._validators import within
 
 
 @attrs.frozen(repr=False)
-class LoadReport(Shown):
+class LoadReport(ReprMixin):
     """Load as reported by a runner; may be outdated."""
 
     #: Incarnation of the engine.
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(repr=False)
-class Order(Shown):
+class Order(ReprMixin):
     """Target state of a runner; idempotent."""
 
     #: Version of the lease under which the order is sent.
--- a/packages/rampwick-schema/src/rampwick_schema/_validators.py
+++ b/packages/rampwick-schema/src/rampwick_schema/_validators.py
@@ -5,11 +5,11 @@
 
 import attrs
 
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 
 
 @attrs.frozen(repr=False)
-class Within(Shown):
+class Within(ReprMixin):
     """Validator that accepts None and numbers from ``low`` to ``high``.
 
     A bound that is None is open.
--- a/tools/generate_schema.py
+++ b/tools/generate_schema.py
@@ -61,7 +61,7 @@
 {% else %}
 from ._validators import one_of, within
 {% endif %}
-from ._shown import Shown
+from ._repr_mixin import ReprMixin
 {% for module in imports %}
 from ._generated_{{ module }} import {{ imports[module] | join(", ") }}
 {% endfor %}
@@ -69,7 +69,7 @@
 {% for cls in classes %}
 
 @attrs.frozen(repr=False)
-class {{ cls.name }}(Shown):
+class {{ cls.name }}(ReprMixin):
     """{{ cls.doc }}"""
 
 {% if cls.code %}
