--- a/measure/_blame_lab.py
+++ b/measure/_blame_lab.py
@@ -21,7 +21,7 @@
     SuspectRequest,
 )
 from rampwick_policy._rendezvous import rank
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._runner import Clock
 
@@ -147,7 +147,7 @@
 
 
 @attrs.define(repr=False)
-class BlameResult(Shown):
+class BlameResult(ReprMixin):
     """What came of a run."""
 
     #: Ends under each deadly request.
--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -17,7 +17,7 @@
     subtract_summary,
     sum_limits,
 )
-from rampwick_schema import Shown, Summary
+from rampwick_schema import ReprMixin, Summary
 
 from ._limit_patterns import LimitPattern
 from ._limit_ways import WAYS, Way
@@ -35,7 +35,7 @@
 
 
 @attrs.define(repr=False)
-class _Host(Shown):
+class _Host(ReprMixin):
     name: str
     hall: int
     way: Way
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen(repr=False)
-class Asked(Shown):
+class Asked(ReprMixin):
     """One request and what came of it."""
 
     at_seconds: float
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_events.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 from ._events import CacheChanges, CacheReported
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen(repr=False)
-class SaltContext(Shown):
+class SaltContext(ReprMixin):
     """The scope and weights version that a salt identifies."""
 
     scope: Scope
@@ -58,7 +58,7 @@
 
 
 @attrs.define(repr=False)
-class _PendingChanges(Shown):
+class _PendingChanges(ReprMixin):
     """Changes of one cache that have not been sent yet."""
 
     is_reset: bool = False
@@ -67,7 +67,7 @@
 
 
 @attrs.define(repr=False)
-class CacheEventBuffer(Shown):
+class CacheEventBuffer(ReprMixin):
     """Batches cache events; only the latest change of each entry is sent."""
 
     _by_upstream: dict[str, _PendingChanges] = attrs.field(factory=dict)
--- a/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_cache_imports.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from rampwick_schema import KeptStore, PlacedPrefix, Service, Shown
+from rampwick_schema import KeptStore, PlacedPrefix, ReprMixin, Service
 
 from . import _rendezvous
 from ._kv_store_contents import KvStoreContents, store_weights_version
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen(repr=False)
-class ImportSource(Shown):
+class ImportSource(ReprMixin):
     """A cache that a prompt may be imported from."""
 
     name: str
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheHolder(Shown):
+class CacheHolder(ReprMixin):
     """A runner whose cache holds a part of a prompt."""
 
     name: str
--- a/packages/rampwick-policy/src/rampwick_policy/_claims.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_claims.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import Claim, ClaimShard, Shown
+from rampwick_schema import Claim, ClaimShard, ReprMixin
 
 #: Largest assumed difference between the hosts' clocks. A claim is kept for this long
 #: after its expiry.
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen(repr=False)
-class ClaimDecision(Shown):
+class ClaimDecision(ReprMixin):
     """The new content of a shard, and the result of each claim if it is written."""
 
     shard: ClaimShard
--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Crashes after which a request is isolated from other suspects. Two in a row by chance
 #: are rare, and a third crash in isolation shows which request caused them.
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(repr=False)
-class IncarnationKey(Shown):
+class IncarnationKey(ReprMixin):
     """Identifies one incarnation of an upstream."""
 
     upstream: str
@@ -67,7 +67,7 @@
 
 
 @attrs.define(repr=False)
-class SuspectRequest(Shown):
+class SuspectRequest(ReprMixin):
     """A request that was running on upstreams when they crashed."""
 
     fingerprint: bytes
--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import PlacementSettings, Shown
+from rampwick_schema import PlacementSettings, ReprMixin
 
 from . import _events as ev
 from ._admission import Admission
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen(repr=False)
-class DeadlineUnreachable(Shown):
+class DeadlineUnreachable(ReprMixin):
     """A request, removed from the queue, that can't start before its deadline."""
 
     item: QueuedRequest
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -9,7 +9,7 @@
     LoadReport,
     NamedWeights,
     RateLimitUpdate,
-    Shown,
+    ReprMixin,
     Summary,
     WeightsTarget,
 )
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(repr=False)
-class RequestArrived(Shown):
+class RequestArrived(ReprMixin):
     """A caller's validated request arrived."""
 
     request_id: str
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptAccepted(Shown):
+class AttemptAccepted(ReprMixin):
     """The upstream started to answer, from the incarnation that it reports."""
 
     request_id: str
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptDelivered(Shown):
+class AttemptDelivered(ReprMixin):
     """The first piece of the answer is about to be sent to the caller."""
 
     request_id: str
@@ -76,7 +76,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptFailed(Shown):
+class AttemptFailed(ReprMixin):
     """An attempt ended without a complete answer."""
 
     request_id: str
@@ -92,7 +92,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptStalled(Shown):
+class AttemptStalled(ReprMixin):
     """An upstream has not started to answer an attempt within the expected time."""
 
     request_id: str
@@ -100,7 +100,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptDone(Shown):
+class AttemptDone(ReprMixin):
     """An attempt returned its complete answer."""
 
     request_id: str
@@ -113,14 +113,14 @@
 
 
 @attrs.frozen(repr=False)
-class RequestCancelled(Shown):
+class RequestCancelled(ReprMixin):
     """The caller disconnected."""
 
     request_id: str
 
 
 @attrs.frozen(repr=False)
-class LoadReported(Shown):
+class LoadReported(ReprMixin):
     """An upstream answered a probe; the report is ``None`` for plain services."""
 
     upstream: str
@@ -128,7 +128,7 @@
 
 
 @attrs.frozen(repr=False)
-class ProbeFailed(Shown):
+class ProbeFailed(ReprMixin):
     """An upstream did not answer a probe."""
 
     upstream: str
@@ -136,14 +136,14 @@
 
 
 @attrs.frozen(repr=False)
-class HostListRead(Shown):
+class HostListRead(ReprMixin):
     """A version of the platform's host list was read."""
 
     host_list: HostList
 
 
 @attrs.frozen(repr=False)
-class PeerSummaryReceived(Shown):
+class PeerSummaryReceived(ReprMixin):
     """A peer sent a summary."""
 
     name: str
@@ -155,14 +155,14 @@
 
 
 @attrs.frozen(repr=False)
-class PeerRemoved(Shown):
+class PeerRemoved(ReprMixin):
     """A peer's summary no longer applies: another host covers it, or it has left."""
 
     name: str
 
 
 @attrs.frozen(repr=False)
-class WeightsReported(Shown):
+class WeightsReported(ReprMixin):
     """The weights version of an upstream, from its response or from a peer.
 
     Only a report by the upstream itself may lower the known version.
@@ -175,7 +175,7 @@
 
 
 @attrs.frozen(repr=False)
-class WeightsLoadOrdered(Shown):
+class WeightsLoadOrdered(ReprMixin):
     """A runner was ordered to load weights; it serves no requests until it has."""
 
     upstream: str
@@ -186,7 +186,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheReported(Shown):
+class CacheReported(ReprMixin):
     """Changes reported by an engine's or a store's cache, read here or by a peer."""
 
     upstream: str
@@ -196,7 +196,7 @@
 
 
 @attrs.frozen(repr=False)
-class TargetsReceived(Shown):
+class TargetsReceived(ReprMixin):
     """The target weights of the runners."""
 
     targets: tuple[WeightsTarget, ...]
@@ -211,7 +211,7 @@
 
 
 @attrs.frozen(repr=False)
-class RateLimitReported(Shown):
+class RateLimitReported(ReprMixin):
     """A response reported the rate limit of its upstream, or the end of the limit."""
 
     upstream: str
@@ -224,14 +224,14 @@
 
 
 @attrs.frozen(repr=False)
-class RateLimitUpdateReceived(Shown):
+class RateLimitUpdateReceived(ReprMixin):
     """A peer sent the rate limits that upstreams reported."""
 
     update: RateLimitUpdate
 
 
 @attrs.frozen(repr=False)
-class UpstreamSignalled(Shown):
+class UpstreamSignalled(ReprMixin):
     """An upstream announced its shutdown, or requested a pause from this host."""
 
     upstream: str
@@ -244,14 +244,14 @@
 
 
 @attrs.frozen(repr=False)
-class LeavingUpdateReceived(Shown):
+class LeavingUpdateReceived(ReprMixin):
     """A peer reported upstreams that announced their shutdown."""
 
     update: LeavingUpdate
 
 
 @attrs.frozen(repr=False)
-class PeersChanged(Shown):
+class PeersChanged(ReprMixin):
     """The set of live peers changed, or this host began to shut down."""
 
     live_peers: LivePeers
@@ -259,21 +259,21 @@
 
 
 @attrs.frozen(repr=False)
-class CrashUpdateReceived(Shown):
+class CrashUpdateReceived(ReprMixin):
     """A peer reported upstreams that crashed under requests."""
 
     update: CrashUpdate
 
 
 @attrs.frozen(repr=False)
-class TreeChanged(Shown):
+class TreeChanged(ReprMixin):
     """Another revision of the tree took effect on this host."""
 
     view: TreeView
 
 
 @attrs.frozen(repr=False)
-class Tick(Shown):
+class Tick(ReprMixin):
     """Time has passed."""
 
 
@@ -306,7 +306,7 @@
 
 
 @attrs.frozen(repr=False)
-class Dispatch(Shown):
+class Dispatch(ReprMixin):
     """Send the request to an upstream as this attempt."""
 
     request_id: str
@@ -324,7 +324,7 @@
 
 
 @attrs.frozen(repr=False)
-class Refuse(Shown):
+class Refuse(ReprMixin):
     """Answer the caller with an error immediately; this is its final answer."""
 
     request_id: str
@@ -337,7 +337,7 @@
 
 
 @attrs.frozen(repr=False)
-class CancelAttempt(Shown):
+class CancelAttempt(ReprMixin):
     """Cancel an attempt at its upstream, because its answer is no longer needed."""
 
     request_id: str
--- a/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
@@ -13,7 +13,7 @@
 from rampwick_schema import (
     HostEntry,
     HostList,
-    Shown,
+    ReprMixin,
     era_of,
     join_version,
     revision_of,
@@ -24,7 +24,7 @@
 
 
 @attrs.define(repr=False)
-class ExpiredEntryGuard(Shown):
+class ExpiredEntryGuard(ReprMixin):
     """Retains entries that may only have expired; times are monotonic seconds."""
 
     _entries: dict[str, HostEntry] = attrs.field(factory=dict)
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from rampwick_schema import LimitUsage, Shown
+from rampwick_schema import LimitUsage, ReprMixin
 
 from ._limit_reports import EXPIRY_HORIZON_SECONDS, PeerReports
 from ._sliding_window import SlidingWindow
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen(repr=False)
-class LimitParameters(Shown):
+class LimitParameters(ReprMixin):
     """Parameters that apply to all limits at one time."""
 
     window_seconds: float
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen(repr=False)
-class OverLimit(Shown):
+class OverLimit(ReprMixin):
     """A request that would exceed a limit of its workspace."""
 
     path: str
@@ -88,7 +88,7 @@
 
 
 @attrs.define(repr=False)
-class _ExcessAllowance(Shown):
+class _ExcessAllowance(ReprMixin):
     """Tokens sent under a higher limit that are exempt, decreasing over one window.
 
     If the full excess stayed exempt until it expired, expiring tokens would be admitted
@@ -114,7 +114,7 @@
 
 
 @attrs.frozen(repr=False)
-class _Forecast(Shown):
+class _Forecast(ReprMixin):
     """Usage and demand of a limit over all hosts, in tokens within the window."""
 
     used: float
--- a/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_forecasts.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._capacity import serves
 from ._events import RequestArrived
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(repr=False)
-class Forecast(Shown):
+class Forecast(ReprMixin):
     """When this host may send requests, if every upstream is limited or unavailable."""
 
     #: When the first request may be sent; infinite if none may.
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen(repr=False)
-class Postponement(Shown):
+class Postponement(ReprMixin):
     """A request can't be sent in time, so that its caller has to retry later."""
 
     reason: str
--- a/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_former_entries.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._shutdown_announcements import Incarnation
 from ._upstream import Upstream
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(repr=False)
-class FormerEntry(Shown):
+class FormerEntry(ReprMixin):
     """The state of an upstream when its entry was removed."""
 
     incarnation: Incarnation
--- a/packages/rampwick-policy/src/rampwick_policy/_kv_store_contents.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_kv_store_contents.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from ._prefix import PrefixChain, held_tokens
 from ._prefix_cache_index import CacheChanges, CacheGeneration, generation_label
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen(repr=False)
-class KvStoreEntry(Shown):
+class KvStoreEntry(ReprMixin):
     """A prefix that a store is estimated to hold."""
 
     tokens: int
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -14,14 +14,14 @@
 
 import attrs
 
-from rampwick_schema import LeaseRecord, Shown, era_of
+from rampwick_schema import LeaseRecord, ReprMixin, era_of
 
 #: Version of a lease object that does not exist.
 ABSENT = 0
 
 
 @attrs.define(repr=False)
-class LeaseWatcher(Shown):
+class LeaseWatcher(ReprMixin):
     """State of the lease as observed by one host, in its own monotonic time."""
 
     host: str
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rampwick_schema import LimitUsage, Shown
+from rampwick_schema import LimitUsage, ReprMixin
 
 #: Look-ahead for which hosts report the tokens that will expire from their windows.
 EXPIRY_HORIZON_SECONDS = 1.0
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen(repr=False)
-class _Report(Shown):
+class _Report(ReprMixin):
     """The last report of a peer and the time at which it was current."""
 
     usage: LimitUsage
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rampwick_schema import LimitUsage, QuotaSettings, Shown, Summary
+from rampwick_schema import LimitUsage, QuotaSettings, ReprMixin, Summary
 
 from . import _events as ev
 from ._fleet_limit import FleetLimit, LimitParameters, OverLimit, allowed_tokens
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(repr=False)
-class LimitCharge(Shown):
+class LimitCharge(ReprMixin):
     """Charge of a request against one limit, and the time at which it was made."""
 
     path: str
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen(repr=False)
-class LimitState(Shown):
+class LimitState(ReprMixin):
     """State of one limit, for the status page and metrics."""
 
     path: str
--- a/packages/rampwick-policy/src/rampwick_policy/_orders.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_orders.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rampwick_schema import Order, Shown, WeightsTarget
+from rampwick_schema import Order, ReprMixin, WeightsTarget
 
 #: Maximum number of concurrent loads in one region.
 MAX_LOADS = 2
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(repr=False)
-class RunnerState(Shown):
+class RunnerState(ReprMixin):
     """State of one runner, according to its own report."""
 
     name: str
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen(repr=False)
-class PlannedOrder(Shown):
+class PlannedOrder(ReprMixin):
     """An order and its recipient."""
 
     runner: str
--- a/packages/rampwick-policy/src/rampwick_policy/_placement.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 from ._cache_imports import ImportSource
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(repr=False)
-class RunnerView(Shown):
+class RunnerView(ReprMixin):
     """State of a runner for a placement; running work includes that of peers."""
 
     name: str
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen(repr=False)
-class Choice(Shown):
+class Choice(ReprMixin):
     """A chosen runner and the figures behind the choice."""
 
     upstream: str
--- a/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement_updates.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import PlacedPrefix, Shown
+from rampwick_schema import PlacedPrefix, ReprMixin
 
 from ._prefix import Checkpoint, PrefixChain
 from ._prefix_cache_index import CacheGeneration, generation_label
@@ -26,7 +26,7 @@
 
 
 @attrs.define(repr=False)
-class PlacementUpdates(Shown):
+class PlacementUpdates(ReprMixin):
     """Placements of this host that have not been published to peers yet."""
 
     _seen: OrderedDict[bytes, None] = attrs.field(factory=OrderedDict)
--- a/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Minimum number of tokens to compute for a prompt to count as a sample.
 MIN_SAMPLE_TOKENS = 1500
@@ -31,7 +31,7 @@
 
 
 @attrs.define(repr=False)
-class PrefillSpeed(Shown):
+class PrefillSpeed(ReprMixin):
     """Estimate for one model, starting from a configured value."""
 
     tokens_per_second: float
--- a/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefix_cache_index.py
@@ -10,13 +10,13 @@
 
 import attrs
 
-from rampwick_schema import PlacedPrefix, Shown
+from rampwick_schema import PlacedPrefix, ReprMixin
 
 from ._prefix import Checkpoint, PrefixChain, held_tokens
 
 
 @attrs.frozen(repr=False)
-class CacheGeneration(Shown):
+class CacheGeneration(ReprMixin):
     """A runner's cache at one incarnation and weights version.
 
     Two generations share no entries.
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheChanges(Shown):
+class CacheChanges(ReprMixin):
     """Entries of one cache generation with the number of tokens now cached of each."""
 
     #: Label of the generation.
@@ -43,7 +43,7 @@
 
 
 @attrs.define(repr=False)
-class RunnerCache(Shown):
+class RunnerCache(ReprMixin):
     """Estimated contents of one runner's cache in its current generation."""
 
     generation: CacheGeneration
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rampwick_schema import Beat, FleetSummary, Shown, Summary
+from rampwick_schema import Beat, FleetSummary, ReprMixin, Summary
 
 from ._roles import LivePeers, Member
 from ._summary_aggregator import subtract_summary
@@ -22,13 +22,13 @@
 
 
 @attrs.frozen(repr=False)
-class _OwnReport(Shown):
+class _OwnReport(ReprMixin):
     sent_at_seconds: float
     summary: Summary
 
 
 @attrs.frozen(repr=False)
-class FleetReport(Shown):
+class FleetReport(ReprMixin):
     """A fleet summary from a relay, without the contribution of this host."""
 
     #: Sum of all other hosts.
--- a/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
@@ -15,7 +15,7 @@
     CrashUpdate,
     EndedUpstream,
     LiveUpstream,
-    Shown,
+    ReprMixin,
     StoppedRequest,
 )
 
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(repr=False)
-class _CrashFact(Shown):
+class _CrashFact(ReprMixin):
     """An incarnation crashed while it was running a request."""
 
     incarnation_key: IncarnationKey
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen(repr=False)
-class _LiveFact(Shown):
+class _LiveFact(ReprMixin):
     """An incarnation answered after it was reported as crashed."""
 
     incarnation_key: IncarnationKey
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(repr=False)
-class _ClearedFact(Shown):
+class _ClearedFact(ReprMixin):
     """A request was cleared."""
 
     fingerprint: bytes
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen(repr=False)
-class _QuarantineFact(Shown):
+class _QuarantineFact(ReprMixin):
     """A request was quarantined."""
 
     fingerprint: bytes
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rampwick_schema import RateLimitUpdate, Shown, UpstreamRate
+from rampwick_schema import RateLimitUpdate, ReprMixin, UpstreamRate
 
 from ._state_changes import StateChangeTracker
 
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(repr=False)
-class RateObservation(Shown):
+class RateObservation(ReprMixin):
     """The rate limit in one answer of an upstream."""
 
     #: Incarnation that answered; empty if incarnations are not distinguished.
--- a/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rampwick_schema import Shown, Tree, era_of
+from rampwick_schema import ReprMixin, Tree, era_of
 
 #: Time for which the tree of a copy does not replace a higher revision.
 COPY_HOLD_SECONDS = 20.0
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen(repr=False)
-class ReadTree(Shown):
+class ReadTree(ReprMixin):
     """A tree as read from a store."""
 
     tree: Tree
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen(repr=False)
-class TreeOffer(Shown):
+class TreeOffer(ReprMixin):
     """A tree with its store era, and the time from which it may be applied."""
 
     tree: Tree
@@ -36,7 +36,7 @@
 
 
 @attrs.define(repr=False)
-class RestoredTrees(Shown):
+class RestoredTrees(ReprMixin):
     """Assigns eras to the trees read from a store, which may have been restored."""
 
     _era: int = 0
--- a/packages/rampwick-policy/src/rampwick_policy/_retry.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_retry.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from rampwick_schema import RetrySettings, Shown
+from rampwick_schema import ReprMixin, RetrySettings
 
 from ._request import Outcome
 
@@ -16,7 +16,7 @@
 
 
 @attrs.define(repr=False)
-class RetryBudget(Shown):
+class RetryBudget(ReprMixin):
     """Retry budget: each new request earns a fraction of a retry, each retry costs one.
 
     In any period the number of retries is at most the balance at its start, plus the
--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen(repr=False)
-class Member(Shown):
+class Member(ReprMixin):
     """A host of the fleet, as described by itself."""
 
     name: str
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen(repr=False)
-class LivePeers(Shown):
+class LivePeers(ReprMixin):
     """Live hosts of the own hall, by name, and live halls."""
 
     #: Live hosts of the own hall.
--- a/packages/rampwick-policy/src/rampwick_policy/_rollout.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_rollout.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from rampwick_schema import LoadReport, Shown, WeightsTarget
+from rampwick_schema import LoadReport, ReprMixin, WeightsTarget
 
 from ._orders import PlannedOrder, RunnerState, plan_orders
 from ._upstreams import SERVING_ROLE
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen(repr=False)
-class FetchReport(Shown):
+class FetchReport(ReprMixin):
     """Request for the report of a runner."""
 
     runner: str
@@ -69,7 +69,7 @@
 
 
 @attrs.define(repr=False)
-class RunnerRecord(Shown):
+class RunnerRecord(ReprMixin):
     """State of one runner at the rollout controller."""
 
     report: LoadReport | None = None
--- a/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import LeavingUpdate, LeavingUpstream, Shown
+from rampwick_schema import LeavingUpdate, LeavingUpstream, ReprMixin
 
 #: Retention of an announcement after the upstream is no longer listed: an entry that
 #: expired in an outage of the store may be written again for the same incarnation.
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(repr=False)
-class Incarnation(Shown):
+class Incarnation(ReprMixin):
     """One run of an upstream process, from its start to its exit."""
 
     upstream: str
--- a/packages/rampwick-policy/src/rampwick_policy/_sliding_window.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_sliding_window.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Buckets per window. Tokens count until their whole bucket has expired, so a sum is
 #: too large by at most one bucket and never too small.
@@ -13,7 +13,7 @@
 
 
 @attrs.define(repr=False)
-class _Bucket(Shown):
+class _Bucket(ReprMixin):
     index: int
     tokens: float
 
--- a/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 
 @attrs.frozen(repr=False)
-class StateChange(Shown):
+class StateChange(ReprMixin):
     """One change of state."""
 
     #: Kind of the object: an upstream, a peer, a target or a limit, for example.
@@ -19,7 +19,7 @@
 
 
 @attrs.define(repr=False)
-class StateChangeTracker(Shown):
+class StateChangeTracker(ReprMixin):
     """Last recorded states, and the changes that have not been taken yet."""
 
     _states: dict[tuple[str, str], str] = attrs.field(factory=dict)
--- a/packages/rampwick-policy/src/rampwick_policy/_targets.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_targets.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from rampwick_schema import NamedWeights, Shown, WeightsTarget
+from rampwick_schema import NamedWeights, ReprMixin, WeightsTarget
 
 #: Number of versions per model with a recorded target time, and number of the newest
 #: that are published to peers. More versions seldom become targets within the time for
@@ -20,7 +20,7 @@
 
 
 @attrs.define(repr=False)
-class TargetWeights(Shown):
+class TargetWeights(ReprMixin):
     """Target versions by model, with the time at which each became the target.
 
     A host observes this time if it reads continuously. Otherwise it assumes an age, but
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from . import _rendezvous
 from ._request_rates import RequestRates
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen(repr=False)
-class LocalView(Shown):
+class LocalView(ReprMixin):
     """A host, its hall and its live peers, as input to the choice of senders."""
 
     host: str
@@ -93,7 +93,7 @@
 
 
 @attrs.define(repr=False)
-class _TokenBucket(Shown):
+class _TokenBucket(ReprMixin):
     """Requests that one host may send to one upstream; empty for a new sender."""
 
     at_seconds: float
@@ -125,7 +125,7 @@
 
 
 @attrs.frozen(repr=False)
-class UpstreamRateState(Shown):
+class UpstreamRateState(ReprMixin):
     """State of the rate limit of one upstream, for the status page and metrics."""
 
     upstream: str
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -10,7 +10,7 @@
 import attrs
 from anyio.abc import TaskGroup
 
-from rampwick_platform import HttpObjectApi, ObjectApi, sleep_on_grid
+from rampwick_platform import HttpObjectApi, ObjectApi, sleep_aligned
 from rampwick_schema import Settings
 
 from ._assembly import Assembly, Clocks as Clocks
@@ -125,7 +125,7 @@
     async def _log_state(self) -> None:
         """Log the state of the host periodically, for analysis from logs alone."""
         while True:
-            await sleep_on_grid(STATE_INTERVAL_SECONDS)
+            await sleep_aligned(STATE_INTERVAL_SECONDS)
             now_seconds = self._clocks.monotonic()
             log.info(
                 "state",
@@ -224,7 +224,7 @@
                 )
             )
         if isinstance(api, HttpObjectApi):
-            api.note_restored = _log_restore
+            api.on_restored = _log_restore
         clocks = clocks or Clocks()
         channels = await stack.enter_async_context(ChannelPool(clocks.monotonic))
         upstreams = UpstreamClient(
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rampwick_policy import OrderResult, PromptPart
-from rampwick_schema import HostEntry, LoadReport, Order, Shown
+from rampwick_schema import HostEntry, LoadReport, Order, ReprMixin
 
 from ._errors import CallerError
 from ._headers import Header, ResponseHead, find_all
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(repr=False)
-class RawCall(Shown):
+class RawCall(ReprMixin):
     """A caller's request line and headers as received."""
 
     method: str
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen(repr=False)
-class RoutedCall(Shown):
+class RoutedCall(ReprMixin):
     """A caller's request on a route, parsed from its headers."""
 
     request_id: str
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen(repr=False)
-class AttemptTerms(Shown):
+class AttemptTerms(ReprMixin):
     """Metadata that an attempt sends to its upstream with the caller's request."""
 
     #: Incarnation of the upstream that must run it; any other must reject it.
@@ -93,7 +93,7 @@
 
 
 @attrs.frozen(repr=False)
-class RequestRate(Shown):
+class RequestRate(ReprMixin):
     """The request rate limit in an upstream's response, which all hosts share."""
 
     #: Requests per second; None if the response contains no limit.
@@ -110,7 +110,7 @@
 
 
 @attrs.frozen(repr=False)
-class UpstreamSignals(Shown):
+class UpstreamSignals(ReprMixin):
     """Shutdown and back-off signals in an upstream's response."""
 
     #: Whether the upstream is shutting down and accepts no new requests.
@@ -142,7 +142,7 @@
 
 
 @attrs.frozen(repr=False)
-class ResponseInfo(Shown):
+class ResponseInfo(ReprMixin):
     """Information in a response head about the attempt and the upstream."""
 
     #: Id of the request that the response belongs to; empty if it contains none.
@@ -176,7 +176,7 @@
 
 
 @attrs.frozen(repr=False)
-class ErrorResponse(Shown):
+class ErrorResponse(ReprMixin):
     """An error response to a caller."""
 
     status: int
@@ -208,7 +208,7 @@
 
 
 @attrs.frozen(repr=False)
-class ControlRequest(Shown):
+class ControlRequest(ReprMixin):
     """A call to an upstream on behalf of this host, not of a caller."""
 
     #: Name of the operation, for errors and logs.
@@ -241,7 +241,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheEvent(Shown):
+class CacheEvent(ReprMixin):
     """One change of a cache."""
 
     salt: str
@@ -251,7 +251,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheEvents(Shown):
+class CacheEvents(ReprMixin):
     """The events of a cache since the last read."""
 
     #: Changes when the cache restarts empty.
@@ -274,7 +274,7 @@
 
 
 @attrs.frozen(repr=False)
-class Dialects(Shown):
+class Dialects(ReprMixin):
     """The dialects for callers, upstreams, control calls and caches."""
 
     caller: CallerDialect
--- a/packages/rampwick-router/src/rampwick_router/_headers.py
+++ b/packages/rampwick-router/src/rampwick_router/_headers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 Header = tuple[bytes, bytes]
 RawHeaders = Sequence[Header]
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(repr=False)
-class ResponseHead(Shown):
+class ResponseHead(ReprMixin):
     """Status line and headers of an upstream's response."""
 
     status: int
--- a/packages/rampwick-router/src/rampwick_router/_lifecycle.py
+++ b/packages/rampwick-router/src/rampwick_router/_lifecycle.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from rampwick_platform import move_on_at_grid
+from rampwick_platform import move_on_after_aligned
 
 
 class Lifecycle:
@@ -42,5 +42,5 @@
 
     async def pause(self, seconds: float) -> None:
         """Sleep, at most until the shutdown is forced."""
-        with move_on_at_grid(seconds):
+        with move_on_after_aligned(seconds):
             await self._forced.wait()
--- a/packages/rampwick-router/src/rampwick_router/_logs.py
+++ b/packages/rampwick-router/src/rampwick_router/_logs.py
@@ -11,7 +11,7 @@
 import attrs
 import eliot
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Rate limit and burst of lines with the same message. A host serves some tens of
 #: requests a second, all of which are logged; a mass of failures must not fill the disk
@@ -21,7 +21,7 @@
 
 
 @attrs.define(repr=False)
-class LineTokenBucket(Shown):
+class LineTokenBucket(ReprMixin):
     """Token bucket for the lines of one message."""
 
     tokens: float = BURST_LINES
--- a/packages/rampwick-router/src/rampwick_router/_profile.py
+++ b/packages/rampwick-router/src/rampwick_router/_profile.py
@@ -11,7 +11,7 @@
 import anyio
 import attrs
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 #: Maximum duration, so that a forgotten profile does not slow down a loaded host.
 MAX_PROFILE_SECONDS = 60.0
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(repr=False)
-class ProfileEntry(Shown):
+class ProfileEntry(ReprMixin):
     """Calls and time of one function or module."""
 
     name: str
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(repr=False)
-class ProfileReport(Shown):
+class ProfileReport(ReprMixin):
     """The most expensive functions and modules of a profile."""
 
     elapsed_seconds: float
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -13,7 +13,7 @@
 import attrs
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
-from rampwick_platform import move_on_at_grid
+from rampwick_platform import move_on_after_aligned
 from rampwick_policy import (
     Action,
     CancelAttempt,
@@ -30,7 +30,7 @@
     StateChange,
     Tick,
 )
-from rampwick_schema import NamedWeights, Shown, WeightsTarget
+from rampwick_schema import NamedWeights, ReprMixin, WeightsTarget
 
 from ._logs import ComponentLogger
 
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen(repr=False)
-class Decision(Shown):
+class Decision(ReprMixin):
     """A dispatch or refusal with the time of the decision."""
 
     at_seconds: float
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen(repr=False)
-class DecisionChannel(Shown):
+class DecisionChannel(ReprMixin):
     """Delivers the decisions about an open request."""
 
     sender: MemoryObjectSendStream[Dispatch | Refuse]
@@ -195,7 +195,7 @@
                 await anyio.sleep(TICK_SECONDS)
             else:
                 self._has_open = anyio.Event()
-                with move_on_at_grid(IDLE_TICK_SECONDS):
+                with move_on_after_aligned(IDLE_TICK_SECONDS):
                     await self._has_open.wait()
             self.post(Tick())
 
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -11,7 +11,7 @@
     LeaseStore,
     ObjectApi,
     PlatformError,
-    move_on_at_grid,
+    move_on_after_aligned,
 )
 from rampwick_policy import (
     FetchReport,
@@ -29,8 +29,8 @@
 from rampwick_schema import (
     DataError,
     HostEntry,
+    ReprMixin,
     Settings,
-    Shown,
     StewardSettings,
 )
 
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen(repr=False)
-class PendingLoad(Shown):
+class PendingLoad(ReprMixin):
     """A load that this host has ordered, as published to peers."""
 
     upstream: str
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen(repr=False)
-class ObservedWeights(Shown):
+class ObservedWeights(ReprMixin):
     """Weights that a runner reported after an order of this host."""
 
     upstream: str
@@ -176,7 +176,7 @@
                 except (PlatformError, DataError) as error:
                     # The lease expires without renewal; no order is sent without it.
                     log.problem("rollout step failed", error=str(error))
-                with move_on_at_grid(self._pause_seconds(is_busy)):
+                with move_on_after_aligned(self._pause_seconds(is_busy)):
                     await self._wake.wait()
 
     def _pause_seconds(self, is_busy: bool) -> float:
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -8,9 +8,9 @@
 import attrs
 from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
-from rampwick_platform import ClaimStore, ObjectApi, sleep_on_grid
+from rampwick_platform import ClaimStore, ObjectApi, sleep_aligned
 from rampwick_policy import RunState, key_hash, shard_of
-from rampwick_schema import Claim, ClaimSettings, RampwickError, Shown
+from rampwick_schema import Claim, ClaimSettings, RampwickError, ReprMixin
 
 from .._errors import CallerError
 from .._logs import ComponentLogger
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(repr=False)
-class AcquiredClaim(Shown):
+class AcquiredClaim(ReprMixin):
     """A claimed key; only the request that holds it may be dispatched."""
 
     shard: int
@@ -50,14 +50,14 @@
 
 
 @attrs.frozen(repr=False)
-class _PendingClaim(Shown):
+class _PendingClaim(ReprMixin):
     shard: int
     claim: Claim
     result: MemoryObjectSendStream[bool | RampwickError]
 
 
 @attrs.frozen(repr=False)
-class _RetainedClaim(Shown):
+class _RetainedClaim(ReprMixin):
     shard: int
     claim: Claim
 
@@ -216,7 +216,7 @@
             era = self._era
             if era != rewritten_era and await self._rewrite_claims():
                 rewritten_era = era
-            await sleep_on_grid(ERA_INTERVAL_SECONDS)
+            await sleep_aligned(ERA_INTERVAL_SECONDS)
 
     async def _rewrite_claims(self) -> bool:
         """Rewrite the claims acquired here; return whether all were written."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -13,7 +13,7 @@
     TreeView,
     decide_access,
 )
-from rampwick_schema import Settings, Shown
+from rampwick_schema import ReprMixin, Settings
 
 from .._dialects import Dialects, RoutedCall
 from .._lifecycle import Lifecycle
@@ -42,7 +42,7 @@
 
 
 @attrs.define(repr=False)
-class RequestIdGenerator(Shown):
+class RequestIdGenerator(ReprMixin):
     """Generates ids that are unique across hosts and across restarts of a host."""
 
     host: str
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen(repr=False)
-class EntryContext(Shown):
+class EntryContext(ReprMixin):
     """The components of the daemon that request handlers use."""
 
     settings: Settings
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -8,7 +8,7 @@
 import orjson
 
 from rampwick_policy import AttemptAccepted, AttemptDelivered, Dispatch, Outcome
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._dialects import read_request_rate, read_signals
 from .._errors import AttemptError
@@ -31,7 +31,7 @@
 
 
 @attrs.define(repr=False)
-class ReceivedResponse(Shown):
+class ReceivedResponse(ReprMixin):
     """The content of a response received so far."""
 
     usage: dict[str, Any] | None = None
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen(repr=False)
-class RelayTarget(Shown):
+class RelayTarget(ReprMixin):
     """The request whose response is relayed."""
 
     context: EntryContext
--- a/packages/rampwick-router/src/rampwick_router/entry/_stream_tokens.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_stream_tokens.py
@@ -13,7 +13,7 @@
 import attrs
 import msgpack
 
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 SIGNATURE_BYTES = 12
 
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen(repr=False)
-class StreamReference(Shown):
+class StreamReference(ReprMixin):
     """The location of a response stream."""
 
     workspace: str
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from rampwick_platform import sleep_on_grid
+from rampwick_platform import sleep_aligned
 from rampwick_policy import (
     CacheChanges,
     CacheGeneration,
@@ -20,7 +20,7 @@
     part_key,
     store_generation,
 )
-from rampwick_schema import DataError, Shown
+from rampwick_schema import DataError, ReprMixin
 
 from .._dialects import CacheDialect, CacheEvents
 from .._errors import AttemptError
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen(repr=False)
-class CacheSource(Shown):
+class CacheSource(ReprMixin):
     """A cache whose events are read."""
 
     name: str
@@ -84,7 +84,7 @@
 
 
 @attrs.define(repr=False)
-class EventBacklog(Shown):
+class EventBacklog(ReprMixin):
     """Combined effect of the events from before this host caught up, for peers.
 
     Engines retain thousands of events but hold only dozens of entries. Sent one by one,
@@ -114,7 +114,7 @@
 
 
 @attrs.define(repr=False)
-class ReadState(Shown):
+class ReadState(ReprMixin):
     """Progress of reading one cache."""
 
     epoch: int | None = None
@@ -164,7 +164,7 @@
                 for source in wanted - self._scopes.keys():
                     scope = self._scopes[source] = anyio.CancelScope()
                     tasks.start_soon(self._follow, source, scope)
-                await sleep_on_grid(self._scheduler.run_query(self._pause_seconds))
+                await sleep_aligned(self._scheduler.run_query(self._pause_seconds))
 
     @property
     def is_caught_up(self) -> bool:
@@ -229,7 +229,7 @@
                     self._note_caught_up(source, state)
                     await anyio.sleep(FAILURE_PAUSE_SECONDS)
                 self._note_caught_up(source, state)
-                await sleep_on_grid(POLL_INTERVAL_SECONDS)
+                await sleep_aligned(POLL_INTERVAL_SECONDS)
 
     async def _poll_limited(self, source: CacheSource, state: ReadState) -> bool:
         """Poll for the next events; polls for backlogs are limited in concurrency."""
--- a/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_channels.py
@@ -14,9 +14,9 @@
 import attrs
 import h11
 
-from rampwick_platform import sleep_on_grid
+from rampwick_platform import sleep_aligned
 from rampwick_policy import Outcome
-from rampwick_schema import Shown
+from rampwick_schema import ReprMixin
 
 from .._errors import AttemptError
 from .._headers import RawHeaders, ResponseHead
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Channel(Shown):
+class Channel(ReprMixin):
     """One connection to an upstream."""
 
     peer: str
@@ -181,7 +181,7 @@
 
 
 @attrs.define(repr=False)
-class _UpstreamChannels(Shown):
+class _UpstreamChannels(ReprMixin):
     """Connections to one incarnation of an upstream."""
 
     idle: list[Channel] = attrs.field(factory=list)
@@ -279,7 +279,7 @@
     async def sweep(self) -> None:
         """Close expired idle connections periodically until cancelled."""
         while True:
-            await sleep_on_grid(SWEEP_SECONDS)
+            await sleep_aligned(SWEEP_SECONDS)
             for upstream, channels in list(self._by_upstream.items()):
                 self._close_expired(channels)
                 if not channels.open_count:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,8 +7,8 @@
 from testtools import TestCase
 
 from rampwick_platform import (
-    AnswerLostError,
     HttpObjectApi,
+    OutcomeUnknownError,
     PlatformError,
     TreeStore,
 )
@@ -380,4 +380,4 @@
                 await api.get("x")
 
         error = self.assertRaises(PlatformError, anyio.run, run)
-        self.assertNotIsInstance(error, AnswerLostError)
+        self.assertNotIsInstance(error, OutcomeUnknownError)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 from testtools import TestCase
 
-from rampwick_platform import on_grid
+from rampwick_platform import align_delay
 from rampwick_policy import (
     Member,
     MemberTable,
@@ -258,7 +258,7 @@
         for offset, period_seconds in enumerate(periods):
             now_seconds = 1000.0 + 0.013 * offset
             while now_seconds < 1000.0 + length_seconds:
-                now_seconds += on_grid(period_seconds, now_seconds)
+                now_seconds += align_delay(period_seconds, now_seconds)
                 times.add(round(now_seconds, 6))
         return times
 
@@ -272,8 +272,8 @@
             self.assertAlmostEqual(60.0 / period_seconds, count, delta=count / 4)
 
     def test_short_and_infinite_waits_are_unchanged(self):
-        self.assertEqual(0.05, on_grid(0.05, 7.0))
-        self.assertEqual(math.inf, on_grid(math.inf, 7.0))
+        self.assertEqual(0.05, align_delay(0.05, 7.0))
+        self.assertEqual(math.inf, align_delay(math.inf, 7.0))
 
 
 class MemberUpdatesTest(TestCase):
