--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -8,7 +8,7 @@
 import anyio
 import attrs
 import httpx
-from tests.history import CallerSaw, read_error, read_stream
+from tests.history import ObservedResponse, read_error, read_stream
 
 from ._fleet import KEY, MODEL
 
@@ -35,7 +35,7 @@
 
     kind: str
     host: str
-    saw: CallerSaw
+    saw: ObservedResponse
     began_seconds: float
     ended_seconds: float
     #: Whether the connection ended without a whole answer.
@@ -100,7 +100,7 @@
     def _lost(
         self, kind: str, host: str, text: str, began_seconds: float, **how: Any
     ) -> Call:
-        saw = CallerSaw(prompt=text, status=0)
+        saw = ObservedResponse(prompt=text, status=0)
         return Call(kind, host, saw, began_seconds, time.monotonic(), **how)
 
     async def _exchange(self, kind: str, host: str, text: str) -> httpx.Response:
@@ -133,13 +133,13 @@
         return await client.post("/v1/completions", json=body, headers=headers)
 
 
-def _read(kind: str, text: str, answer: httpx.Response, key: str) -> CallerSaw:
+def _read(kind: str, text: str, answer: httpx.Response, key: str) -> ObservedResponse:
     if kind not in ("read", "write"):
         return read_stream(text, answer.status_code, answer.content, key=key)
     if answer.status_code != 200:
         return read_error(text, answer.status_code, answer.content)
     is_whole = answer.json().get("bytes") == len(text)
-    return CallerSaw(prompt=text, status=200, is_whole=is_whole)
+    return ObservedResponse(prompt=text, status=200, is_whole=is_whole)
 
 
 def marked(calls: Sequence[Call]) -> set[str]:
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -8,8 +8,8 @@
 
 import attrs
 from tests.history import (
-    Observed,
-    RunnerSaw,
+    ObservedAttempt,
+    ObservedRevision,
     check_answers,
     check_at_most_once,
     check_cache,
@@ -50,14 +50,14 @@
     """All that a run saw."""
 
     calls: list[Call] = attrs.field(factory=list)
-    attempts: list[RunnerSaw] = attrs.field(factory=list)
+    attempts: list[ObservedAttempt] = attrs.field(factory=list)
     #: Steady time at which each attempt came in, by its id.
     started: dict[str, float] = attrs.field(factory=dict)
     #: Texts of the calls that the plain service ran.
     service_runs: list[str] = attrs.field(factory=list)
     #: Fencing numbers of the orders that each runner took, in their order.
     orders: dict[str, list[int]] = attrs.field(factory=dict)
-    revisions: list[Observed] = attrs.field(factory=list)
+    revisions: list[ObservedRevision] = attrs.field(factory=list)
     deeds: list[Deed] = attrs.field(factory=list)
     #: What else was found while the run went on.
     noted: list[str] = attrs.field(factory=list)
@@ -163,11 +163,13 @@
     ]
 
 
-def _life(attempt: RunnerSaw) -> tuple[str, str]:
+def _life(attempt: ObservedAttempt) -> tuple[str, str]:
     return attempt.runner, attempt.incarnation
 
 
-def _is_uninformed(seen: Seen, attempt: RunnerSaw, announced_seconds: float) -> bool:
+def _is_uninformed(
+    seen: Seen, attempt: ObservedAttempt, announced_seconds: float
+) -> bool:
     """Return whether anything kept the announcement from the host of an attempt."""
     until_seconds = seen.started[attempt.attempt_id]
     meanwhile = Deed("", attempt.runner, announced_seconds, until_seconds)
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -299,7 +299,7 @@
         return self._fleet.to_platform[self._host(fault, deed).name]
 
     async def _strand(self, proxy: Proxy) -> None:
-        proxy.strand()
+        proxy.blackhole_connections()
         # What rests on a dead connection breaks only once that is noticed.
         await anyio.sleep(NOTICE_SECONDS)
 
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -69,7 +69,7 @@
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             raw.shutdown(socket.SHUT_RD)
 
-    def strand(self) -> None:
+    def blackhole_connections(self) -> None:
         """Have all connections that are open now be silent for good.
 
         Neither end hears of it: what it sends is taken and lost, also its end.
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -9,7 +9,7 @@
 import anyio
 import attrs
 import httpx
-from tests.history import Observed, RunnerSaw
+from tests.history import ObservedAttempt, ObservedRevision
 
 from rampwick_platform import TreeStore
 from rampwick_schema import Node, NodeEdit
@@ -170,7 +170,7 @@
         process = next(host for host in self._fleet.hosts if host.name == name).process
         life = f"{name}/{process.pid if process else 0}"
         era = status["revision_era"] or 0
-        self._seen.revisions.append(Observed(life, status["revision"], era))
+        self._seen.revisions.append(ObservedRevision(life, status["revision"], era))
 
     async def _await_recovery(self, when: str) -> None:
         """Wait until everything is well; what is not in time is a violation."""
@@ -233,7 +233,9 @@
             for item in told["attempts"]:
                 seen.started[item["attempt_id"]] = item.pop("started_at_seconds")
                 text = item.pop("text").encode()
-                seen.attempts.append(RunnerSaw(runner=runner.name, text=text, **item))
+                seen.attempts.append(
+                    ObservedAttempt(runner=runner.name, text=text, **item)
+                )
         seen.service_runs += await self._fleet.ask(self._fleet.service.port, "/seen")
 
 
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -25,7 +25,7 @@
     serve_app,
 )
 
-from .history import CallerSaw, RunnerSaw, read_stream
+from .history import ObservedAttempt, ObservedResponse, read_stream
 
 KEY = "key-labels"
 OTHER_KEY = "key-drafts"
@@ -95,7 +95,7 @@
     addresses: Addresses
     client: httpx.AsyncClient
 
-    async def stream(self, prompt: str, **options) -> CallerSaw:
+    async def stream(self, prompt: str, **options) -> ObservedResponse:
         """Send a streamed request and return what its caller saw."""
         return await send_stream(self.client, prompt, **options)
 
@@ -136,7 +136,7 @@
     key: str = KEY,
     headers: dict[str, str] | None = None,
     max_tokens: int = 4,
-) -> CallerSaw:
+) -> ObservedResponse:
     """Send a streamed request and return what its caller saw."""
     body = {
         "model": "lektor",
@@ -226,10 +226,10 @@
             ) as client:
                 yield Host(daemon, addresses, client)
 
-    def attempts(self) -> list[RunnerSaw]:
+    def attempts(self) -> list[ObservedAttempt]:
         """Return what all runners saw of attempts, over all their lives."""
         return [
-            RunnerSaw(
+            ObservedAttempt(
                 runner=name,
                 attempt_id=stream.attempt_id,
                 text=stream.request.text,
--- a/tests/history.py
+++ b/tests/history.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class CallerSaw:
+class ObservedResponse:
     """One request as its caller saw it."""
 
     prompt: str
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class RunnerSaw:
+class ObservedAttempt:
     """One attempt as an engine saw it."""
 
     runner: str
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Observed:
+class ObservedRevision:
     """One look at a host's revision in force."""
 
     host: str
@@ -62,7 +62,7 @@
     return tuple(answer_token(prompt.encode(), at) for at in range(count))
 
 
-def check_answers(seen: Iterable[CallerSaw], count: int) -> list[str]:
+def check_answers(seen: Iterable[ObservedResponse], count: int) -> list[str]:
     """Each answer that calls itself whole is its own prompt's, whole, in order."""
     found = []
     for saw in seen:
@@ -82,7 +82,7 @@
     return [f"{name} ran {counts[name]} times" for name in once if counts[name] > 1]
 
 
-def check_not_run(seen: Iterable[CallerSaw], runs: Sequence[str]) -> list[str]:
+def check_not_run(seen: Iterable[ObservedResponse], runs: Sequence[str]) -> list[str]:
     """What was refused as not run is found in no upstream's list of runs."""
     ran = set(runs)
     return [
@@ -92,7 +92,9 @@
     ]
 
 
-def check_final_answers(seen: Sequence[CallerSaw], sent: Iterable[str]) -> list[str]:
+def check_final_answers(
+    seen: Sequence[ObservedResponse], sent: Iterable[str]
+) -> list[str]:
     """Each request that was sent has exactly one final answer."""
     counts = Counter(saw.prompt for saw in seen)
     return [
@@ -102,7 +104,7 @@
     ]
 
 
-def check_cache(attempts: Iterable[RunnerSaw]) -> list[str]:
+def check_cache(attempts: Iterable[ObservedAttempt]) -> list[str]:
     """No attempt uses entries that other weights computed.
 
     Where the engine does not tell which ones did, they are taken to be those under
@@ -119,7 +121,7 @@
     return found
 
 
-def check_revisions(observed: Iterable[Observed]) -> list[str]:
+def check_revisions(observed: Iterable[ObservedRevision]) -> list[str]:
     """No host's revision ever falls, unless the store was restored in between."""
     found = []
     highest: dict[str, tuple[int, int]] = {}
@@ -131,7 +133,7 @@
     return found
 
 
-def read_stream(prompt: str, status: int, body: bytes, **fields) -> CallerSaw:
+def read_stream(prompt: str, status: int, body: bytes, **fields) -> ObservedResponse:
     """Return what a caller saw of a streamed answer to a text completion."""
     if status != 200:
         return read_error(prompt, status, body, **fields)
@@ -149,7 +151,7 @@
             error = parsed.get("error", error)
             for choice in parsed.get("choices", []):
                 tokens.append(choice["text"])
-    return CallerSaw(
+    return ObservedResponse(
         prompt=prompt,
         status=status,
         tokens=tuple(tokens),
@@ -160,10 +162,10 @@
     )
 
 
-def read_error(prompt: str, status: int, body: bytes, **fields) -> CallerSaw:
+def read_error(prompt: str, status: int, body: bytes, **fields) -> ObservedResponse:
     """Return what a caller saw of an error."""
     error = orjson.loads(body)["error"]
-    return CallerSaw(
+    return ObservedResponse(
         prompt=prompt,
         status=status,
         error_code=error["code"],
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -30,7 +30,7 @@
 from .bench import until
 from .case import ScenarioCase
 from .fakes import FakeApi
-from .history import Observed, check_revisions
+from .history import ObservedRevision, check_revisions
 
 
 def set_weight(path, weight):
@@ -194,14 +194,14 @@
                 await bench_edit_directly(bench)
                 bench.platform.set_faults(PlatformFaults())
                 await until(lambda: follower.revision == 2)
-                looks.append(Observed("entry-1", follower.revision))
+                looks.append(ObservedRevision("entry-1", follower.revision))
                 # An old state answers now, again and again.
                 bench.platform._stale_store = ObjectStore()
                 bench.platform.faults = PlatformFaults(is_stale=True)
                 for _ in range(3):
                     task = host.daemon._configuration
                     await task.source._load(task)
-                    looks.append(Observed("entry-1", follower.revision))
+                    looks.append(ObservedRevision("entry-1", follower.revision))
             return looks
 
         return self.run_scenario(scenario)
@@ -280,7 +280,7 @@
             else:
                 some = data.draw(st.lists(st.sampled_from(changes), max_size=4))
                 follower.offer_changes(some, "peer")
-            looks.append(Observed("h", follower.revision))
+            looks.append(ObservedRevision("h", follower.revision))
         self.assertEqual([], check_revisions(looks))
         follower.offer_changes(changes, "peer")
         self.assertEqual(trees[-1], follower.view.tree)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -4,9 +4,9 @@
 import testtools
 
 from .history import (
-    CallerSaw,
-    Observed,
-    RunnerSaw,
+    ObservedAttempt,
+    ObservedResponse,
+    ObservedRevision,
     check_answers,
     check_at_most_once,
     check_cache,
@@ -19,22 +19,24 @@
 WHOLE = expected_tokens("p", 3)
 
 
-def attempt(attempt_id: str, salt: str, cached: int, weights: int) -> RunnerSaw:
-    return RunnerSaw("r", attempt_id, b"", salt, cached, weights, "life")
+def attempt(attempt_id: str, salt: str, cached: int, weights: int) -> ObservedAttempt:
+    return ObservedAttempt("r", attempt_id, b"", salt, cached, weights, "life")
 
 
 class CheckersTest(testtools.TestCase):
     def test_whole_answer_passes(self):
-        self.assertEqual([], check_answers([CallerSaw("p", 200, WHOLE, True)], 3))
+        self.assertEqual(
+            [], check_answers([ObservedResponse("p", 200, WHOLE, True)], 3)
+        )
 
     def test_answers_that_break_the_promise_are_found(self):
         broken = [
-            CallerSaw("p", 200, WHOLE[:2], True),
-            CallerSaw("p", 200, WHOLE[::-1], True),
-            CallerSaw("p", 200, (*WHOLE, WHOLE[2]), True),
-            CallerSaw("p", 200, expected_tokens("other", 3), True),
-            CallerSaw("p", 200, WHOLE[:2], False),
-            CallerSaw("p", 200, (WHOLE[0], WHOLE[2]), False, "stream_lost"),
+            ObservedResponse("p", 200, WHOLE[:2], True),
+            ObservedResponse("p", 200, WHOLE[::-1], True),
+            ObservedResponse("p", 200, (*WHOLE, WHOLE[2]), True),
+            ObservedResponse("p", 200, expected_tokens("other", 3), True),
+            ObservedResponse("p", 200, WHOLE[:2], False),
+            ObservedResponse("p", 200, (WHOLE[0], WHOLE[2]), False, "stream_lost"),
         ]
         for saw in broken:
             self.assertNotEqual([], check_answers([saw], 3), saw)
@@ -44,14 +46,14 @@
         self.assertNotEqual([], check_at_most_once(["a", "b", "b"], ["b"]))
 
     def test_run_behind_a_refusal_is_found(self):
-        saw = CallerSaw("p", 503, error_code="x", was_run="no")
+        saw = ObservedResponse("p", 503, error_code="x", was_run="no")
         self.assertEqual([], check_not_run([saw], ["q"]))
         self.assertNotEqual([], check_not_run([saw], ["p"]))
-        maybe = CallerSaw("p", 502, error_code="x", was_run="maybe")
+        maybe = ObservedResponse("p", 502, error_code="x", was_run="maybe")
         self.assertEqual([], check_not_run([maybe], ["p"]))
 
     def test_missing_and_second_answers_are_found(self):
-        saw = CallerSaw("p", 200, WHOLE, True)
+        saw = ObservedResponse("p", 200, WHOLE, True)
         self.assertEqual([], check_final_answers([saw], ["p"]))
         self.assertNotEqual([], check_final_answers([], ["p"]))
         self.assertNotEqual([], check_final_answers([saw, saw], ["p"]))
@@ -69,6 +71,10 @@
         self.assertNotEqual([], check_cache([first, stale]))
 
     def test_falling_revision_is_found(self):
-        looks = [Observed("h", 1), Observed("g", 5), Observed("h", 2)]
+        looks = [
+            ObservedRevision("h", 1),
+            ObservedRevision("g", 5),
+            ObservedRevision("h", 2),
+        ]
         self.assertEqual([], check_revisions(looks))
-        self.assertNotEqual([], check_revisions([*looks, Observed("h", 1)]))
+        self.assertNotEqual([], check_revisions([*looks, ObservedRevision("h", 1)]))
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -224,7 +224,7 @@
                 peers = [lambda: self.names(one), lambda: self.names(two)]
                 await until(lambda: all(names() for names in peers))
                 for proxy in (first, second):
-                    proxy.strand()
+                    proxy.blackhole_connections()
                 await until(lambda: not any(names() for names in peers))
                 await until(lambda: all(names() for names in peers))
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -24,7 +24,12 @@
 from soak._run import Terms, play
 from testtools import TestCase
 
-from .history import CallerSaw, Observed, RunnerSaw, expected_tokens
+from .history import (
+    ObservedAttempt,
+    ObservedResponse,
+    ObservedRevision,
+    expected_tokens,
+)
 
 #: The run that CI plays: few processes, few faults, always the same seed.
 CI_TERMS = Terms(seed=11, size=Size(2, 2, 3), chaos_seconds=3.0, faults_count=4)
@@ -37,7 +42,7 @@
         "is_whole": True,
     }
     fields = {name: options.pop(name) for name in list(options) if name in SAW}
-    saw = CallerSaw(prompt=prompt, **{**saw, **fields})
+    saw = ObservedResponse(prompt=prompt, **{**saw, **fields})
     return Call(kind, "e0", saw, at, at + 0.5, **options)
 
 
@@ -52,11 +57,13 @@
     "runner_link_one_way"
 )
 
-SAW = {field.name for field in attrs.fields(CallerSaw)}
+SAW = {field.name for field in attrs.fields(ObservedResponse)}
 
 
 def run(prompt, attempt="a.1", runner="r0", salt="s", cached=0, weights=1):
-    return RunnerSaw(runner, attempt, prompt.encode(), salt, cached, weights, "one")
+    return ObservedAttempt(
+        runner, attempt, prompt.encode(), salt, cached, weights, "one"
+    )
 
 
 class CheckersTest(TestCase):
@@ -128,9 +135,9 @@
         self.assertNotEqual([], self.violations(attempts=attempts))
 
     def test_a_revision_that_falls_within_a_life_is_caught(self):
-        fall = [Observed("e0/1", 5), Observed("e0/1", 4)]
+        fall = [ObservedRevision("e0/1", 5), ObservedRevision("e0/1", 4)]
         self.assertNotEqual([], self.violations(revisions=fall))
-        restart = [Observed("e0/1", 5), Observed("e0/2", 4)]
+        restart = [ObservedRevision("e0/1", 5), ObservedRevision("e0/2", 4)]
         self.assertEqual([], self.violations(revisions=restart))
 
     def test_an_old_holders_order_is_caught(self):
