--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -10,9 +10,9 @@
 from tests.history import (
     ObservedAttempt,
     ObservedRevision,
-    check_answers,
     check_at_most_once,
     check_cache,
+    check_responses,
     check_revisions,
 )
 
@@ -79,7 +79,7 @@
     ]
     found = [
         *seen.noted,
-        *check_answers(answers, ANSWER_TOKENS),
+        *check_responses(answers, ANSWER_TOKENS),
         *check_services(seen.calls),
         *check_at_most_once(seen.runs, marked(seen.calls)),
         *check_refusals(seen.calls, seen.runs),
--- a/tests/history.py
+++ b/tests/history.py
@@ -62,7 +62,7 @@
     return tuple(answer_token(prompt.encode(), at) for at in range(count))
 
 
-def check_answers(seen: Iterable[ObservedResponse], count: int) -> list[str]:
+def check_responses(seen: Iterable[ObservedResponse], count: int) -> list[str]:
     """Each answer that calls itself whole is its own prompt's, whole, in order."""
     found = []
     for saw in seen:
@@ -92,7 +92,7 @@
     ]
 
 
-def check_final_answers(
+def check_final_responses(
     seen: Sequence[ObservedResponse], sent: Iterable[str]
 ) -> list[str]:
     """Each request that was sent has exactly one final answer."""
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -7,11 +7,11 @@
     ObservedAttempt,
     ObservedResponse,
     ObservedRevision,
-    check_answers,
     check_at_most_once,
     check_cache,
-    check_final_answers,
+    check_final_responses,
     check_not_run,
+    check_responses,
     check_revisions,
     expected_tokens,
 )
@@ -26,7 +26,7 @@
 class CheckersTest(testtools.TestCase):
     def test_whole_answer_passes(self):
         self.assertEqual(
-            [], check_answers([ObservedResponse("p", 200, WHOLE, True)], 3)
+            [], check_responses([ObservedResponse("p", 200, WHOLE, True)], 3)
         )
 
     def test_answers_that_break_the_promise_are_found(self):
@@ -39,7 +39,7 @@
             ObservedResponse("p", 200, (WHOLE[0], WHOLE[2]), False, "stream_lost"),
         ]
         for saw in broken:
-            self.assertNotEqual([], check_answers([saw], 3), saw)
+            self.assertNotEqual([], check_responses([saw], 3), saw)
 
     def test_second_run_is_found(self):
         self.assertEqual([], check_at_most_once(["a", "b", "b"], ["a"]))
@@ -54,9 +54,9 @@
 
     def test_missing_and_second_answers_are_found(self):
         saw = ObservedResponse("p", 200, WHOLE, True)
-        self.assertEqual([], check_final_answers([saw], ["p"]))
-        self.assertNotEqual([], check_final_answers([], ["p"]))
-        self.assertNotEqual([], check_final_answers([saw, saw], ["p"]))
+        self.assertEqual([], check_final_responses([saw], ["p"]))
+        self.assertNotEqual([], check_final_responses([], ["p"]))
+        self.assertNotEqual([], check_final_responses([saw, saw], ["p"]))
 
     def test_entry_of_older_weights_is_found(self):
         fine = [attempt("a", "s", 0, 1), attempt("b", "s", 16, 1)]
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -20,7 +20,7 @@
 
 from .bench import KEY, until
 from .case import ScenarioCase
-from .history import check_answers, check_at_most_once, check_not_run
+from .history import check_at_most_once, check_not_run, check_responses
 
 ONCE = {"Rampwick-Repeat": "never"}
 
@@ -163,7 +163,7 @@
     def test_caller_repeats_over_several_hosts_at_once(self):
         seen, ran = self.repeat_over_hosts()
         self.assert_holds(check_at_most_once(ran, ["write 7"]))
-        self.assert_holds(check_answers(seen, 4))
+        self.assert_holds(check_responses(seen, 4))
         self.assertEqual(1, sum(saw.is_whole for saw in seen))
         others = {saw.error_code for saw in seen if not saw.is_whole}
         self.assertEqual({"key_already_used"}, others)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -23,7 +23,7 @@
 
 from .bench import KEY, hash_key, until
 from .case import ScenarioCase
-from .history import check_answers, check_final_answers
+from .history import check_final_responses, check_responses
 
 LENGTH = 10
 
@@ -138,8 +138,8 @@
 
         sent, seen, open_count, late = self.run_scenario(scenario)
         self.assertEqual(0, open_count)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assert_holds(check_final_answers(seen, sent))
+        self.assert_holds(check_responses(seen, LENGTH))
+        self.assert_holds(check_final_responses(seen, sent))
         self.assertTrue(all(saw.is_whole for saw in seen))
         self.assertEqual(("leaving", "no"), (late.error_code, late.was_run))
 
@@ -173,8 +173,8 @@
             return sent, seen
 
         sent, seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assert_holds(check_final_answers(seen, sent))
+        self.assert_holds(check_responses(seen, LENGTH))
+        self.assert_holds(check_final_responses(seen, sent))
         self.assertTrue(all(saw.is_whole for saw in seen))
 
     def test_second_signal_ends_open_streams_with_a_word(self):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -13,7 +13,7 @@
 
 from .bench import KEY, OTHER_KEY, until
 from .case import ScenarioCase
-from .history import check_answers, check_final_answers, read_stream
+from .history import check_final_responses, check_responses, read_stream
 
 LENGTH = 6
 
@@ -37,7 +37,7 @@
 
     def test_stream_cut_at_every_position_is_resumed_or_ends_with_an_error(self):
         seen = self.cut_everywhere()
-        self.assert_holds(check_answers(seen, LENGTH))
+        self.assert_holds(check_responses(seen, LENGTH))
         # Three resumes carry a stream over cuts after every second event or more.
         self.assertEqual([True] * 5, [saw.is_whole for saw in seen[1:]])
 
@@ -54,7 +54,7 @@
         return self.run_scenario(scenario)
 
     def test_repeated_event_is_delivered_once(self):
-        self.assert_holds(check_answers(self.repeat_an_event(), LENGTH))
+        self.assert_holds(check_responses(self.repeat_an_event(), LENGTH))
 
     def test_relay_without_order_is_caught(self):
         def admit_all(self, event):
@@ -63,7 +63,7 @@
 
         with mock.patch.object(SequenceFilter, "admit", admit_all):
             seen = self.repeat_an_event()
-        self.assertNotEqual([], check_answers(seen, LENGTH))
+        self.assertNotEqual([], check_responses(seen, LENGTH))
 
     def test_engine_that_dies_in_mid_stream_ends_it_with_an_explicit_error(self):
         async def scenario(bench):
@@ -83,7 +83,7 @@
             return seen
 
         (saw,) = self.run_scenario(scenario)
-        self.assert_holds(check_answers([saw], LENGTH))
+        self.assert_holds(check_responses([saw], LENGTH))
         self.assertFalse(saw.is_whole)
         self.assertEqual("upstream_failed", saw.error_code)
 
@@ -111,7 +111,7 @@
             return seen
 
         seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
+        self.assert_holds(check_responses(seen, LENGTH))
         self.assertTrue(seen[0].is_whole)
 
 
@@ -165,7 +165,7 @@
             got, rest, stranger, forged = self.run_scenario(scenario)
         self.assertEqual(200, rest.status_code, rest.text)
         saw = read_stream("moving", 200, got + rest.content)
-        self.assert_holds(check_answers([saw], LENGTH))
+        self.assert_holds(check_responses([saw], LENGTH))
         self.assertTrue(saw.is_whole)
         self.assertEqual(410, stranger.status_code)
         self.assertEqual(410, forged.status_code)
@@ -184,7 +184,7 @@
 
         got, rest = self.run_scenario(scenario)
         saw = read_stream("orphan", rest.status_code, got + rest.content)
-        self.assert_holds(check_answers([saw], LENGTH))
+        self.assert_holds(check_responses([saw], LENGTH))
         self.assertTrue(saw.is_whole)
 
     def test_resumed_twice_at_once_gives_both_the_same(self):
@@ -210,7 +210,7 @@
             "rampwick_router.upstream._client.UpstreamClient.cancel", do_nothing
         ):
             seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
+        self.assert_holds(check_responses(seen, LENGTH))
         self.assertTrue(all(saw.is_whole for saw in seen))
 
 
@@ -233,8 +233,8 @@
             return sent, seen
 
         sent, seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
-        self.assert_holds(check_final_answers(seen, sent))
+        self.assert_holds(check_responses(seen, LENGTH))
+        self.assert_holds(check_final_responses(seen, sent))
         self.assertTrue(all(saw.is_whole for saw in seen))
 
     def test_answer_to_another_attempt_is_not_passed_on(self):
@@ -263,7 +263,7 @@
             return seen
 
         seen = self.run_scenario(scenario)
-        self.assert_holds(check_answers(seen, LENGTH))
+        self.assert_holds(check_responses(seen, LENGTH))
         self.assertTrue(seen[0].is_whole)
 
     def test_caller_that_goes_away_has_its_attempt_cancelled(self):
