--- a/tests/history.py
+++ b/tests/history.py
@@ -1,7 +1,7 @@
-"""Histories of concurrent runs, and one checker for each promise.
+"""Histories of concurrent runs, and one checker for each guarantee.
 
-A history is what callers, runners and services saw. Checkers return the violations
-they find, as sentences; an empty list means that the promise held.
+A history is what callers, runners and services observed. Checkers return a list of
+violations, one message each; it is empty if the guarantee held.
 """
 
 from collections import Counter
@@ -15,15 +15,15 @@
 
 @attrs.frozen
 class ObservedResponse:
-    """One request as its caller saw it."""
+    """One request as its caller observed it."""
 
     prompt: str
     status: int
-    #: Tokens of the answer in the order of their coming.
+    #: Tokens of the response in order of arrival.
     tokens: tuple[str, ...] = ()
-    #: Whether the answer said that it was whole.
+    #: Whether the response was marked complete.
     is_whole: bool = False
-    #: Code of the error that came, if any, and what it said of having run.
+    #: Code of the error, if any, and whether it reports the request as run.
     error_code: str = ""
     was_run: str = ""
     request_id: str = ""
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class ObservedAttempt:
-    """One attempt as an engine saw it."""
+    """One attempt as an engine observed it."""
 
     runner: str
     attempt_id: str
@@ -41,15 +41,15 @@
     cached_tokens: int
     weights_version: int
     incarnation: str
-    #: Oldest weights that computed what was cached, where the engine tells it.
+    #: Oldest weights that computed the cached tokens, if the engine reports it.
     cached_weights_version: int | None = None
-    #: Whether the head of its answer announced the engine's shutdown.
+    #: Whether the head of the response announced the engine's shutdown.
     announced_leaving: bool = False
 
 
 @attrs.frozen
 class ObservedRevision:
-    """One look at a host's revision in force."""
+    """The revision in force on a host at one time."""
 
     host: str
     revision: int
@@ -58,83 +58,91 @@
 
 
 def expected_tokens(prompt: str, count: int) -> tuple[str, ...]:
-    """Return the tokens that the toy engine answers a prompt with."""
+    """Return the tokens of the stand-in engine's response to a prompt."""
     return tuple(answer_token(prompt.encode(), at) for at in range(count))
 
 
-def check_responses(seen: Iterable[ObservedResponse], count: int) -> list[str]:
-    """Each answer that calls itself whole is its own prompt's, whole, in order."""
-    found = []
-    for saw in seen:
-        expected = expected_tokens(saw.prompt, count)
-        if saw.is_whole and saw.tokens != expected:
-            found.append(f"{saw.prompt!r} got {saw.tokens} as a whole answer")
-        if saw.tokens != expected[: len(saw.tokens)]:
-            found.append(f"{saw.prompt!r} got {saw.tokens}, no beginning of its own")
-        if not saw.is_whole and saw.status == 200 and not saw.error_code:
-            found.append(f"{saw.prompt!r} was cut without a word")
-    return found
+def check_responses(responses: Iterable[ObservedResponse], count: int) -> list[str]:
+    """Each response is a prefix of the expected one, or equal if marked complete."""
+    violations = []
+    for response in responses:
+        expected = expected_tokens(response.prompt, count)
+        if response.is_whole and response.tokens != expected:
+            violations.append(
+                f"{response.prompt!r} got {response.tokens} as a complete response"
+            )
+        if response.tokens != expected[: len(response.tokens)]:
+            violations.append(
+                f"{response.prompt!r} got {response.tokens}, no prefix of its response"
+            )
+        if not response.is_whole and response.status == 200 and not response.error_code:
+            violations.append(f"{response.prompt!r} was cut without an error")
+    return violations
 
 
 def check_at_most_once(runs: Sequence[str], once: Iterable[str]) -> list[str]:
-    """Each marked call, named by its text, ran at most once."""
+    """Each call in `once`, named by its text, ran at most once."""
     counts = Counter(runs)
     return [f"{name} ran {counts[name]} times" for name in once if counts[name] > 1]
 
 
-def check_not_run(seen: Iterable[ObservedResponse], runs: Sequence[str]) -> list[str]:
-    """What was refused as not run is found in no upstream's list of runs."""
+def check_not_run(
+    responses: Iterable[ObservedResponse], runs: Sequence[str]
+) -> list[str]:
+    """No request that was refused as not run is in the upstreams' lists of runs."""
     ran = set(runs)
     return [
-        f"{saw.prompt!r} was refused as not run, but ran"
-        for saw in seen
-        if saw.was_run == "no" and saw.prompt in ran
+        f"{response.prompt!r} was refused as not run but ran"
+        for response in responses
+        if response.was_run == "no" and response.prompt in ran
     ]
 
 
 def check_final_responses(
-    seen: Sequence[ObservedResponse], sent: Iterable[str]
+    responses: Sequence[ObservedResponse], sent: Iterable[str]
 ) -> list[str]:
-    """Each request that was sent has exactly one final answer."""
-    counts = Counter(saw.prompt for saw in seen)
+    """Each request that was sent has exactly one final response."""
+    counts = Counter(response.prompt for response in responses)
     return [
-        f"{prompt!r} has {counts[prompt]} answers"
+        f"{prompt!r} has {counts[prompt]} responses"
         for prompt in sent
         if counts[prompt] != 1
     ]
 
 
 def check_cache(attempts: Iterable[ObservedAttempt]) -> list[str]:
-    """No attempt uses entries that other weights computed.
+    """No attempt uses cache entries that other weights computed.
 
-    Where the engine does not tell which ones did, they are taken to be those under
-    which the salt was seen first.
+    If the engine does not report which weights did, the weights of the first attempt
+    with the same salt are assumed.
     """
-    found = []
+    violations = []
     weights_of: dict[str, int] = {}
-    for saw in attempts:
-        known = weights_of.setdefault(saw.salt, saw.weights_version)
-        if saw.cached_weights_version is not None:
-            known = saw.cached_weights_version
-        if saw.cached_tokens and known != saw.weights_version:
-            found.append(f"{saw.attempt_id} used entries of weights {known}")
-    return found
+    for attempt in attempts:
+        computed_by = weights_of.setdefault(attempt.salt, attempt.weights_version)
+        if attempt.cached_weights_version is not None:
+            computed_by = attempt.cached_weights_version
+        if attempt.cached_tokens and computed_by != attempt.weights_version:
+            violations.append(
+                f"{attempt.attempt_id} used cache entries of weights {computed_by}"
+            )
+    return violations
 
 
 def check_revisions(observed: Iterable[ObservedRevision]) -> list[str]:
-    """No host's revision ever falls, unless the store was restored in between."""
-    found = []
+    """No host's revision decreases, unless the store was restored in between."""
+    violations = []
     highest: dict[str, tuple[int, int]] = {}
-    for look in observed:
-        version = (look.store_era, look.revision)
-        if version < highest.get(look.host, (0, 0)):
-            found.append(f"{look.host} went back to revision {look.revision}")
-        highest[look.host] = max(version, highest.get(look.host, (0, 0)))
-    return found
+    for sample in observed:
+        version = (sample.store_era, sample.revision)
+        if version < highest.get(sample.host, (0, 0)):
+            violations.append(f"{sample.host} decreased to revision {sample.revision}")
+        highest[sample.host] = max(version, highest.get(sample.host, (0, 0)))
+    return violations
 
 
 def read_stream(prompt: str, status: int, body: bytes, **fields) -> ObservedResponse:
-    """Return what a caller saw of a streamed answer to a text completion."""
+    """Return what a caller observed of a streamed response to a text completion."""
     if status != 200:
         return read_error(prompt, status, body, **fields)
     tokens = []
@@ -163,7 +171,7 @@
 
 
 def read_error(prompt: str, status: int, body: bytes, **fields) -> ObservedResponse:
-    """Return what a caller saw of an error."""
+    """Return what a caller observed of an error response."""
     error = orjson.loads(body)["error"]
     return ObservedResponse(
         prompt=prompt,
