--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A fault soak: real processes on loopback, faults from outside, promises checked.
+"""Soak test with fault injection: real processes on loopback, faults from outside.
 
-``python -m soak --seed 7`` draws a fleet's troubles from the seed, plays them while
-callers work, and checks what callers and upstreams saw.
+``python -m soak --seed 7`` draws a fault schedule from the seed, injects it while
+callers send requests, and checks what callers and upstreams observed against the
+guarantees.
 """
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -1,6 +1,6 @@
-"""The promises of docs/guarantees.md, checked on what a run saw.
+"""Checks of the guarantees in docs/guarantees.md on the observations of a run.
 
-Each checker returns the violations that it finds, as sentences.
+Each checker returns a list of violations, one message each.
 """
 
 from collections import defaultdict
@@ -16,271 +16,307 @@
     check_revisions,
 )
 
-from ._callers import ANSWER_TOKENS, GUIDE, Call, marked
-from ._faults import PLANNED, Deed
-from ._fleet import DEADLY_TEXT
+from ._callers import RESPONSE_TOKENS, SHARED_PREFIX, Call, at_most_once_prompts
+from ._faults import PLANNED, InjectedFault
+from ._fleet import CRASHING_PROMPT
 
-#: Time for which planned work must have been alone for a cut to count against it.
-CALM_SECONDS = 2.0
+#: Time before a request without unplanned faults for a cut to count as a violation.
+PLANNED_ONLY_SECONDS = 2.0
 
-#: Time after which a leaving runner gets no new work.
-LEAVE_SECONDS = 2.0
+#: Time after which hosts send no new requests to a draining runner.
+DRAINING_KNOWN_SECONDS = 2.0
 
-#: Runs of a deadly prompt that are allowed before all hosts know, and after that; and
-#: the time within which they are to know.
-DEADLY_RUNS = 3
-TOLD_SECONDS = 3.0
+#: Allowed runs of the crashing prompt, once before all hosts have received the crash
+#: reports and once after, and the time within which they must have received them.
+ALLOWED_CRASHING_RUNS = 3
+CRASHES_KNOWN_SECONDS = 3.0
 
-#: What a runner that names a rate may get within a window, and from when on.
+#: Bound on the requests in any window to a runner that reports a rate limit: the limit
+#: times a tolerance, plus a slack. It applies once all hosts must have received the
+#: limit.
 RATE_KNOWN_SECONDS = 3.0
 RATE_WINDOW_SECONDS = 4.0
-RATE_OVER_RATIO = 1.5
+RATE_TOLERANCE_RATIO = 1.5
 RATE_SLACK_COUNT = 5
 
-#: Time after the first answer that announces a shutdown from which on no host may send
-#: to that runner: peers are sent it at once, and once more a second later.
-DEPARTURE_KNOWN_SECONDS = 2.0
+#: Time from the first response that announces a shutdown until no host may send to
+#: that runner: the announcement is sent to peers at once and again a second later.
+SHUTDOWN_KNOWN_SECONDS = 2.0
 
-#: Time beyond its deadline by which a caller must have had its final answer.
-ANSWER_SLACK_SECONDS = 4.0
+#: Time beyond its deadline within which a caller must have its final response.
+RESPONSE_SLACK_SECONDS = 4.0
 
 
 @attrs.define
-class Seen:
-    """All that a run saw."""
+class RunObservations:
+    """Everything that was observed in a run."""
 
     calls: list[Call] = attrs.field(factory=list)
     attempts: list[ObservedAttempt] = attrs.field(factory=list)
-    #: Steady time at which each attempt came in, by its id.
+    #: Monotonic time at which each attempt arrived, by attempt id.
     started: dict[str, float] = attrs.field(factory=dict)
-    #: Texts of the calls that the plain service ran.
+    #: Bodies of the calls that the plain service ran.
     service_runs: list[str] = attrs.field(factory=list)
-    #: Fencing numbers of the orders that each runner took, in their order.
+    #: Fencing numbers of the orders that each runner accepted, in order of arrival.
     orders: dict[str, list[int]] = attrs.field(factory=dict)
     revisions: list[ObservedRevision] = attrs.field(factory=list)
-    deeds: list[Deed] = attrs.field(factory=list)
-    #: What else was found while the run went on.
-    noted: list[str] = attrs.field(factory=list)
+    injected_faults: list[InjectedFault] = attrs.field(factory=list)
+    #: Violations that were found during the run.
+    found_during_run: list[str] = attrs.field(factory=list)
 
     @property
     def runs(self) -> list[str]:
-        """Text of every run, engines' and the service's."""
+        """Prompt or body of every run on engines and the service."""
         return [attempt.text.decode() for attempt in self.attempts] + self.service_runs
 
 
-def check_all(seen: Seen) -> list[str]:
-    """Return all violations of a run, shortened to what is not shared."""
-    answers = [
-        call.saw
-        for call in seen.calls
+def check_all(observations: RunObservations) -> list[str]:
+    """Return all violations of a run, without the shared prefix of prompts."""
+    responses = [
+        call.observed
+        for call in observations.calls
         if call.kind not in ("read", "write")
         and not call.is_cut
         and not call.is_unreachable
     ]
     found = [
-        *seen.noted,
-        *check_responses(answers, ANSWER_TOKENS),
-        *check_services(seen.calls),
-        *check_at_most_once(seen.runs, marked(seen.calls)),
-        *check_refusals(seen.calls, seen.runs),
-        *check_cache(seen.attempts),
-        *check_revisions(seen.revisions),
-        *check_orders(seen.orders),
-        *check_planned(seen),
-        *check_leaving(seen),
-        *check_deadly(seen),
-        *check_rates(seen),
-        *check_departures(seen),
+        *observations.found_during_run,
+        *check_responses(responses, RESPONSE_TOKENS),
+        *check_services(observations.calls),
+        *check_at_most_once(
+            observations.runs, at_most_once_prompts(observations.calls)
+        ),
+        *check_refusals(observations.calls, observations.runs),
+        *check_cache(observations.attempts),
+        *check_revisions(observations.revisions),
+        *check_orders(observations.orders),
+        *check_planned(observations),
+        *check_draining(observations),
+        *check_crashing_prompt(observations),
+        *check_rates(observations),
+        *check_shutdown_announcements(observations),
     ]
-    return [sentence.replace(GUIDE, "") for sentence in found]
+    return [violation.replace(SHARED_PREFIX, "") for violation in found]
 
 
-def check_deadly(seen: Seen) -> list[str]:
-    """A request that crashes its runners is kept from them, and no other one is."""
+def check_crashing_prompt(observations: RunObservations) -> list[str]:
+    """The crashing prompt is quarantined in time, and no other request is."""
     found = [
-        f"{call.saw.prompt} was stopped by {call.host} as if runners ended under it"
-        for call in seen.calls
-        if call.saw.error_code == "ends_upstreams"
+        f"{call.observed.prompt} was quarantined by {call.host} but crashes no runner"
+        for call in observations.calls
+        if call.observed.error_code == "ends_upstreams"
     ]
     times = sorted(
-        seen.started[attempt.attempt_id]
-        for attempt in seen.attempts
-        if DEADLY_TEXT.encode() in attempt.text
+        observations.started[attempt.attempt_id]
+        for attempt in observations.attempts
+        if CRASHING_PROMPT.encode() in attempt.text
     )
-    if len(times) <= DEADLY_RUNS:
+    if len(times) <= ALLOWED_CRASHING_RUNS:
         return found
-    late = [at for at in times if at > times[DEADLY_RUNS - 1] + TOLD_SECONDS]
-    # Hosts that were all killed at once have forgotten what they knew.
-    has_forgotten = any(deed.kind == "hosts_kill_all" for deed in seen.deeds)
-    if len(late) > DEADLY_RUNS and not has_forgotten:
+    late = [
+        at
+        for at in times
+        if at > times[ALLOWED_CRASHING_RUNS - 1] + CRASHES_KNOWN_SECONDS
+    ]
+    # Hosts that were all killed at once have lost the crash reports.
+    has_lost_reports = any(
+        injected.kind == "hosts_kill_all" for injected in observations.injected_faults
+    )
+    if len(late) > ALLOWED_CRASHING_RUNS and not has_lost_reports:
         found.append(
-            f"a deadly prompt ran {len(times)} times, {len(late)} of them late"
+            f"a crashing prompt ran {len(times)} times, {len(late)} of them late"
         )
     return found
 
 
-def check_rates(seen: Seen) -> list[str]:
-    """A runner that names a rate gets no more from all hosts that go on undisturbed."""
+def check_rates(observations: RunObservations) -> list[str]:
+    """Undisturbed hosts together keep to the rate limit that a runner reports."""
     found = []
-    for deed in seen.deeds:
-        if deed.request_rate is None or _is_disturbed(seen.deeds, deed, "runner_"):
+    for injected in observations.injected_faults:
+        if injected.request_rate is None or _is_target_disturbed(
+            observations.injected_faults, injected, "runner_"
+        ):
             continue
-        known_seconds = deed.began_seconds + RATE_KNOWN_SECONDS
+        known_seconds = injected.began_seconds + RATE_KNOWN_SECONDS
         times = sorted(
-            seen.started[attempt.attempt_id]
-            for attempt in seen.attempts
-            if attempt.runner == deed.target
-            and known_seconds < seen.started[attempt.attempt_id] < deed.ended_seconds
-            and not _is_excused(seen.deeds, attempt.attempt_id, deed)
+            observations.started[attempt.attempt_id]
+            for attempt in observations.attempts
+            if attempt.runner == injected.target
+            and known_seconds
+            < observations.started[attempt.attempt_id]
+            < injected.ended_seconds
+            and not _is_host_disturbed(
+                observations.injected_faults, attempt.attempt_id, injected
+            )
         )
-        most = RATE_OVER_RATIO * deed.request_rate * RATE_WINDOW_SECONDS
-        most += RATE_SLACK_COUNT
+        limit = RATE_TOLERANCE_RATIO * injected.request_rate * RATE_WINDOW_SECONDS
+        limit += RATE_SLACK_COUNT
         for at in times:
             count = sum(at <= other < at + RATE_WINDOW_SECONDS for other in times)
-            if count > most:
+            if count > limit:
                 found.append(
-                    f"{deed.target} takes {deed.request_rate} requests a second and "
-                    f"got {count} in {RATE_WINDOW_SECONDS} s, allowed {most:.0f}"
+                    f"{injected.target} accepts {injected.request_rate} requests/s but "
+                    f"received {count} in {RATE_WINDOW_SECONDS} s, limit {limit:.0f}"
                 )
                 break
     return found
 
 
-def check_departures(seen: Seen) -> list[str]:
-    """No undisturbed host sends to a runner that has announced its shutdown."""
-    first: dict[tuple[str, str], float] = {}
-    for attempt in seen.attempts:
+def check_shutdown_announcements(observations: RunObservations) -> list[str]:
+    """Undisturbed hosts send no request to a runner that announced its shutdown."""
+    first_announced: dict[tuple[str, str], float] = {}
+    for attempt in observations.attempts:
         if attempt.announced_leaving:
-            life, at_seconds = _life(attempt), seen.started[attempt.attempt_id]
-            first[life] = min(at_seconds, first.get(life, at_seconds))
+            key, at_seconds = (
+                _incarnation_key(attempt),
+                observations.started[attempt.attempt_id],
+            )
+            first_announced[key] = min(at_seconds, first_announced.get(key, at_seconds))
     return [
-        f"{attempt.runner} leaves and got {attempt.attempt_id}"
-        for attempt in seen.attempts
-        if (announced_seconds := first.get(_life(attempt))) is not None
-        and seen.started[attempt.attempt_id]
-        > announced_seconds + DEPARTURE_KNOWN_SECONDS
-        and not _is_uninformed(seen, attempt, announced_seconds)
+        f"{attempt.runner} announced its shutdown but received {attempt.attempt_id}"
+        for attempt in observations.attempts
+        if (announced_seconds := first_announced.get(_incarnation_key(attempt)))
+        is not None
+        and observations.started[attempt.attempt_id]
+        > announced_seconds + SHUTDOWN_KNOWN_SECONDS
+        and not _may_lack_announcement(observations, attempt, announced_seconds)
     ]
 
 
-def _life(attempt: ObservedAttempt) -> tuple[str, str]:
+def _incarnation_key(attempt: ObservedAttempt) -> tuple[str, str]:
     return attempt.runner, attempt.incarnation
 
 
-def _is_uninformed(
-    seen: Seen, attempt: ObservedAttempt, announced_seconds: float
+def _may_lack_announcement(
+    observations: RunObservations, attempt: ObservedAttempt, announced_seconds: float
 ) -> bool:
-    """Return whether anything kept the announcement from the host of an attempt."""
-    until_seconds = seen.started[attempt.attempt_id]
-    meanwhile = Deed("", attempt.runner, announced_seconds, until_seconds)
+    """Return whether a fault may have kept the announcement from an attempt's host."""
+    until_seconds = observations.started[attempt.attempt_id]
+    interval = InjectedFault("", attempt.runner, announced_seconds, until_seconds)
     kinds = ("runner_link_", "runner_frozen", "runner_loses_answers")
-    return _is_excused(seen.deeds, attempt.attempt_id, meanwhile) or _is_disturbed(
-        seen.deeds, meanwhile, kinds
-    )
+    return _is_host_disturbed(
+        observations.injected_faults, attempt.attempt_id, interval
+    ) or _is_target_disturbed(observations.injected_faults, interval, kinds)
 
 
-def _is_disturbed(
-    deeds: Iterable[Deed], limited: Deed, kinds: str | tuple[str, ...]
+def _is_target_disturbed(
+    injected_faults: Iterable[InjectedFault],
+    reference: InjectedFault,
+    kinds: str | tuple[str, ...],
 ) -> bool:
-    """Return whether something else was wrong with a runner that named a rate."""
+    """Return whether another fault on the target of `reference` overlapped it."""
     return any(
-        deed is not limited
-        and deed.target == limited.target
-        and deed.kind.startswith(kinds)
-        and deed.began_seconds < limited.ended_seconds
-        and deed.ended_seconds > limited.began_seconds
-        for deed in deeds
+        injected is not reference
+        and injected.target == reference.target
+        and injected.kind.startswith(kinds)
+        and injected.began_seconds < reference.ended_seconds
+        and injected.ended_seconds > reference.began_seconds
+        for injected in injected_faults
     )
 
 
-def _is_excused(deeds: Iterable[Deed], attempt_id: str, limited: Deed) -> bool:
-    """Return whether the host of an attempt was ended, paused or cut off meanwhile."""
+def _is_host_disturbed(
+    injected_faults: Iterable[InjectedFault], attempt_id: str, reference: InjectedFault
+) -> bool:
+    """Return whether an attempt's host was stopped or cut off during `reference`."""
     host = attempt_id.partition("-")[0]
     kinds = ("host_", "hosts_", "peer_link_")
     return any(
-        deed.kind.startswith(kinds)
-        and deed.target in ("", host)
-        and deed.began_seconds < limited.ended_seconds
-        and deed.ended_seconds > limited.began_seconds
-        for deed in deeds
+        injected.kind.startswith(kinds)
+        and injected.target in ("", host)
+        and injected.began_seconds < reference.ended_seconds
+        and injected.ended_seconds > reference.began_seconds
+        for injected in injected_faults
     )
 
 
 def check_services(calls: Iterable[Call]) -> list[str]:
-    """Each good answer of the service is the one to its own call, whole."""
+    """Each successful response of the service is complete and for its own call."""
     return [
-        f"{call.saw.prompt} got another call's answer from {call.host}"
+        f"{call.observed.prompt} got the response to another call from {call.host}"
         for call in calls
         if call.kind in ("read", "write")
-        and call.saw.status == 200
-        and not call.saw.is_whole
+        and call.observed.status == 200
+        and not call.observed.is_whole
     ]
 
 
 def check_refusals(calls: Sequence[Call], runs: Sequence[str]) -> list[str]:
-    """What was refused as not run, in all of its tries, never ran."""
+    """A request whose attempts were all refused as not run never ran."""
     ran = set(runs)
-    words = defaultdict(set)
+    outcomes = defaultdict(set)
     for call in calls:
-        words[call.saw.prompt].add("" if call.is_cut else call.saw.was_run)
+        outcomes[call.observed.prompt].add("" if call.is_cut else call.observed.was_run)
     return [
-        f"{prompt} was refused as not run, but ran"
-        for prompt, said in words.items()
-        if said == {"no"} and prompt in ran
+        f"{prompt} was refused as not run but ran"
+        for prompt, reported in outcomes.items()
+        if reported == {"no"} and prompt in ran
     ]
 
 
 def check_orders(orders: dict[str, list[int]]) -> list[str]:
-    """No runner takes an order of an older holder after one of a newer."""
+    """No runner accepts an order of an older lease holder after one of a newer."""
     return [
-        f"{runner} took orders with fencing numbers {numbers}"
+        f"{runner} accepted orders with fencing numbers {numbers}"
         for runner, numbers in orders.items()
         if numbers != sorted(numbers)
     ]
 
 
-def check_planned(seen: Seen) -> list[str]:
-    """Planned work cuts no request that reached an upstream."""
-    ran = set(seen.runs)
-    # What was sent again, to another host, ran there: a connection that closes as a
-    # request is on its way to it tells nobody what became of the first try.
-    answered = {call.saw.prompt for call in seen.calls if call.saw.status}
+def check_planned(observations: RunObservations) -> list[str]:
+    """Planned operations cut no request that reached an upstream."""
+    ran = set(observations.runs)
+    # A request that was sent again to another host ran there: if the connection closes
+    # while a request is in flight, the outcome of the first attempt is unknown.
+    answered = {
+        call.observed.prompt for call in observations.calls if call.observed.status
+    }
     found = []
-    for call in seen.calls:
-        if not call.is_cut or call.saw.prompt not in ran - answered:
+    for call in observations.calls:
+        if not call.is_cut or call.observed.prompt not in ran - answered:
             continue
-        if _is_calm(seen.deeds, call.began_seconds - CALM_SECONDS, call.ended_seconds):
+        if _is_planned_only(
+            observations.injected_faults,
+            call.began_seconds - PLANNED_ONLY_SECONDS,
+            call.ended_seconds,
+        ):
             found.append(
-                f"{call.saw.prompt} ({call.kind}) was cut by {call.host} in calm times "
-                f"at {call.ended_seconds:.3f} after "
+                f"{call.observed.prompt} ({call.kind}) was cut by {call.host} "
+                f"during planned operations at {call.ended_seconds:.3f} after "
                 f"{call.ended_seconds - call.began_seconds:.3f} s: {call.error}"
             )
     return found
 
 
-def check_leaving(seen: Seen) -> list[str]:
-    """A leaving runner gets nothing new once the word is out."""
+def check_draining(observations: RunObservations) -> list[str]:
+    """Hosts send no new requests to a draining runner once they have its state."""
     found = []
-    for deed in seen.deeds:
-        if deed.kind != "runner_leave" or not deed.target:
+    for injected in observations.injected_faults:
+        if injected.kind != "runner_leave" or not injected.target:
             continue
-        begins = deed.began_seconds + LEAVE_SECONDS
-        if not _is_calm(seen.deeds, deed.began_seconds, deed.ended_seconds):
+        drained_seconds = injected.began_seconds + DRAINING_KNOWN_SECONDS
+        if not _is_planned_only(
+            observations.injected_faults, injected.began_seconds, injected.ended_seconds
+        ):
             continue
         found += [
-            f"{deed.target} was given {attempt.attempt_id} while it was leaving"
-            for attempt in seen.attempts
-            if attempt.runner == deed.target
-            and begins < seen.started[attempt.attempt_id] < deed.ended_seconds
+            f"{injected.target} received {attempt.attempt_id} while it was draining"
+            for attempt in observations.attempts
+            if attempt.runner == injected.target
+            and drained_seconds
+            < observations.started[attempt.attempt_id]
+            < injected.ended_seconds
         ]
     return found
 
 
-def _is_calm(deeds: Iterable[Deed], from_seconds: float, to_seconds: float) -> bool:
-    """Return whether nothing but planned work went on in a span of time."""
+def _is_planned_only(
+    injected_faults: Iterable[InjectedFault], from_seconds: float, to_seconds: float
+) -> bool:
+    """Return whether only planned operations overlapped a time span."""
     return not any(
-        deed.kind not in PLANNED
-        and deed.began_seconds < to_seconds
-        and deed.ended_seconds > from_seconds
-        for deed in deeds
+        injected.kind not in PLANNED
+        and injected.began_seconds < to_seconds
+        and injected.ended_seconds > from_seconds
+        for injected in injected_faults
     )
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one run: started, signalled and ended by their own ids only."""
+"""Processes of one run; each is signalled and killed by its own process id only."""
 
 import json
 import random
@@ -21,30 +21,32 @@
 
 HALLS = ("trnava", "nitra")
 
-#: Model that the stand-in runners serve, and the key of all callers.
+#: Model of the stand-in runners, and the API key of all callers.
 MODEL = "lektor"
 KEY = "the soak's key"
 
-#: What runners don't survive.
-DEADLY_TEXT = "a prompt that no runner survives"
-RUNNER = ("runner", "--deadly-text", DEADLY_TEXT)
+#: Prompt that crashes any runner that runs it.
+CRASHING_PROMPT = "a prompt that no runner survives"
+RUNNER_ARGUMENTS = ("runner", "--deadly-text", CRASHING_PROMPT)
 
-#: Ports are drawn below those that the kernel gives to outgoing connections.
+#: Range of ports, below the kernel's ephemeral ports.
 PORTS = (20_000, 31_000)
 
-#: Ports of one run: what a few hundred processes take. Runs beside each other have a
-#: block each, held by its first port: a port that was free when it was drawn was taken
-#: by another run's process before its own had started.
+#: Ports of one run, enough for a few hundred processes. Each concurrent run reserves
+#: a block by binding its first port. Without that, a port that was free when it was
+#: drawn was bound by a process of another run before its own process had started.
 BLOCK_PORTS = 1000
 
-#: Time for a process to listen, and to be gone once told to.
-START_SECONDS = 20.0
+#: Time limit for a process to listen.
+START_TIMEOUT_SECONDS = 20.0
 
-#: What is shown of the log of a stand-in that does not answer.
+#: Characters of the log in the error for a stand-in that does not respond.
 LOG_TAIL_CHARACTERS = 4000
-STOP_SECONDS = 15.0
 
-SETTINGS = """
+#: Time limit for a process to exit.
+STOP_TIMEOUT_SECONDS = 15.0
+
+SETTINGS_TEMPLATE = """
 [host]
 name = "{name}"
 hall = "{hall}"
@@ -76,8 +78,8 @@
 
 
 @attrs.frozen
-class Size:
-    """How many processes of each kind, and callers."""
+class FleetSize:
+    """Number of processes of each kind, and of callers."""
 
     hosts_count: int = 3
     runners_count: int = 3
@@ -85,65 +87,65 @@
 
 
 @attrs.define
-class Member:
-    """One process, which may be started again behind the same ports."""
+class ManagedProcess:
+    """One process, which can be started again on the same ports."""
 
     name: str
-    words: tuple[str, ...]
+    arguments: tuple[str, ...]
     port: int
     log: Path
     process: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Start it, unless it runs."""
+        """Start the process unless it is running."""
         if self.is_running:
             return
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.words], stdout=log, stderr=log
+                [sys.executable, *self.arguments], stdout=log, stderr=log
             )
 
     @property
     def is_running(self) -> bool:
-        """Whether its process has not ended."""
+        """Whether the process has been started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to it, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.is_running:
             self.process.send_signal(number)
 
-    def end(self) -> None:
-        """End it for good, whatever state it is in."""
+    def kill(self) -> None:
+        """Kill the process, also when it is paused, and wait for its exit."""
         if self.process is not None and self.is_running:
             self.process.kill()
-            self.process.wait(STOP_SECONDS)
+            self.process.wait(STOP_TIMEOUT_SECONDS)
 
     async def wait_started(self) -> None:
-        """Wait until it takes connections for the first time; raise if it has ended.
+        """Wait until the process accepts connections; raise if it has exited.
 
-        Whoever listens on its port then is another process.
+        If it has exited, the listener on its port belongs to another process.
         """
         await self.wait_listening()
         if not self.is_running:
-            raise RuntimeError(f"{self.name} has ended: {self.log_tail()}")
+            raise RuntimeError(f"{self.name} has exited: {self.log_tail()}")
 
     def log_tail(self) -> str:
-        """Return its exit code, if it has ended, and the end of its log."""
+        """Return the exit code, if the process has exited, and the end of its log."""
         code = self.process.poll() if self.process is not None else None
         log = self.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
         return f"exit code {code}: {log}"
 
-    async def wait_gone(self) -> bool:
-        """Wait until it has ended; return whether it did in time."""
-        with anyio.move_on_after(STOP_SECONDS):
+    async def wait_exited(self) -> bool:
+        """Wait for the exit; return whether it happened within the time limit."""
+        with anyio.move_on_after(STOP_TIMEOUT_SECONDS):
             while self.is_running:
                 await anyio.sleep(0.02)
         return not self.is_running
 
     async def wait_listening(self) -> None:
-        """Wait until it takes connections."""
-        with anyio.fail_after(START_SECONDS):
+        """Wait until the port accepts connections."""
+        with anyio.fail_after(START_TIMEOUT_SECONDS):
             while True:
                 try:
                     async with await anyio.connect_tcp(LOOPBACK, self.port):
@@ -153,25 +155,34 @@
 
 
 class Fleet:
-    """All processes and the forwarders between them."""
+    """All processes and the proxies between them."""
 
     def __init__(
-        self, size: Size, draw: random.Random, folder: Path, stack: ExitStack
+        self, size: FleetSize, rng: random.Random, directory: Path, stack: ExitStack
     ) -> None:
-        self._draw = draw
-        self._folder = folder
+        self._rng = rng
+        self._directory = directory
         self._stack = stack
-        self._block = _reserve_block(draw, stack)
-        self._taken: set[int] = set()
-        # Nothing here speaks TLS, and loading certificates takes its time.
+        self._block = _reserve_block(rng, stack)
+        self._reserved_ports: set[int] = set()
+        # No TLS is used here, and loading certificates is slow.
         self._client = httpx.AsyncClient(trust_env=False, verify=False, timeout=5.0)
-        self.platform = self._member("platform", self._standin("platform"))
+        self.platform = self._standin_process(
+            "platform", self._standin_arguments("platform")
+        )
         self.runners = [
-            self._member(f"r{number}", self._standin(*RUNNER, "--name", f"r{number}"))
+            self._standin_process(
+                f"r{number}",
+                self._standin_arguments(*RUNNER_ARGUMENTS, "--name", f"r{number}"),
+            )
             for number in range(size.runners_count)
         ]
-        self.service = self._member("portal", self._standin("service"))
-        self.hosts = [self._host(f"e{number}") for number in range(size.hosts_count)]
+        self.service = self._standin_process(
+            "portal", self._standin_arguments("service")
+        )
+        self.hosts = [
+            self._host_process(f"e{number}") for number in range(size.hosts_count)
+        ]
         self.to_platform = {
             host.name: self._proxy(f"{host.name} to platform", self.platform.port)
             for host in self.hosts
@@ -181,19 +192,19 @@
             for host in self.hosts
         }
         self.to_upstream = {
-            member.name: self._proxy(f"hosts to {member.name}", member.port)
-            for member in [*self.runners, self.service]
+            child.name: self._proxy(f"hosts to {child.name}", child.port)
+            for child in [*self.runners, self.service]
         }
         self.leaving: set[str] = set()
 
     @property
-    def members(self) -> list[Member]:
+    def processes(self) -> list[ManagedProcess]:
         """All processes."""
         return [self.platform, *self.runners, self.service, *self.hosts]
 
     @property
     def proxies(self) -> list[Proxy]:
-        """All forwarders."""
+        """All proxies."""
         return [
             *self.to_platform.values(),
             *self.to_peer.values(),
@@ -202,10 +213,10 @@
 
     @property
     def platform_url(self) -> str:
-        """The platform, without a forwarder before it."""
+        """URL of the platform without a proxy."""
         return f"http://{LOOPBACK}:{self.platform.port}"
 
-    def ports(self, host: Member) -> dict[str, int]:
+    def ports(self, host: ManagedProcess) -> dict[str, int]:
         """Return a host's ports for callers, operators and peers."""
         return {
             "entry": host.port,
@@ -213,48 +224,48 @@
             "peer": host.port + 2,
         }
 
-    def entry_url(self, host: Member) -> str:
-        """Return where callers reach a host."""
+    def entry_url(self, host: ManagedProcess) -> str:
+        """Return the URL at which callers reach a host."""
         return f"http://{LOOPBACK}:{host.port}"
 
-    def clock_file(self, host: Member) -> Path:
-        """Return the file that holds how far a host's time of day is off."""
-        return self._folder / f"{host.name}.clock"
+    def clock_file(self, host: ManagedProcess) -> Path:
+        """Return the file with the offset of a host's wall clock in seconds."""
+        return self._directory / f"{host.name}.clock"
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Start forwarders and processes; return once all listen."""
+        """Start proxies and processes; return once all listen."""
         for proxy in self.proxies:
             await proxy.run(tasks)
         for host in self.hosts:
             self._write_settings(host)
-        for member in self.members:
-            member.start()
-        for member in self.members:
-            await member.wait_started()
+        for child in self.processes:
+            child.start()
+        for child in self.processes:
+            await child.wait_started()
         await self.publish()
 
     async def publish(self) -> None:
-        """Write the host list to the platform as it is now."""
+        """Write the current host list to the platform."""
         body = [unstructure(entry) for entry in self._entries()]
-        answer = await self._client.put(f"{self.platform_url}/v1/hosts", json=body)
-        answer.raise_for_status()
+        response = await self._client.put(f"{self.platform_url}/v1/hosts", json=body)
+        response.raise_for_status()
 
-    async def post(self, member: Member, path: str, data: object = None) -> None:
-        """Tell a stand-in what goes wrong from now on."""
-        url = f"http://{LOOPBACK}:{member.port}{path}"
+    async def post(self, child: ManagedProcess, path: str, data: object = None) -> None:
+        """Send a command to a stand-in, such as the faults to apply."""
+        url = f"http://{LOOPBACK}:{child.port}{path}"
         try:
             (await self._client.post(url, json=data)).raise_for_status()
         except httpx.HTTPError as error:
-            message = f"{member.name} does not answer {path}, {member.log_tail()}"
+            message = f"{child.name} did not respond to {path}: {child.log_tail()}"
             raise RuntimeError(message) from error
 
-    async def ask(self, port: int, path: str) -> object:
-        """Return what a process tells."""
-        answer = await self._client.get(f"http://{LOOPBACK}:{port}{path}")
-        return answer.json()
+    async def get_json(self, port: int, path: str) -> object:
+        """Return the JSON document at a path of a process."""
+        response = await self._client.get(f"http://{LOOPBACK}:{port}{path}")
+        return response.json()
 
     def open_api(self) -> HttpObjectApi:
-        """Return an operator's client of the platform, to be entered."""
+        """Return a platform client of an operator; use it as a context manager."""
         return HttpObjectApi(
             self.platform_url, call_timeout_seconds=2.0, calls_per_second=1000.0
         )
@@ -277,34 +288,36 @@
         portal = HostEntry("portal", "service", HALLS[0], address, group="portal")
         return [*entries, portal]
 
-    def _hall(self, host: Member) -> str:
+    def _hall(self, host: ManagedProcess) -> str:
         return HALLS[self.hosts.index(host) % len(HALLS)]
 
-    def _standin(self, *words: str) -> tuple[str, ...]:
-        return ("-m", "rampwick_standin", *words, "--port")
+    def _standin_arguments(self, *arguments: str) -> tuple[str, ...]:
+        return ("-m", "rampwick_standin", *arguments, "--port")
 
-    def _member(self, name: str, words: tuple[str, ...]) -> Member:
+    def _standin_process(self, name: str, arguments: tuple[str, ...]) -> ManagedProcess:
         port = self._draw_ports(1)
-        member = Member(name, (*words, str(port)), port, self._folder / f"{name}.log")
-        self._stack.callback(member.end)
-        return member
+        child = ManagedProcess(
+            name, (*arguments, str(port)), port, self._directory / f"{name}.log"
+        )
+        self._stack.callback(child.kill)
+        return child
 
-    def _host(self, name: str) -> Member:
-        settings = self._folder / f"{name}.toml"
-        clock = self._folder / f"{name}.clock"
+    def _host_process(self, name: str) -> ManagedProcess:
+        settings = self._directory / f"{name}.toml"
+        clock = self._directory / f"{name}.clock"
         clock.write_text("0")
-        words = ("-m", "soak._host", str(settings), str(clock))
-        log = self._folder / f"{name}.log"
-        member = Member(name, words, self._draw_ports(3), log)
-        self._stack.callback(member.end)
-        return member
+        arguments = ("-m", "soak._host", str(settings), str(clock))
+        log = self._directory / f"{name}.log"
+        child = ManagedProcess(name, arguments, self._draw_ports(3), log)
+        self._stack.callback(child.kill)
+        return child
 
     def _proxy(self, name: str, target_port: int) -> Proxy:
         return Proxy(name, self._draw_ports(1), target_port)
 
-    def _write_settings(self, host: Member) -> None:
+    def _write_settings(self, host: ManagedProcess) -> None:
         seeds = [proxy.address for proxy in self.to_peer.values()]
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             name=host.name,
             hall=self._hall(host),
             platform=self.to_platform[host.name].address,
@@ -312,22 +325,22 @@
             seeds=json.dumps(seeds),
             **self.ports(host),
         )
-        (self._folder / f"{host.name}.toml").write_text(text)
+        (self._directory / f"{host.name}.toml").write_text(text)
 
     def _draw_ports(self, count: int) -> int:
-        """Return the first of so many free ports in a row."""
+        """Return the first of `count` consecutive free ports."""
         while True:
-            first = self._draw.choice(self._block[:-count])
+            first = self._rng.choice(self._block[:-count])
             wanted = range(first, first + count)
-            if not self._taken & set(wanted) and all(map(_is_free, wanted)):
-                self._taken |= set(wanted)
+            if not self._reserved_ports & set(wanted) and all(map(_is_free, wanted)):
+                self._reserved_ports |= set(wanted)
                 return first
 
 
-def _reserve_block(draw: random.Random, stack: ExitStack) -> range:
-    """Return ports that no other run uses until the stack closes."""
+def _reserve_block(rng: random.Random, stack: ExitStack) -> range:
+    """Reserve a block of ports for this run until the stack closes."""
     firsts = list(range(*PORTS, BLOCK_PORTS))
-    draw.shuffle(firsts)
+    rng.shuffle(firsts)
     for first in firsts:
         holder = stack.enter_context(socket.socket())
         try:
@@ -335,7 +348,7 @@
         except OSError:
             continue
         return range(first + 1, first + BLOCK_PORTS)
-    raise RuntimeError(f"{len(firsts)} runs at once are the most")
+    raise RuntimeError(f"all {len(firsts)} port blocks are reserved by other runs")
 
 
 def _is_free(port: int) -> bool:
--- a/soak/_host.py
+++ b/soak/_host.py
@@ -1,6 +1,7 @@
-"""Runs one rampwickd whose time of day a file may shift: ``soak._host SETTINGS FILE``.
+"""Runs rampwickd with a wall clock offset read from a file.
 
-Everything else is the real program; only a soak needs a wrong clock on demand.
+Usage: ``python -m soak._host SETTINGS FILE``. Everything else is the real program;
+only the soak test needs a wrong clock on demand.
 """
 
 import sys
@@ -13,7 +14,7 @@
 
 
 def main() -> None:
-    """Run the daemon until it is told to stop."""
+    """Run the daemon until it is stopped."""
     settings, shift = Path(sys.argv[1]), Path(sys.argv[2])
 
     def read_wall_clock() -> float:
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP forwarder that delays, silences and resets on command."""
+"""TCP proxy on loopback that delays, stalls, drops and resets on command."""
 
 import socket
 import struct
@@ -9,50 +9,50 @@
 
 LOOPBACK = "127.0.0.1"
 
-#: Bytes forwarded at once.
-PIECE_BYTES = 65536
+#: Maximum bytes forwarded at once.
+CHUNK_BYTES = 65536
 
-#: Time between two looks at whether a silenced way is open again.
-STEP_SECONDS = 0.01
+#: Interval at which a stalled direction is checked again.
+POLL_INTERVAL_SECONDS = 0.01
 
-#: Makes a close send a reset instead of an end.
+#: SO_LINGER value with which a close sends RST instead of FIN.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @attrs.define
-class Weather:
-    """What is wrong with a way at present, in its two directions."""
+class LinkConditions:
+    """Faults currently applied to a link, by direction."""
 
     delay_seconds: float = 0.0
-    #: Whether bytes towards the target, or back from it, are held up.
-    is_silent_out: bool = False
-    is_silent_back: bool = False
+    #: Whether bytes to the target, or from it, are held back.
+    is_stalled_to_target: bool = False
+    is_stalled_from_target: bool = False
 
     def clear(self) -> None:
-        """Let everything through again."""
+        """Forward both directions without faults."""
         self.delay_seconds = 0.0
-        self.is_silent_out = self.is_silent_back = False
+        self.is_stalled_to_target = self.is_stalled_from_target = False
 
 
 @attrs.define
 class Proxy:
-    """Forwards connections from one port to another; from port 0, a free one."""
+    """Forwards connections from one port to another; port 0 selects a free port."""
 
     name: str
     port: int
     target_port: int
-    weather: Weather = attrs.field(factory=Weather)
+    conditions: LinkConditions = attrs.field(factory=LinkConditions)
     _open: set[SocketStream] = attrs.field(factory=set)
-    #: Connections that are silent for good, while new ones work.
-    _stranded: set[SocketStream] = attrs.field(factory=set)
+    #: Connections whose bytes are dropped for good, while new ones work.
+    _blackholed: set[SocketStream] = attrs.field(factory=set)
 
     @property
     def address(self) -> str:
-        """Where to connect instead of to the target."""
+        """Address to connect to in place of the target."""
         return f"{LOOPBACK}:{self.port}"
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Listen; return once connections are taken."""
+        """Listen; return once connections are accepted."""
         listener = await anyio.create_tcp_listener(
             local_host=LOOPBACK, local_port=self.port
         )
@@ -64,54 +64,65 @@
         for stream in list(self._open):
             raw = stream.extra(SocketAttribute.raw_socket)
             if raw.fileno() < 0:
-                # It was closed in this moment, and is not taken off the set yet.
+                # Closed concurrently and not yet removed from the set.
                 continue
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             raw.shutdown(socket.SHUT_RD)
 
     def blackhole_connections(self) -> None:
-        """Have all connections that are open now be silent for good.
+        """Drop all further bytes of the connections that are open now.
 
-        Neither end hears of it: what it sends is taken and lost, also its end.
+        Neither end is notified: what it sends is read and dropped, its FIN too.
         """
-        self._stranded |= self._open
+        self._blackholed |= self._open
 
-    async def _forward(self, near: SocketStream) -> None:
-        async with near:
-            while self.weather.is_silent_out:
-                await anyio.sleep(STEP_SECONDS)
+    async def _forward(self, client_stream: SocketStream) -> None:
+        async with client_stream:
+            while self.conditions.is_stalled_to_target:
+                await anyio.sleep(POLL_INTERVAL_SECONDS)
             try:
-                far = await anyio.connect_tcp(LOOPBACK, self.target_port)
+                target_stream = await anyio.connect_tcp(LOOPBACK, self.target_port)
             except OSError:
-                # Nobody listens there: as a closed port would, say so at once.
+                # Nothing listens on the target port: close at once, as the client
+                # would get a refusal from a closed port.
                 return
-            async with far, anyio.create_task_group() as tasks:
-                self._open |= {near, far}
+            async with target_stream, anyio.create_task_group() as tasks:
+                self._open |= {client_stream, target_stream}
                 try:
-                    tasks.start_soon(self._pump, near, far, True, tasks)
-                    await self._pump(far, near, False, tasks)
+                    tasks.start_soon(
+                        self._pump, client_stream, target_stream, True, tasks
+                    )
+                    await self._pump(target_stream, client_stream, False, tasks)
                 finally:
-                    self._open -= {near, far}
-                    self._stranded -= {near, far}
+                    self._open -= {client_stream, target_stream}
+                    self._blackholed -= {client_stream, target_stream}
 
     async def _pump(
-        self, source: SocketStream, sink: SocketStream, is_out: bool, tasks: TaskGroup
+        self,
+        source: SocketStream,
+        sink: SocketStream,
+        is_to_target: bool,
+        tasks: TaskGroup,
     ) -> None:
         try:
             while True:
-                piece = await source.receive(PIECE_BYTES)
-                if source in self._stranded:
+                chunk = await source.receive(CHUNK_BYTES)
+                if source in self._blackholed:
                     continue
-                while self._is_silent(is_out):
-                    await anyio.sleep(STEP_SECONDS)
-                if self.weather.delay_seconds:
-                    await anyio.sleep(self.weather.delay_seconds)
-                await sink.send(piece)
+                while self._is_stalled(is_to_target):
+                    await anyio.sleep(POLL_INTERVAL_SECONDS)
+                if self.conditions.delay_seconds:
+                    await anyio.sleep(self.conditions.delay_seconds)
+                await sink.send(chunk)
         except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
-            # One end is gone: the other one hears of it by the close.
-            if source not in self._stranded:
+            # One end is closed; cancelling the other direction closes the other end.
+            if source not in self._blackholed:
                 tasks.cancel_scope.cancel()
 
-    def _is_silent(self, is_out: bool) -> bool:
-        weather = self.weather
-        return weather.is_silent_out if is_out else weather.is_silent_back
+    def _is_stalled(self, is_to_target: bool) -> bool:
+        conditions = self.conditions
+        return (
+            conditions.is_stalled_to_target
+            if is_to_target
+            else conditions.is_stalled_from_target
+        )
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a fleet, its callers, its troubles, and the verdict."""
+"""One run of the soak test: a fleet, its callers, the faults, and the result."""
 
 import hashlib
 import random
@@ -14,37 +14,37 @@
 from rampwick_platform import TreeStore
 from rampwick_schema import Node, NodeEdit
 
-from ._callers import ANSWER_TOKENS, KEY, KINDS, Call, Caller
-from ._checks import ANSWER_SLACK_SECONDS, Seen, check_all
-from ._faults import MODEL, Saboteur, draw_plan
-from ._fleet import Fleet, Size
+from ._callers import KEY, KIND_WEIGHTS, RESPONSE_TOKENS, Call, Caller
+from ._checks import RESPONSE_SLACK_SECONDS, RunObservations, check_all
+from ._faults import MODEL, FaultInjector, draw_plan
+from ._fleet import Fleet, FleetSize
 
-#: Spans of a run: planned work alone, then everything.
+#: Duration of the first phase, which has planned operations only.
 PLANNED_SECONDS = 5.0
 
-#: Time after the last fault after which what is not well yet counts as stuck.
-RECOVERY_SECONDS = 60.0
+#: Time limit for the fleet to recover after the last fault.
+RECOVERY_TIMEOUT_SECONDS = 60.0
 
-#: Time between two looks at the hosts' status, and at conditions that are awaited.
-STATUS_SECONDS = 0.3
-STEP_SECONDS = 0.1
+#: Poll intervals for the status of hosts, and for conditions that are awaited.
+STATUS_INTERVAL_SECONDS = 0.3
+POLL_INTERVAL_SECONDS = 0.1
 
 
 @attrs.frozen
-class Terms:
-    """What a run is drawn from."""
+class RunParameters:
+    """Parameters from which a run is drawn."""
 
     seed: int
-    size: Size = attrs.field(factory=Size)
+    size: FleetSize = attrs.field(factory=FleetSize)
     chaos_seconds: float = 8.0
     faults_count: int = 12
 
 
 @attrs.define
-class Verdict:
-    """What came of a run."""
+class RunResult:
+    """Result of a run."""
 
-    terms: Terms
+    parameters: RunParameters
     violations: list[str]
     calls_count: int
     served_count: int
@@ -52,66 +52,68 @@
     runs_count: int
 
 
-async def play(terms: Terms, folder: Path) -> Verdict:
-    """Play one seed; logs of all processes go to the folder."""
-    draw = random.Random(terms.seed)
-    # Which ports are free is no part of the seed.
-    ports = random.Random()
+async def run_seed(parameters: RunParameters, directory: Path) -> RunResult:
+    """Run one seed; the logs of all processes go to the directory."""
+    rng = random.Random(parameters.seed)
+    # Ports do not depend on the seed, as other processes may use them.
+    port_rng = random.Random()
     with ExitStack() as stack:
-        fleet = Fleet(terms.size, ports, folder, stack)
+        fleet = Fleet(parameters.size, port_rng, directory, stack)
         async with anyio.create_task_group() as tasks:
-            run = Run(terms, draw, fleet)
+            run = Run(parameters, rng, fleet)
             await fleet.start(tasks)
-            await run.go(tasks)
+            await run.execute(tasks)
             tasks.cancel_scope.cancel()
-    return run.verdict()
+    return run.result()
 
 
 class Run:
-    """One run under way."""
+    """State of a run in progress."""
 
-    def __init__(self, terms: Terms, draw: random.Random, fleet: Fleet) -> None:
-        self._terms = terms
-        self._draw = draw
+    def __init__(
+        self, parameters: RunParameters, rng: random.Random, fleet: Fleet
+    ) -> None:
+        self._parameters = parameters
+        self._rng = rng
         self._fleet = fleet
-        self._seen = Seen()
-        self._saboteur = Saboteur(fleet)
-        self._seen.deeds = self._saboteur.deeds
+        self._observations = RunObservations()
+        self._injector = FaultInjector(fleet)
+        self._observations.injected_faults = self._injector.injected_faults
         self._is_over = False
 
-    async def go(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Play the run from its first request to its last check."""
-        await self._make_tree()
+    async def execute(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Execute the run up to the collection of what the upstreams observed."""
+        await self._create_tree()
         await self._await_recovery("after the start")
         plan = draw_plan(
-            self._draw,
+            self._rng,
             PLANNED_SECONDS,
-            self._terms.chaos_seconds,
-            self._terms.faults_count,
+            self._parameters.chaos_seconds,
+            self._parameters.faults_count,
         )
-        tasks.start_soon(self._watch)
+        tasks.start_soon(self._monitor_hosts)
         async with anyio.create_task_group() as callers:
-            for number in range(self._terms.size.callers_count):
+            for number in range(self._parameters.size.callers_count):
                 callers.start_soon(self._call, f"c{number}")
-            await self._saboteur.play(plan, time.monotonic())
-            await self._saboteur.heal()
+            await self._injector.inject_all(plan, time.monotonic())
+            await self._injector.clear_faults()
             await self._await_recovery("after the faults")
             self._is_over = True
         await self._collect()
 
-    def verdict(self) -> Verdict:
-        """Return the verdict on all that was seen."""
-        calls = self._seen.calls
-        return Verdict(
-            self._terms,
-            check_all(self._seen),
+    def result(self) -> RunResult:
+        """Check all observations and return the result."""
+        calls = self._observations.calls
+        return RunResult(
+            self._parameters,
+            check_all(self._observations),
             calls_count=len(calls),
-            served_count=sum(call.saw.is_whole for call in calls),
+            served_count=sum(call.observed.is_whole for call in calls),
             cut_count=sum(call.is_cut for call in calls),
-            runs_count=len(self._seen.runs),
+            runs_count=len(self._observations.runs),
         )
 
-    async def _make_tree(self) -> None:
+    async def _create_tree(self) -> None:
         key_hash = hashlib.sha256(KEY.encode()).hexdigest()
         edits = [
             NodeEdit("/soak", Node()),
@@ -121,7 +123,7 @@
             change = await TreeStore(api).propose(
                 lambda tree: edits, author="soak", base_revision=None, now_seconds=0.0
             )
-        self._saboteur.note_accepted(0, change.revision)
+        self._injector.record_accepted(0, change.revision)
 
     async def _call(self, name: str) -> None:
         caller = self._caller(name)
@@ -133,117 +135,134 @@
 
     def _caller(self, name: str) -> Caller:
         urls = {host.name: self._fleet.entry_url(host) for host in self._fleet.hosts}
-        draw = random.Random(f"{self._terms.seed} {name}")
-        return Caller(name, urls, draw, self._note)
-
-    def _note(self, call: Call) -> None:
-        self._seen.calls.append(call)
-        took_seconds = call.ended_seconds - call.began_seconds
-        if took_seconds > 8.0 + ANSWER_SLACK_SECONDS and not self._was_paused(call):
-            self._seen.noted.append(
-                f"{call.saw.prompt} had no final answer for {took_seconds:.1f} s"
+        rng = random.Random(f"{self._parameters.seed} {name}")
+        return Caller(name, urls, rng, self._record_call)
+
+    def _record_call(self, call: Call) -> None:
+        self._observations.calls.append(call)
+        elapsed_seconds = call.ended_seconds - call.began_seconds
+        if (
+            elapsed_seconds > 8.0 + RESPONSE_SLACK_SECONDS
+            and not self._was_host_stopped(call)
+        ):
+            self._observations.found_during_run.append(
+                f"{call.observed.prompt} got no final response "
+                f"in {elapsed_seconds:.1f} s"
             )
 
-    def _was_paused(self, call: Call) -> bool:
+    def _was_host_stopped(self, call: Call) -> bool:
         return any(
-            deed.target == call.host and deed.kind in ("host_pause", "host_term")
-            for deed in self._saboteur.deeds
+            injected.target == call.host
+            and injected.kind in ("host_pause", "host_term")
+            for injected in self._injector.injected_faults
         )
 
-    async def _watch(self) -> None:
-        """Look at the hosts again and again: revisions, and ends of their own."""
+    async def _monitor_hosts(self) -> None:
+        """Poll the hosts for their revision and for unexpected exits."""
         while True:
             for host in self._fleet.hosts:
-                is_down = host.name in self._saboteur.down
+                is_down = host.name in self._injector.down
                 if not is_down and not host.is_running:
-                    self._seen.noted.append(f"{host.name} ended by itself")
+                    self._observations.found_during_run.append(
+                        f"{host.name} exited unexpectedly"
+                    )
                     host.start()
-                await self._look(host.name, self._fleet.ports(host)["admin"])
-            await anyio.sleep(STATUS_SECONDS)
+                await self._read_status(host.name, self._fleet.ports(host)["admin"])
+            await anyio.sleep(STATUS_INTERVAL_SECONDS)
 
-    async def _look(self, name: str, port: int) -> None:
+    async def _read_status(self, name: str, port: int) -> None:
         try:
-            status = await self._fleet.ask(port, "/status")
+            status = await self._fleet.get_json(port, "/status")
         except (httpx.HTTPError, ValueError):
-            # Down, paused or starting: its callers will see it as well.
+            # Down, paused or starting; the calls show the same.
             return
         process = next(host for host in self._fleet.hosts if host.name == name).process
-        life = f"{name}/{process.pid if process else 0}"
+        incarnation = f"{name}/{process.pid if process else 0}"
         era = status["revision_era"] or 0
-        self._seen.revisions.append(ObservedRevision(life, status["revision"], era))
+        self._observations.revisions.append(
+            ObservedRevision(incarnation, status["revision"], era)
+        )
 
     async def _await_recovery(self, when: str) -> None:
-        """Wait until everything is well; what is not in time is a violation."""
-        problem = "nothing was looked at"
-        with anyio.move_on_after(RECOVERY_SECONDS):
-            while problem := await self._problem():
-                await anyio.sleep(STEP_SECONDS)
+        """Wait until the fleet is healthy and serves; a time-out is a violation."""
+        problem = "no status was read"
+        with anyio.move_on_after(RECOVERY_TIMEOUT_SECONDS):
+            while problem := await self._find_problem():
+                await anyio.sleep(POLL_INTERVAL_SECONDS)
         if problem:
-            self._seen.noted.append(f"not well {when}: {problem}")
+            self._observations.found_during_run.append(
+                f"not recovered {when}: {problem}"
+            )
             return
         caller = self._caller(f"probe {when}")
         for host in self._fleet.hosts:
-            for kind in KINDS:
+            for kind in KIND_WEIGHTS:
                 call = await caller.send(kind, host.name)
-                if not call.saw.is_whole:
-                    what = f"{kind} at {host.name}: {call.saw.status}"
-                    self._seen.noted.append(
-                        f"not served {when}: {what} {call.saw.error_code}"
+                if not call.observed.is_whole:
+                    what = f"{kind} at {host.name}: {call.observed.status}"
+                    self._observations.found_during_run.append(
+                        f"not served {when}: {what} {call.observed.error_code}"
                     )
         await caller.close()
 
-    async def _problem(self) -> str:
-        """Return what is not well yet, or nothing."""
+    async def _find_problem(self) -> str:
+        """Return the first problem of the fleet, or an empty string."""
         for host in self._fleet.hosts:
             try:
-                status = await self._fleet.ask(
+                status = await self._fleet.get_json(
                     self._fleet.ports(host)["admin"], "/status"
                 )
             except (httpx.HTTPError, ValueError) as error:
-                return f"{host.name} is silent: {error!r}"
-            if status["revision"] != self._saboteur.revision:
+                return f"{host.name} did not respond: {error!r}"
+            if status["revision"] != self._injector.revision:
                 return f"{host.name} has revision {status['revision']}"
             if any(item.startswith("claims:") for item in status["degraded"]):
-                return f"{host.name} can't claim keys"
+                return f"{host.name} cannot claim idempotency keys"
             if len(status["peers"]) != len(self._fleet.hosts) - 1:
-                return f"{host.name} hears {len(status['peers'])} peers"
+                return f"{host.name} has {len(status['peers'])} live peers"
             for upstream in status["upstreams"]:
                 if upstream["health"] != "up" or upstream["state"] != "live":
-                    return f"{host.name} sees {upstream['name']} {upstream['health']}"
+                    return (
+                        f"{host.name} reports {upstream['name']} {upstream['health']}"
+                    )
                 version = upstream["life"].rpartition("/")[2]
-                wanted = str(self._saboteur.weights_version)
+                wanted = str(self._injector.weights_version)
                 if upstream["model"] == MODEL and version != wanted:
                     return f"{upstream['name']} has weights {version or 'unknown'}"
         return ""
 
     async def _collect(self) -> None:
-        """Ask the upstreams what ran."""
-        seen = self._seen
-        seen.noted += [
+        """Collect the runs and orders that the upstreams recorded."""
+        observations = self._observations
+        observations.found_during_run += [
             f"{name} did not stop in time"
-            for name in self._saboteur.slow_stops
+            for name in self._injector.slow_stops
             if not any(
-                deed.target == name and deed.kind == "host_pause"
-                for deed in self._saboteur.deeds
+                injected.target == name and injected.kind == "host_pause"
+                for injected in self._injector.injected_faults
             )
         ]
         for runner in self._fleet.runners:
-            told = await self._fleet.ask(runner.port, "/seen")
-            seen.orders[runner.name] = told["orders"]
-            for item in told["attempts"]:
-                seen.started[item["attempt_id"]] = item.pop("started_at_seconds")
+            reported = await self._fleet.get_json(runner.port, "/seen")
+            observations.orders[runner.name] = reported["orders"]
+            for item in reported["attempts"]:
+                observations.started[item["attempt_id"]] = item.pop(
+                    "started_at_seconds"
+                )
                 text = item.pop("text").encode()
-                seen.attempts.append(
+                observations.attempts.append(
                     ObservedAttempt(runner=runner.name, text=text, **item)
                 )
-        seen.service_runs += await self._fleet.ask(self._fleet.service.port, "/seen")
+        observations.service_runs += await self._fleet.get_json(
+            self._fleet.service.port, "/seen"
+        )
 
 
-def summary(verdict: Verdict) -> str:
-    """Return one line about a run."""
-    state = f"{len(verdict.violations)} violations" if verdict.violations else "ok"
+def summary(result: RunResult) -> str:
+    """Return a one-line summary of a run."""
+    state = f"{len(result.violations)} violations" if result.violations else "ok"
     return (
-        f"seed {verdict.terms.seed}: {state}; {verdict.calls_count} calls, "
-        f"{verdict.served_count} served whole, {verdict.cut_count} cut, "
-        f"{verdict.runs_count} runs of {ANSWER_TOKENS} tokens"
+        f"seed {result.parameters.seed}: {state}; {result.calls_count} calls, "
+        f"{result.served_count} complete, {result.cut_count} cut, "
+        f"{result.runs_count} runs of {RESPONSE_TOKENS} tokens"
     )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's checkers catch broken histories, and a short seeded run holds."""
+"""Tests of the soak test: its checkers, its fault schedule, and one short run."""
 
 import itertools
 import random
@@ -9,19 +9,19 @@
 
 import anyio
 import attrs
-from soak._callers import ANSWER_TOKENS, Call
-from soak._checks import Seen, check_all
+from soak._callers import RESPONSE_TOKENS, Call
+from soak._checks import RunObservations, check_all
 from soak._faults import (
-    LATE_KINDS,
+    LAST_DRAWN_KINDS,
     PLANNED,
     UNPLANNED,
-    Deed,
     Fault,
-    Saboteur,
+    FaultInjector,
+    InjectedFault,
     draw_plan,
 )
-from soak._fleet import DEADLY_TEXT, Member, Size, _reserve_block
-from soak._run import Terms, play
+from soak._fleet import CRASHING_PROMPT, FleetSize, ManagedProcess, _reserve_block
+from soak._run import RunParameters, run_seed
 from testtools import TestCase
 
 from .history import (
@@ -31,76 +31,84 @@
     expected_tokens,
 )
 
-#: The run that CI plays: few processes, few faults, always the same seed.
-CI_TERMS = Terms(seed=11, size=Size(2, 2, 3), chaos_seconds=3.0, faults_count=4)
+#: The run in CI: few processes, few faults, a fixed seed.
+CI_PARAMETERS = RunParameters(
+    seed=11, size=FleetSize(2, 2, 3), chaos_seconds=3.0, faults_count=4
+)
 
 
 def call(prompt="p", kind="stream", at=100.0, **options):
-    saw = {
+    record = {
         "status": 200,
-        "tokens": expected_tokens(prompt, ANSWER_TOKENS),
+        "tokens": expected_tokens(prompt, RESPONSE_TOKENS),
         "is_whole": True,
     }
-    fields = {name: options.pop(name) for name in list(options) if name in SAW}
-    saw = ObservedResponse(prompt=prompt, **{**saw, **fields})
-    return Call(kind, "e0", saw, at, at + 0.5, **options)
+    fields = {
+        name: options.pop(name) for name in list(options) if name in RESPONSE_FIELDS
+    }
+    record = ObservedResponse(prompt=prompt, **{**record, **fields})
+    return Call(kind, "e0", record, at, at + 0.5, **options)
 
 
-#: What seed 3 drew, in its order, before connections could be stranded.
+#: Fault kinds that seed 3 drew, in order, before LAST_DRAWN_KINDS existed.
 SEED_3_KINDS = (
-    "name_weights name_weights host_term runner_leave configure host_term "
-    "runner_frozen name_weights runner_leave clock_step runner_leave host_pause "
-    "platform_link_silent runner_leave platform_link_silent name_weights "
-    "name_weights platform_stale platform_slow runner_loses_answers host_term "
-    "name_weights peer_link_silent runner_link_reset platform_slow "
-    "platform_link_silent platform_slow clock_step peer_link_reset "
+    "set_weights_target set_weights_target host_term runner_leave configure host_term "
+    "runner_frozen set_weights_target runner_leave clock_step runner_leave host_pause "
+    "platform_link_stalled runner_leave platform_link_stalled set_weights_target "
+    "set_weights_target platform_stale platform_slow runner_loses_answers host_term "
+    "set_weights_target peer_link_stalled runner_link_reset platform_slow "
+    "platform_link_stalled platform_slow clock_step peer_link_reset "
     "runner_link_one_way"
 )
 
-SAW = {field.name for field in attrs.fields(ObservedResponse)}
+RESPONSE_FIELDS = {field.name for field in attrs.fields(ObservedResponse)}
 
 
-def run(prompt, attempt="a.1", runner="r0", salt="s", cached=0, weights=1):
+def attempt_record(prompt, attempt="a.1", runner="r0", salt="s", cached=0, weights=1):
     return ObservedAttempt(
         runner, attempt, prompt.encode(), salt, cached, weights, "one"
     )
 
 
 class CheckersTest(TestCase):
-    """Each kind of broken history is caught, and its sound neighbour is not."""
+    """Each kind of violation is reported, and the nearest valid history is not."""
 
-    def violations(self, **seen):
-        return check_all(Seen(**seen))
+    def violations(self, **recorded):
+        return check_all(RunObservations(**recorded))
 
-    def test_a_sound_history_has_no_violations(self):
-        seen = {"calls": [call("p")], "attempts": [run("p")]}
-        self.assertEqual([], self.violations(**seen))
+    def test_valid_history_has_no_violations(self):
+        recorded = {"calls": [call("p")], "attempts": [attempt_record("p")]}
+        self.assertEqual([], self.violations(**recorded))
 
-    def test_anothers_answer_is_caught(self):
-        wrong = expected_tokens("other", ANSWER_TOKENS)
-        self.assertNotEqual([], self.violations(calls=[call("p", tokens=wrong)]))
+    def test_response_to_another_prompt_is_reported(self):
+        other_tokens = expected_tokens("other", RESPONSE_TOKENS)
+        self.assertNotEqual([], self.violations(calls=[call("p", tokens=other_tokens)]))
 
-    def test_a_cut_that_calls_itself_whole_is_caught(self):
-        short = expected_tokens("p", ANSWER_TOKENS - 1)
+    def test_truncated_response_marked_complete_is_reported(self):
+        short = expected_tokens("p", RESPONSE_TOKENS - 1)
         self.assertNotEqual([], self.violations(calls=[call("p", tokens=short)]))
 
-    def test_a_marked_request_that_ran_twice_is_caught(self):
-        attempts = [run("p", "a.1"), run("p", "b.1")]
+    def test_second_run_of_an_at_most_once_request_is_reported(self):
+        attempts = [attempt_record("p", "a.1"), attempt_record("p", "b.1")]
         once = call("p", kind="never")
         self.assertNotEqual([], self.violations(calls=[once], attempts=attempts))
         again = call("p", kind="stream")
         self.assertEqual([], self.violations(calls=[again], attempts=attempts))
 
-    def test_a_false_not_run_is_caught(self):
-        refused = call(
+    def test_run_of_a_request_refused_as_not_run_is_reported(self):
+        refusal = call(
             "p", status=503, tokens=(), is_whole=False, error_code="x", was_run="no"
         )
-        self.assertEqual([], self.violations(calls=[refused]))
-        self.assertNotEqual([], self.violations(calls=[refused], attempts=[run("p")]))
+        self.assertEqual([], self.violations(calls=[refusal]))
+        self.assertNotEqual(
+            [], self.violations(calls=[refusal], attempts=[attempt_record("p")])
+        )
 
-    def test_a_not_run_after_a_lost_try_promises_nothing_about_that_try(self):
-        lost = call("p", kind="keyed", status=0, tokens=(), is_whole=False, is_cut=True)
-        refused = call(
+    def test_not_run_refusal_does_not_cover_an_earlier_cut_attempt(self):
+        lost_attempt = call(
+            "p", kind="keyed", status=0, tokens=(), is_whole=False, is_cut=True
+        )
+        refusal = call(
             "p",
             "keyed",
             status=409,
@@ -109,128 +117,157 @@
             error_code="x",
             was_run="no",
         )
-        deeds = [Deed("host_kill", "e0", 99.0, 101.0)]
-        found = self.violations(calls=[lost, refused], attempts=[run("p")], deeds=deeds)
-        self.assertEqual([], found)
+        injected_faults = [InjectedFault("host_kill", "e0", 99.0, 101.0)]
+        violations = self.violations(
+            calls=[lost_attempt, refusal],
+            attempts=[attempt_record("p")],
+            injected_faults=injected_faults,
+        )
+        self.assertEqual([], violations)
+
+    def shutdown_violations(self, *start_times, injected_faults=()):
+        """Return violations if a runner that announced its shutdown gets requests."""
+        names = [f"e{number}-1-1.1" for number, _ in enumerate(start_times)]
+        attempts = [
+            attrs.evolve(attempt_record("p", name), announced_leaving=True)
+            for name in names
+        ]
+        started = dict(zip(names, start_times, strict=True))
+        recorded = {
+            "attempts": attempts,
+            "started": started,
+            "injected_faults": list(injected_faults),
+        }
+        return self.violations(calls=[call("p")], **recorded)
+
+    def test_requests_to_a_runner_that_announced_its_shutdown_are_reported(self):
+        self.assertEqual([], self.shutdown_violations(101.0, 102.5))
+        self.assertNotEqual([], self.shutdown_violations(101.0, 103.5))
+        for kind, target in (("peer_link_stalled", "e1"), ("runner_frozen", "r0")):
+            unreachable = InjectedFault(kind, target, 100.0, 104.0)
+            self.assertEqual(
+                [],
+                self.shutdown_violations(101.0, 103.5, injected_faults=[unreachable]),
+            )
 
-    def departure(self, *begun, deeds=()):
-        """Return what is wrong if a leaving runner's requests begin then."""
-        names = [f"e{number}-1-1.1" for number, _ in enumerate(begun)]
+    def test_use_of_cache_entries_of_older_weights_is_reported(self):
         attempts = [
-            attrs.evolve(run("p", name), announced_leaving=True) for name in names
+            attempt_record("p", "a.1"),
+            attempt_record("q", "b.1", cached=16, weights=2),
         ]
-        started = dict(zip(names, begun, strict=True))
-        seen = {"attempts": attempts, "started": started, "deeds": list(deeds)}
-        return self.violations(calls=[call("p")], **seen)
-
-    def test_requests_to_a_runner_that_announced_its_shutdown_are_caught(self):
-        self.assertEqual([], self.departure(101.0, 102.5))
-        self.assertNotEqual([], self.departure(101.0, 103.5))
-        for kind, target in (("peer_link_silent", "e1"), ("runner_frozen", "r0")):
-            kept_from_it = Deed(kind, target, 100.0, 104.0)
-            self.assertEqual([], self.departure(101.0, 103.5, deeds=[kept_from_it]))
-
-    def test_old_weights_entries_are_caught(self):
-        attempts = [run("p", "a.1"), run("q", "b.1", cached=16, weights=2)]
         self.assertNotEqual([], self.violations(attempts=attempts))
 
-    def test_a_revision_that_falls_within_a_life_is_caught(self):
+    def test_decreasing_revision_of_one_process_is_reported(self):
         fall = [ObservedRevision("e0/1", 5), ObservedRevision("e0/1", 4)]
         self.assertNotEqual([], self.violations(revisions=fall))
         restart = [ObservedRevision("e0/1", 5), ObservedRevision("e0/2", 4)]
         self.assertEqual([], self.violations(revisions=restart))
 
-    def test_an_old_holders_order_is_caught(self):
+    def test_order_of_an_older_lease_holder_is_reported(self):
         self.assertNotEqual([], self.violations(orders={"r0": [3, 5, 4]}))
         self.assertEqual([], self.violations(orders={"r0": [3, 3, 5]}))
 
-    def test_a_runner_that_gets_more_than_it_says_is_caught(self):
-        def found(count, *deeds):
-            limited = Deed("runner_limited", "r0", 10.0, 20.0, request_rate=1.0)
+    def test_requests_over_the_rate_limit_of_a_runner_are_reported(self):
+        def violations_of(count, *injected_faults):
+            rate_limited = InjectedFault(
+                "runner_limited", "r0", 10.0, 20.0, request_rate=1.0
+            )
             names = [f"e0-1-{index}.1" for index in range(count)]
             started = {name: 14.0 + index / 10.0 for index, name in enumerate(names)}
-            runs = [run(name, name) for name in names]
+            runs = [attempt_record(name, name) for name in names]
             return self.violations(
-                attempts=runs, started=started, deeds=[limited, *deeds]
+                attempts=runs,
+                started=started,
+                injected_faults=[rate_limited, *injected_faults],
             )
 
-        self.assertEqual([], found(11))
-        self.assertNotEqual([], found(12))
-        # What a host does that was cut off, or to a runner that crashed, is excused.
-        self.assertEqual([], found(12, Deed("peer_link_silent", "e0", 12.0, 13.0)))
-        self.assertEqual([], found(12, Deed("runner_crash", "r0", 12.0, 12.1)))
-        self.assertNotEqual([], found(12, Deed("peer_link_silent", "e1", 12.0, 13.0)))
+        self.assertEqual([], violations_of(11))
+        self.assertNotEqual([], violations_of(12))
+        # Requests of a host that was cut off, or to a runner that crashed, are excused.
+        self.assertEqual(
+            [], violations_of(12, InjectedFault("peer_link_stalled", "e0", 12.0, 13.0))
+        )
+        self.assertEqual(
+            [], violations_of(12, InjectedFault("runner_crash", "r0", 12.0, 12.1))
+        )
+        self.assertNotEqual(
+            [], violations_of(12, InjectedFault("peer_link_stalled", "e1", 12.0, 13.0))
+        )
 
-    def test_a_deadly_prompt_that_goes_on_running_is_caught(self):
-        def found(*times, deeds=()):
+    def test_crashing_prompt_that_continues_to_run_is_reported(self):
+        def violations_of(*times, injected_faults=()):
             names = [f"{index}.1" for index in range(len(times))]
             started = dict(zip(names, times, strict=True))
-            runs = [run(DEADLY_TEXT, name) for name in names]
-            return self.violations(attempts=runs, started=started, deeds=list(deeds))
+            runs = [attempt_record(CRASHING_PROMPT, name) for name in names]
+            return self.violations(
+                attempts=runs, started=started, injected_faults=list(injected_faults)
+            )
 
-        self.assertEqual([], found(1.0, 2.0))
-        self.assertEqual([], found(1.0, 2.0, 3.0, 4.0, 5.0, 6.0))
+        self.assertEqual([], violations_of(1.0, 2.0))
+        self.assertEqual([], violations_of(1.0, 2.0, 3.0, 4.0, 5.0, 6.0))
         late = (1.0, 2.0, 3.0, 6.1, 6.2, 6.3, 6.4)
-        self.assertNotEqual([], found(*late))
-        killed = [Deed("hosts_kill_all", "", 4.0, 5.0)]
-        self.assertEqual([], found(*late, deeds=killed))
+        self.assertNotEqual([], violations_of(*late))
+        killed = [InjectedFault("hosts_kill_all", "", 4.0, 5.0)]
+        self.assertEqual([], violations_of(*late, injected_faults=killed))
 
-    def test_another_request_that_is_stopped_is_caught(self):
+    def test_quarantine_of_another_request_is_reported(self):
         stopped = call(
             "p", status=502, tokens=(), is_whole=False, error_code="ends_upstreams"
         )
         self.assertNotEqual([], self.violations(calls=[stopped]))
 
-    def test_a_cut_counts_in_calm_times_only(self):
+    def test_cut_is_reported_during_planned_operations_only(self):
         cut = call("p", status=0, tokens=(), is_whole=False, is_cut=True)
-        seen = {"calls": [cut], "attempts": [run("p")]}
-        planned = [Deed("host_term", "e0", 99.0, 101.0)]
-        self.assertNotEqual([], self.violations(**seen, deeds=planned))
-        killed = [Deed("host_kill", "e0", 99.0, 101.0)]
-        self.assertEqual([], self.violations(**seen, deeds=killed))
-        crossing = {"calls": [cut], "deeds": planned}
-        self.assertEqual([], self.violations(**crossing))
-
-    def test_work_for_a_runner_that_is_leaving_is_caught(self):
-        deeds = [Deed("runner_leave", "r0", 100.0, 110.0)]
-        for at, is_caught in ((101.0, False), (105.0, True), (111.0, False)):
-            found = self.violations(
-                attempts=[run("p")], started={"a.1": at}, deeds=deeds
+        recorded = {"calls": [cut], "attempts": [attempt_record("p")]}
+        planned = [InjectedFault("host_term", "e0", 99.0, 101.0)]
+        self.assertNotEqual([], self.violations(**recorded, injected_faults=planned))
+        killed = [InjectedFault("host_kill", "e0", 99.0, 101.0)]
+        self.assertEqual([], self.violations(**recorded, injected_faults=killed))
+        not_run = {"calls": [cut], "injected_faults": planned}
+        self.assertEqual([], self.violations(**not_run))
+
+    def test_request_to_a_draining_runner_is_reported(self):
+        injected_faults = [InjectedFault("runner_leave", "r0", 100.0, 110.0)]
+        for at, is_reported in ((101.0, False), (105.0, True), (111.0, False)):
+            violations = self.violations(
+                attempts=[attempt_record("p")],
+                started={"a.1": at},
+                injected_faults=injected_faults,
             )
-            self.assertEqual(is_caught, bool(found), at)
+            self.assertEqual(is_reported, bool(violations), at)
 
-    def test_a_wrong_answer_of_the_service_is_caught(self):
+    def test_wrong_response_of_the_service_is_reported(self):
         self.assertNotEqual(
             [], self.violations(calls=[call(kind="read", is_whole=False)])
         )
 
 
 class PlanTest(TestCase):
-    def test_a_seed_draws_the_same_plan_again(self):
+    def test_seed_is_reproducible(self):
         plans = [draw_plan(random.Random(3), 5.0, 8.0, 20) for _ in range(2)]
         self.assertEqual(*plans)
 
-    def test_planned_work_has_its_time_alone(self):
+    def test_first_phase_has_planned_operations_only(self):
         for seed in range(20):
             for fault in draw_plan(random.Random(seed), 5.0, 8.0, 20):
                 if fault.at_seconds < 5.0:
                     self.assertIn(fault.kind, PLANNED)
 
-    def test_stranded_connections_change_nothing_of_what_a_seed_drew_before(self):
+    def test_kinds_that_are_drawn_last_do_not_change_earlier_draws(self):
         plan = draw_plan(random.Random(3), 5.0, 8.0, 20)
         kinds = [fault.kind for fault in plan]
-        self.assertEqual(1, kinds.count("peer_link_stranded"))
-        rest = [fault.kind for fault in plan if fault.kind not in LATE_KINDS]
+        self.assertEqual(1, kinds.count("peer_link_blackholed"))
+        rest = [fault.kind for fault in plan if fault.kind not in LAST_DRAWN_KINDS]
         self.assertEqual(SEED_3_KINDS, " ".join(rest))
 
-    def test_every_kind_can_be_carried_out(self):
-        for kind in (*PLANNED, *UNPLANNED, *LATE_KINDS):
-            self.assertTrue(callable(getattr(Saboteur, f"_{kind}")), kind)
+    def test_every_kind_has_a_method(self):
+        for kind in (*PLANNED, *UNPLANNED, *LAST_DRAWN_KINDS):
+            self.assertTrue(callable(getattr(FaultInjector, f"_{kind}")), kind)
 
 
 @attrs.define
-class OneRunner:
-    """As much of a fleet as a runner's leave needs."""
+class RunnersOnly:
+    """The part of Fleet that draining a runner uses."""
 
     runners: list
     leaving: set = attrs.field(factory=set)
@@ -239,19 +276,22 @@
         return
 
 
-class OverlappingLeavesTest(TestCase):
-    def test_a_runner_that_is_leaving_does_not_begin_to_leave_again(self):
-        """The end of the first leave called it live in the middle of the next."""
+class OverlappingDrainsTest(TestCase):
+    def test_draining_runner_is_not_drained_again(self):
+        """Guards against the first drain's end marking a draining runner live."""
         runners = [attrs.make_class("Runner", ["name"])(name) for name in "ab"]
-        saboteur = Saboteur(OneRunner(runners))
+        injector = FaultInjector(RunnersOnly(runners))
         fault = Fault(0.0, 60.0, "runner_leave")
-        first, second = Deed("runner_leave", "", 0.0), Deed("runner_leave", "", 0.0)
+        first, second = (
+            InjectedFault("runner_leave", "", 0.0),
+            InjectedFault("runner_leave", "", 0.0),
+        )
 
         async def main():
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(saboteur._runner_leave, fault, first)
+                tasks.start_soon(injector._runner_leave, fault, first)
                 await anyio.sleep(0)
-                tasks.start_soon(saboteur._runner_leave, fault, second)
+                tasks.start_soon(injector._runner_leave, fault, second)
                 await anyio.sleep(0)
                 tasks.cancel_scope.cancel()
 
@@ -260,34 +300,34 @@
 
 
 class PortsTest(TestCase):
-    def test_runs_beside_each_other_share_no_port(self):
-        """A port that was free when it was drawn was taken before its process started.
+    def test_concurrent_runs_share_no_port(self):
+        """Guards against a port that another run binds between its draw and its use.
 
-        Of 30 runs, ten at once, 3 waited for good for a process that had no port; in
-        one more a runner was another run's, and gone when that run had ended.
+        Of 30 runs, ten at a time, 3 waited forever for a process that could not bind
+        its port. One more used a runner of another run, which exited with that run.
         """
         with ExitStack() as stack:
             blocks = [_reserve_block(random.Random(1), stack) for _ in range(3)]
             for one, other in itertools.combinations(blocks, 2):
                 self.assertEqual(set(), set(one) & set(other))
 
-    def test_a_process_without_its_port_is_not_taken_for_another_runs(self):
-        """Its run went on with the other's runner, until that run had ended."""
+    def test_process_that_could_not_bind_its_port_is_detected(self):
+        """Guards against a run that uses the process of another run on that port."""
         with socket.create_server(("127.0.0.1", 0)) as other, ExitStack() as stack:
-            folder = stack.enter_context(tempfile.TemporaryDirectory())
+            directory = stack.enter_context(tempfile.TemporaryDirectory())
             port = other.getsockname()[1]
-            words = ("-c", "raise SystemExit('no port')")
-            member = Member("r0", words, port, Path(folder) / "r0.log")
-            stack.callback(member.end)
-            member.start()
-            member.process.wait(20.0)
-            error = self.assertRaises(RuntimeError, anyio.run, member.wait_started)
+            arguments = ("-c", "raise SystemExit('no port')")
+            child = ManagedProcess("r0", arguments, port, Path(directory) / "r0.log")
+            stack.callback(child.kill)
+            child.start()
+            child.process.wait(20.0)
+            error = self.assertRaises(RuntimeError, anyio.run, child.wait_started)
             self.assertIn("exit code 1: no port", str(error))
 
 
 class ShortRunTest(TestCase):
-    def test_a_short_seeded_run_keeps_the_promises(self):
-        with tempfile.TemporaryDirectory() as folder:
-            verdict = anyio.run(play, CI_TERMS, Path(folder))
-        self.assertEqual([], verdict.violations)
-        self.assertGreater(verdict.served_count, 0)
+    def test_short_seeded_run_has_no_violations(self):
+        with tempfile.TemporaryDirectory() as directory:
+            result = anyio.run(run_seed, CI_PARAMETERS, Path(directory))
+        self.assertEqual([], result.violations)
+        self.assertGreater(result.served_count, 0)
