--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -72,7 +72,11 @@
             await client.aclose()
 
     async def send(self, kind: str, host: str) -> Call:
-        """Send one request; one with an idempotency key is sent again if it was cut."""
+        """Send one request.
+
+        A request with an idempotency key is sent again if the connection was cut or
+        refused.
+        """
         self._count += 1
         text = f"{SHARED_PREFIX}{self.name}-{self._count}"
         for _ in range(KEYED_ATTEMPTS if kind == "keyed" else 1):
@@ -80,7 +84,7 @@
             self.record_call(call)
             if not call.is_cut and not call.is_unreachable:
                 break
-            # Another host may have the outcome.
+            # Another host may have the recorded outcome.
             host = self.rng.choice(list(self.urls))
         return call
 
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -20,14 +20,15 @@
 from ._faults import PLANNED, InjectedFault
 from ._fleet import CRASHING_PROMPT
 
-#: Time before a request without unplanned faults for a cut to count as a violation.
+#: A cut is a violation only if no unplanned fault overlapped the request or this time
+#: before it.
 PLANNED_ONLY_SECONDS = 2.0
 
 #: Time after which hosts send no new requests to a draining runner.
 DRAINING_KNOWN_SECONDS = 2.0
 
-#: Allowed runs of the crashing prompt, once before all hosts have received the crash
-#: reports and once after, and the time within which they must have received them.
+#: Allowed runs of the crashing prompt before the crash reports must have reached all
+#: hosts, the same number allowed later, and the time for the reports to arrive.
 ALLOWED_CRASHING_RUNS = 3
 CRASHES_KNOWN_SECONDS = 3.0
 
