--- a/tests/bench.py
+++ b/tests/bench.py
@@ -22,7 +22,7 @@
     serve_app,
 )
 
-from .history import CallerSaw, RunnerSaw, read_stream
+from .history import ObservedAttempt, ObservedResponse, read_stream
 
 KEY = "key-labels"
 OTHER_KEY = "key-drafts"
@@ -92,7 +92,7 @@
     addresses: Addresses
     client: httpx.AsyncClient
 
-    async def stream(self, prompt: str, **options) -> CallerSaw:
+    async def stream(self, prompt: str, **options) -> ObservedResponse:
         """Send a streaming request and return the received response."""
         return await send_stream(self.client, prompt, **options)
 
@@ -133,7 +133,7 @@
     key: str = KEY,
     headers: dict[str, str] | None = None,
     max_tokens: int = 4,
-) -> CallerSaw:
+) -> ObservedResponse:
     """Send a streaming request and return the received response."""
     body = {
         "model": "lektor",
@@ -223,10 +223,10 @@
             ) as client:
                 yield Host(daemon, addresses, client)
 
-    def attempts(self) -> list[RunnerSaw]:
+    def attempts(self) -> list[ObservedAttempt]:
         """Return the attempts at all runners, over all their incarnations."""
         return [
-            RunnerSaw(
+            ObservedAttempt(
                 runner=name,
                 attempt_id=stream.attempt_id,
                 text=stream.request.text,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -30,7 +30,7 @@
 from .bench import until
 from .case import ScenarioCase
 from .fakes import FakeApi
-from .history import Observed, check_revisions
+from .history import ObservedRevision, check_revisions
 
 
 def set_weight(path, weight):
@@ -194,14 +194,14 @@
                 await write_change_directly(bench)
                 bench.platform.set_faults(PlatformFaults())
                 await until(lambda: follower.revision == 2)
-                observations.append(Observed("entry-1", follower.revision))
+                observations.append(ObservedRevision("entry-1", follower.revision))
                 # From here on, the platform returns an old state repeatedly.
                 bench.platform._stale_store = ObjectStore()
                 bench.platform.faults = PlatformFaults(is_stale=True)
                 for _ in range(3):
                     task = host.daemon._configuration
                     await task.source._load(task)
-                    observations.append(Observed("entry-1", follower.revision))
+                    observations.append(ObservedRevision("entry-1", follower.revision))
             return observations
 
         return self.run_scenario(scenario)
@@ -280,7 +280,7 @@
             else:
                 some = data.draw(st.lists(st.sampled_from(changes), max_size=4))
                 follower.offer_changes(some, "peer")
-            observations.append(Observed("h", follower.revision))
+            observations.append(ObservedRevision("h", follower.revision))
         self.assertEqual([], check_revisions(observations))
         follower.offer_changes(changes, "peer")
         self.assertEqual(trees[-1], follower.view.tree)
--- a/tests/test_not_run.py
+++ b/tests/test_not_run.py
@@ -20,7 +20,7 @@
 
 from .bench import KEY, until
 from .case import ScenarioCase
-from .history import check_answers, check_at_most_once, check_not_run
+from .history import check_at_most_once, check_not_run, check_responses
 
 ONCE = {"Rampwick-Repeat": "never"}
 
@@ -163,7 +163,7 @@
     def test_concurrent_retries_at_several_hosts_run_once(self):
         answers, ran = self.repeat_over_hosts()
         self.assert_holds(check_at_most_once(ran, ["write 7"]))
-        self.assert_holds(check_answers(answers, 4))
+        self.assert_holds(check_responses(answers, 4))
         self.assertEqual(1, sum(answer.is_whole for answer in answers))
         others = {answer.error_code for answer in answers if not answer.is_whole}
         self.assertEqual({"key_already_used"}, others)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -23,7 +23,7 @@
 
 from .bench import KEY, hash_key, until
 from .case import ScenarioCase
-from .history import check_answers, check_final_answers
+from .history import check_final_responses, check_responses
 
 LENGTH = 10
 
@@ -138,8 +138,8 @@
 
         sent, responses, open_count, late = self.run_scenario(scenario)
         self.assertEqual(0, open_count)
-        self.assert_holds(check_answers(responses, LENGTH))
-        self.assert_holds(check_final_answers(responses, sent))
+        self.assert_holds(check_responses(responses, LENGTH))
+        self.assert_holds(check_final_responses(responses, sent))
         self.assertTrue(all(response.is_whole for response in responses))
         self.assertEqual(("leaving", "no"), (late.error_code, late.was_run))
 
@@ -177,8 +177,8 @@
             return sent, responses
 
         sent, responses = self.run_scenario(scenario)
-        self.assert_holds(check_answers(responses, LENGTH))
-        self.assert_holds(check_final_answers(responses, sent))
+        self.assert_holds(check_responses(responses, LENGTH))
+        self.assert_holds(check_final_responses(responses, sent))
         self.assertTrue(all(response.is_whole for response in responses))
 
     def test_second_signal_ends_open_streams_with_an_error_event(self):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -13,7 +13,7 @@
 
 from .bench import KEY, OTHER_KEY, until
 from .case import ScenarioCase
-from .history import check_answers, check_final_answers, read_stream
+from .history import check_final_responses, check_responses, read_stream
 
 LENGTH = 6
 
@@ -37,7 +37,7 @@
 
     def test_stream_cut_at_any_position_is_resumed_or_ends_with_an_error(self):
         responses = self.cut_at_each_position()
-        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_responses(responses, LENGTH))
         # Three resumptions suffice for cuts after every second event or more.
         self.assertEqual([True] * 5, [response.is_whole for response in responses[1:]])
 
@@ -54,7 +54,7 @@
         return self.run_scenario(scenario)
 
     def test_repeated_event_is_delivered_once(self):
-        self.assert_holds(check_answers(self.repeat_an_event(), LENGTH))
+        self.assert_holds(check_responses(self.repeat_an_event(), LENGTH))
 
     def test_checker_detects_a_relay_that_ignores_event_order(self):
         def admit_all(self, event):
@@ -63,7 +63,7 @@
 
         with mock.patch.object(SequenceFilter, "admit", admit_all):
             responses = self.repeat_an_event()
-        self.assertNotEqual([], check_answers(responses, LENGTH))
+        self.assertNotEqual([], check_responses(responses, LENGTH))
 
     def test_engine_crash_in_mid_stream_ends_it_with_an_explicit_error(self):
         async def scenario(bench):
@@ -83,7 +83,7 @@
             return responses
 
         (response,) = self.run_scenario(scenario)
-        self.assert_holds(check_answers([response], LENGTH))
+        self.assert_holds(check_responses([response], LENGTH))
         self.assertFalse(response.is_whole)
         self.assertEqual("upstream_failed", response.error_code)
 
@@ -111,7 +111,7 @@
             return responses
 
         responses = self.run_scenario(scenario)
-        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_responses(responses, LENGTH))
         self.assertTrue(responses[0].is_whole)
 
 
@@ -165,7 +165,7 @@
             received, remainder, other_workspace, forged = self.run_scenario(scenario)
         self.assertEqual(200, remainder.status_code, remainder.text)
         response = read_stream("moving", 200, received + remainder.content)
-        self.assert_holds(check_answers([response], LENGTH))
+        self.assert_holds(check_responses([response], LENGTH))
         self.assertTrue(response.is_whole)
         self.assertEqual(410, other_workspace.status_code)
         self.assertEqual(410, forged.status_code)
@@ -186,7 +186,7 @@
         response = read_stream(
             "orphan", remainder.status_code, received + remainder.content
         )
-        self.assert_holds(check_answers([response], LENGTH))
+        self.assert_holds(check_responses([response], LENGTH))
         self.assertTrue(response.is_whole)
 
     def test_concurrent_resumptions_receive_the_same_events(self):
@@ -214,7 +214,7 @@
             "rampwick_router.upstream._client.UpstreamClient.cancel", do_nothing
         ):
             responses = self.run_scenario(scenario)
-        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_responses(responses, LENGTH))
         self.assertTrue(all(response.is_whole for response in responses))
 
 
@@ -237,8 +237,8 @@
             return sent, responses
 
         sent, responses = self.run_scenario(scenario)
-        self.assert_holds(check_answers(responses, LENGTH))
-        self.assert_holds(check_final_answers(responses, sent))
+        self.assert_holds(check_responses(responses, LENGTH))
+        self.assert_holds(check_final_responses(responses, sent))
         self.assertTrue(all(response.is_whole for response in responses))
 
     def test_response_to_another_attempt_is_not_forwarded(self):
@@ -267,7 +267,7 @@
             return responses
 
         responses = self.run_scenario(scenario)
-        self.assert_holds(check_answers(responses, LENGTH))
+        self.assert_holds(check_responses(responses, LENGTH))
         self.assertTrue(responses[0].is_whole)
 
     def test_disconnect_of_the_caller_cancels_the_attempt(self):
