--- a/packages/rampwick-standin/src/rampwick_standin/_platform.py
+++ b/packages/rampwick-standin/src/rampwick_standin/_platform.py
@@ -66,7 +66,7 @@
             middleware=[Middleware(BaseHTTPMiddleware, dispatch=self._add_era)],
         )
 
-    def keep_copy(self) -> None:
+    def save_copy(self) -> None:
         """Keep the store's present state for a later restore."""
         self._copy = copy.deepcopy(self.store)
 
@@ -177,7 +177,7 @@
         return Response(status_code=204)
 
     async def _handle_copy(self, request: Request) -> Response:
-        self.keep_copy()
+        self.save_copy()
         return Response(status_code=204)
 
     async def _handle_restore(self, request: Request) -> Response:
--- a/tests/test_restored_claims.py
+++ b/tests/test_restored_claims.py
@@ -50,7 +50,7 @@
     def test_a_key_that_ran_is_not_run_again_by_another_host(self):
         async def scenario(store, clock, one, other):
             await other.claim("/w", "early")
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             await one.claim("/w", "lost")
             store.stand_in.restore()
             for host in (other, one):
@@ -87,7 +87,7 @@
     def test_a_claim_that_meets_the_restore_is_free_again(self):
         async def scenario(store, clock, one, other):
             await one.claim("/w", "early")
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             store.stand_in.restore()
             self.assertEqual("claim_unavailable", await self.refuse(one, "key"))
             self.assertEqual("claim_unavailable", await self.refuse(one, "key"))
--- a/tests/test_restored_log.py
+++ b/tests/test_restored_log.py
@@ -34,7 +34,7 @@
             )
             for path in ("/a", "/b"):
                 await self.write(path)
-            self.store.stand_in.keep_copy()
+            self.store.stand_in.save_copy()
             for path in ("/c", "/d"):
                 await self.write(path)
             await self.source._load(self.task)
@@ -103,7 +103,7 @@
     def test_an_edit_concurrent_with_the_restore_is_rejected(self):
         async def scenario():
             await self.store.list_objects("k/")
-            self.store.stand_in.keep_copy()
+            self.store.stand_in.save_copy()
             put = self.store.put
 
             async def put_late(key, value, expected_version):
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -47,7 +47,7 @@
         async def main():
             store = RestorableStore()
             store.write("k/kept", LeaseRecord("x", "", 1.0))
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             for name in ("a", "b", "c"):
                 store.write(f"k/{name}", LeaseRecord(name, "", 1.0))
             states = []
@@ -75,7 +75,7 @@
         async def main():
             store = RestorableStore()
             write_lease(store, "former")
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             for _ in range(5):
                 version = write_lease(store, "former")
             now_seconds = 100.0
@@ -95,9 +95,9 @@
     def test_an_upstream_that_leaves_after_a_restore_gets_no_request(self):
         async def main():
             store = RestorableStore()
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             async with run_routed({"labels": ["s1", "s2"]}, store=store) as (host, ups):
-                store.stand_in.keep_copy()
+                store.stand_in.save_copy()
                 for _ in range(9):
                     store.write("other/x", make_tree(9))
                 for upstream in ups.values():
@@ -147,7 +147,7 @@
             store = RestorableStore()
             for number in range(9):
                 if number == 3:
-                    store.stand_in.keep_copy()
+                    store.stand_in.save_copy()
                 store.write(f"k/{number}", LeaseRecord("", "", 1.0))
             return await scenario(store)
 
@@ -287,7 +287,7 @@
         async def scenario(store, take):
             former, holder = LeaseWatcher("former", 3.0), LeaseWatcher("holder", 3.0)
             await take(former, 100.0)
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             await take(holder, 100.5)
             self.assertTrue(await take(holder, 104.0))
             await take(former, 104.1)
@@ -303,7 +303,7 @@
         async def scenario(store, take):
             former, other = LeaseWatcher("former", 3.0), LeaseWatcher("other", 3.0)
             store.write("k/a", LeaseRecord("", "", 1.0))
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             self.assertTrue(await take(former, 100.0))
             store.stand_in.restore()
             # The same revision as the former holder's record had.
@@ -320,7 +320,7 @@
 
     def test_a_lease_that_the_copy_lacks_is_free_after_its_time(self):
         async def scenario(store, take):
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             holder, next_one = LeaseWatcher("holder", 3.0), LeaseWatcher("next", 3.0)
             self.assertTrue(await take(holder, 100.0))
             await take(next_one, 100.1)
@@ -336,7 +336,7 @@
         async def scenario(store, take):
             holder = LeaseWatcher("holder", 3.0)
             await take(holder, 100.0)
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             await take(holder, 101.0)
             first = holder.fencing_number(101.1)
             store.stand_in.restore()
@@ -353,7 +353,7 @@
             await take(LeaseWatcher("holder", 3.0), 100.0)
             restarted = LeaseWatcher("holder", 3.0)
             found = [await take(restarted, 101.0)]
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             store.stand_in.restore()
             restarted = LeaseWatcher("holder", 3.0)
             return found + [await take(restarted, 102.0 + step) for step in range(4)]
