--- a/packages/rampwick-cli/src/rampwick_cli/__init__.py
+++ b/packages/rampwick-cli/src/rampwick_cli/__init__.py
@@ -1,3 +1,3 @@
-"""The rampwick command."""
+"""Command-line client of rampwick."""
 
 from ._main import main as main
--- a/packages/rampwick-cli/src/rampwick_cli/__main__.py
+++ b/packages/rampwick-cli/src/rampwick_cli/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command as a module."""
+"""Entry point of ``python -m rampwick_cli``."""
 
 import sys
 
--- a/packages/rampwick-cli/src/rampwick_cli/_ask.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_ask.py
@@ -1,4 +1,4 @@
-"""Sending one request and watching its answer stream."""
+"""The ``ask`` command: send one request and stream its response."""
 
 import argparse
 import json
@@ -8,13 +8,13 @@
 import httpx
 
 from . import _exit_codes
-from ._output import Output, complain
+from ._output import Output, print_error
 
 DONE = "[DONE]"
 
 
 async def run_ask(arguments: argparse.Namespace, output: Output) -> int:
-    """Send a prompt and print the answer as it comes."""
+    """Send a prompt and print the response as it is streamed."""
     headers = {"Authorization": f"Bearer {arguments.key}"}
     if arguments.idempotency_key:
         headers["Idempotency-Key"] = arguments.idempotency_key
@@ -27,7 +27,7 @@
         "stream": True,
         "stream_options": {"include_usage": True},
     }
-    began_seconds = time.monotonic()
+    started_seconds = time.monotonic()
     async with (
         httpx.AsyncClient(trust_env=False, timeout=None) as client,
         client.stream(
@@ -36,27 +36,27 @@
     ):
         if not response.is_success:
             await response.aread()
-            return _refused(response, output)
-        return await _print_stream(response, began_seconds, output)
+            return _print_refusal(response, output)
+        return await _print_stream(response, started_seconds, output)
 
 
 async def _print_stream(
-    response: httpx.Response, began_seconds: float, output: Output
+    response: httpx.Response, started_seconds: float, output: Output
 ) -> int:
     first_seconds = None
     usage: dict[str, object] = {}
-    is_whole = False
+    is_complete = False
     async for line in response.aiter_lines():
         if not line.startswith("data: "):
             continue
         if line[6:] == DONE:
-            is_whole = True
+            is_complete = True
             break
         data = json.loads(line[6:])
         if "error" in data:
-            complain(data["error"]["message"])
+            print_error(data["error"]["message"])
             return _exit_codes.FAILED
-        first_seconds = first_seconds or time.monotonic() - began_seconds
+        first_seconds = first_seconds or time.monotonic() - started_seconds
         usage = data.get("usage") or usage
         for choice in data["choices"]:
             text = choice["delta"].get("content") or ""
@@ -70,16 +70,16 @@
             "usage": usage,
         }
     )
-    return _exit_codes.OK if is_whole else _exit_codes.FAILED
+    return _exit_codes.OK if is_complete else _exit_codes.FAILED
 
 
-def _refused(response: httpx.Response, output: Output) -> int:
+def _print_refusal(response: httpx.Response, output: Output) -> int:
     try:
         error = response.json()["error"]
     except (ValueError, KeyError):
-        complain(f"status {response.status_code}")
+        print_error(f"status {response.status_code}")
         return _exit_codes.FAILED
-    complain(f"{error['message']} (run: {error['was_run']})")
+    print_error(f"{error['message']} (run: {error['was_run']})")
     if "retry_after_seconds" in error:
-        complain(f"come back in {error['retry_after_seconds']} seconds")
+        print_error(f"retry after {error['retry_after_seconds']} seconds")
     return _exit_codes.FAILED
--- a/packages/rampwick-cli/src/rampwick_cli/_exit_codes.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_exit_codes.py
@@ -1,17 +1,17 @@
 """Exit codes of the rampwick command, for scripts."""
 
 OK = 0
-#: The operation failed for a reason that the message names.
+#: The operation failed; the error message names the reason.
 FAILED = 1
-#: The command line or the data given is invalid; nothing was done.
+#: The command line or its input is invalid; nothing was done.
 INVALID = 2
-#: Somebody else changed the same nodes first; nothing was written.
+#: A concurrent write changed the same nodes; nothing was written.
 CONFLICT = 3
-#: The platform or host can't be reached; nothing was done.
+#: The platform or host is unreachable; nothing was done.
 UNREACHABLE = 4
-#: The write may have taken effect: look before doing it again.
+#: The write may have taken effect; check before retrying.
 UNKNOWN = 5
-#: The change is accepted but not in force everywhere within the wait.
+#: The change was accepted but not in force on every host within the timeout.
 NOT_EVERYWHERE = 6
 
 DESCRIPTION = """\
--- a/packages/rampwick-cli/src/rampwick_cli/_host_commands.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_host_commands.py
@@ -1,4 +1,4 @@
-"""Commands that look at one host, and the one that has it leave."""
+"""Commands that inspect, profile or drain a single host."""
 
 import argparse
 from typing import Any
@@ -6,16 +6,16 @@
 import httpx
 
 from . import _exit_codes
-from ._output import Output, complain
+from ._output import Output, print_error
 
 TIMEOUT_SECONDS = 5.0
 
-#: Rows shown of each table of a profile; ``--json`` shows all that the host told.
+#: Rows printed of each table of a profile; ``--json`` prints the full report.
 PROFILE_ROWS = 15
 
 
 async def run_status(arguments: argparse.Namespace, output: Output) -> int:
-    """Show a host's view: itself, its peers, upstreams, what is degraded."""
+    """Show the state of a host, its peers and upstreams, and degraded functions."""
     status = await _get(arguments.admin, "/status")
     if output.as_json:
         output.show_object(status)
@@ -57,32 +57,32 @@
 
 
 async def run_explain(arguments: argparse.Namespace, output: Output) -> int:
-    """Show why a request went where it went."""
+    """Show the routing decisions for a request."""
     decisions = await _get(arguments.admin, f"/explain/{arguments.request_id}")
     if output.as_json:
         output.show("decisions", decisions)
         return _exit_codes.OK
     for decision in decisions:
-        _explain_one(decision, output)
+        _print_decision(decision, output)
     return _exit_codes.OK
 
 
-def _explain_one(decision: dict[str, Any], output: Output) -> None:
+def _print_decision(decision: dict[str, Any], output: Output) -> None:
     if decision["kind"] == "refuse":
-        output.say(
+        output.print_text(
             f"refused: {decision['reason']}, run state {decision['run_state']}, "
-            f"come back in {decision['retry_after_seconds']} seconds; "
+            f"retry after {decision['retry_after_seconds']} seconds; "
             f"{decision['evidence']}"
         )
         return
-    output.say(f"sent to {decision['upstream']} as {decision['attempt_id']}")
+    output.print_text(f"sent to {decision['upstream']} as {decision['attempt_id']}")
     choice = decision["choice"] or {}
     output.show(
-        "weighed", [_weighed_row(item) for item in choice.get("considered", [])]
+        "weighed", [_candidate_row(item) for item in choice.get("considered", [])]
     )
 
 
-def _weighed_row(choice: dict[str, Any]) -> dict[str, Any]:
+def _candidate_row(choice: dict[str, Any]) -> dict[str, Any]:
     return {
         "upstream": choice["upstream"],
         "cached_tokens": choice["cached_tokens"],
@@ -94,7 +94,7 @@
 
 
 async def run_suspects(arguments: argparse.Namespace, output: Output) -> int:
-    """Show requests that upstreams end under, or let one of them go."""
+    """Show quarantined requests that crash upstreams, or release one of them."""
     if not arguments.forget:
         output.show("suspects", await _get(arguments.admin, "/suspects"))
         return _exit_codes.OK
@@ -102,7 +102,7 @@
     async with httpx.AsyncClient(trust_env=False, timeout=TIMEOUT_SECONDS) as client:
         response = await client.delete(url)
     if response.status_code in (httpx.codes.BAD_REQUEST, httpx.codes.NOT_FOUND):
-        complain(response.json()["error"])
+        print_error(response.json()["error"])
         return _exit_codes.INVALID
     response.raise_for_status()
     output.show_object({"forgotten": arguments.forget})
@@ -110,7 +110,7 @@
 
 
 async def run_drain(arguments: argparse.Namespace, output: Output) -> int:
-    """Begin a host's planned stop; asked again, hurry it."""
+    """Start a graceful shutdown of a host; a second call expedites it."""
     async with httpx.AsyncClient(trust_env=False, timeout=TIMEOUT_SECONDS) as client:
         response = await client.post(f"{arguments.admin}/drain")
     response.raise_for_status()
@@ -126,7 +126,7 @@
             f"{arguments.admin}/profile", params={"seconds": arguments.seconds}
         )
     if response.status_code in (httpx.codes.BAD_REQUEST, httpx.codes.CONFLICT):
-        complain(response.json()["error"])
+        print_error(response.json()["error"])
         return _exit_codes.INVALID
     response.raise_for_status()
     report = response.json()
--- a/packages/rampwick-cli/src/rampwick_cli/_log_commands.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_log_commands.py
@@ -1,4 +1,4 @@
-"""The command that reads hosts' logs: what became of a request, and why."""
+"""The ``logs`` command: filter and format the log lines of hosts."""
 
 import argparse
 import sys
@@ -13,32 +13,35 @@
 from . import _exit_codes
 from ._output import Output
 
-#: Time between two looks at a file that is followed.
+#: Poll interval of ``--follow``.
 FOLLOW_SECONDS = 0.2
 
-#: Fields of each line that its sentence or the command's own columns hold already.
-PLUMBING = frozenset(
+#: Fields left out of the field list: internal, or printed in columns of their own.
+OMITTED_FIELDS = frozenset(
     {"task_uuid", "task_level", "message_type", "timestamp", "message", "level"}
 )
 
-#: What stands for standard input.
+#: File name that stands for standard input.
 STANDARD_INPUT = "-"
 
 
 async def run_logs(arguments: argparse.Namespace, output: Output) -> int:
-    """Show lines of hosts' logs, by request, workspace or part."""
-    shown = 0
+    """Show log lines of hosts, filtered by request, workspace or component."""
+    lines_count = 0
     for line in _read(arguments.files, arguments.follow):
         entry = parse_line(line)
-        if entry is None or not is_wanted(entry, arguments):
+        if entry is None or not matches_filters(entry, arguments):
             continue
-        shown += 1
-        print(line.strip() if output.as_json else describe(entry), flush=True)
-    return _exit_codes.OK if shown else _exit_codes.FAILED
+        lines_count += 1
+        print(line.strip() if output.as_json else format_entry(entry), flush=True)
+    return _exit_codes.OK if lines_count else _exit_codes.FAILED
 
 
 def parse_line(line: str) -> dict[str, Any] | None:
-    """Return a log line's fields, whatever its collector put before them."""
+    """Return the fields of a log line, or None if it holds none.
+
+    Text that a log collector put before the JSON object is kept as ``collected``.
+    """
     start = line.find("{")
     if start < 0:
         return None
@@ -54,8 +57,8 @@
     return entry
 
 
-def is_wanted(entry: dict[str, Any], arguments: argparse.Namespace) -> bool:
-    """Return whether a line is about all that was asked for."""
+def matches_filters(entry: dict[str, Any], arguments: argparse.Namespace) -> bool:
+    """Return whether a log entry passes all filters of the command line."""
     part, about, workspace = arguments.part, arguments.about, arguments.workspace
     return (
         (not part or entry["message"].startswith(f"{part}: "))
@@ -70,19 +73,19 @@
     return {entry.get(key) for key in keys}
 
 
-def describe(entry: dict[str, Any]) -> str:
-    """Return a line for people: time, sentence, then what it rests on."""
+def format_entry(entry: dict[str, Any]) -> str:
+    """Return an entry as readable text: time, message, then the other fields."""
     fields = " ".join(
-        f"{key}={_text(value)}"
+        f"{key}={_format_value(value)}"
         for key, value in entry.items()
-        if key not in PLUMBING and value not in ("", None)
+        if key not in OMITTED_FIELDS and value not in ("", None)
     )
     at = datetime.fromtimestamp(entry.get("timestamp", 0.0), UTC)
     mark = "!" if entry.get("level") == "problem" else " "
     return f"{at:%H:%M:%S.%f}{mark} {entry['message']}  {fields}"
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, str) and " " not in value:
         return value
     return orjson.dumps(value).decode()
--- a/packages/rampwick-cli/src/rampwick_cli/_main.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_main.py
@@ -1,4 +1,4 @@
-"""Command line of rampwick: what operators and callers use."""
+"""Command-line parser and entry point of the rampwick command."""
 
 import argparse
 import os
@@ -23,11 +23,11 @@
     run_suspects,
 )
 from ._log_commands import run_logs
-from ._output import Output, complain
+from ._output import Output, print_error
 from ._tree_commands import run_tree
 from ._weights_commands import run_weights
 
-#: Environment variables that stand for options.
+#: Environment variables with the defaults of options.
 PLATFORM_VARIABLE = "RAMPWICK_PLATFORM"
 ADMIN_VARIABLE = "RAMPWICK_ADMIN"
 ENTRY_VARIABLE = "RAMPWICK_ENTRY"
@@ -39,12 +39,12 @@
   rampwick tree set /herbaria tokens_per_second=50000 --wait
   rampwick tree set /herbaria weight=2 --base 17     refuse if changed since 17
   rampwick status
-  rampwick logs host.log --about REQUEST-ID          what became of a request
+  rampwick logs host.log --about REQUEST-ID          log lines of one request
   rampwick ask --model lektor --key KEY "What is on this label?"
 
 {_exit_codes.DESCRIPTION}"""
 
-#: What a subcommand runs; it returns the exit code.
+#: Implementation of a subcommand; returns the exit code.
 Command = Callable[[argparse.Namespace, Output], Awaitable[int]]
 
 WRITERS = ("set", "create", "move", "delete")
@@ -60,31 +60,31 @@
     try:
         return anyio.run(arguments.run, arguments, output)
     except ConflictError as error:
-        complain(f"conflict, nothing was written: {error}")
+        print_error(f"conflict, nothing was written: {error}")
         return _exit_codes.CONFLICT
     except AnswerLostError as error:
-        complain(f"{error}; the write may have taken effect, see tree history")
+        print_error(f"{error}; the write may have taken effect, see tree history")
         return _exit_codes.UNKNOWN
     except PlatformError as error:
-        complain(error)
+        print_error(error)
         return _exit_codes.UNREACHABLE
     except RampwickError as error:
-        complain(error)
+        print_error(error)
         return _exit_codes.INVALID
     except OSError as error:
-        complain(error)
+        print_error(error)
         return _exit_codes.INVALID
     except httpx.HTTPStatusError as error:
-        complain(f"status {error.response.status_code}")
+        print_error(f"status {error.response.status_code}")
         return _exit_codes.FAILED
     except httpx.HTTPError as error:
-        complain(f"can't be reached: {error or type(error).__name__}")
+        print_error(f"host unreachable: {error or type(error).__name__}")
         return _exit_codes.UNREACHABLE
 
 
 def _parse(parser: argparse.ArgumentParser) -> argparse.Namespace:
     arguments, rest = parser.parse_known_args()
-    # argparse leaves words over that come after an option; values may stand there.
+    # argparse doesn't assign positional arguments after an option to "values".
     values: list[str] | None = getattr(arguments, "values", None)
     if rest and (values is None or any(word.startswith("-") for word in rest)):
         parser.error(f"unrecognized arguments: {' '.join(rest)}")
@@ -109,12 +109,12 @@
     _add_check(commands, common)
     _add_host(commands, common, "status", run_status)
     explain = _add_host(commands, common, "explain", run_explain)
-    explain.add_argument("request_id", help="the id that the caller was told")
+    explain.add_argument("request_id", help="X-Request-Id of the response")
     suspects = _add_host(commands, common, "suspects", run_suspects)
-    suspects.add_argument("--forget", metavar="FINGERPRINT", help="let it go")
+    suspects.add_argument("--forget", metavar="FINGERPRINT", help="release it")
     _add_host(commands, common, "drain", run_drain)
     profile = _add_host(commands, common, "profile", run_profile)
-    profile.add_argument("--seconds", type=float, default=10.0, help="60 at the most")
+    profile.add_argument("--seconds", type=float, default=10.0, help="at most 60")
     _add_logs(commands, common)
     _add_ask(commands, common)
     return parser
@@ -147,10 +147,14 @@
         command.add_argument("--unset", action="append", default=[], metavar="KEY")
     if name == "create":
         command.add_argument("--workspace", action="store_true")
-        command.add_argument("--new-key", action="store_true", help="make a bearer key")
-    command.add_argument("--base", type=int, help="refuse if changed since REVISION")
-    command.add_argument("--author", help="name in the history; default is the user")
-    command.add_argument("--wait", action="store_true", help="until in force")
+        command.add_argument(
+            "--new-key", action="store_true", help="create a bearer key"
+        )
+    command.add_argument("--base", type=int, help="fail if changed since REVISION")
+    command.add_argument("--author", help="author in the history (default: the user)")
+    command.add_argument(
+        "--wait", action="store_true", help="wait until in force on every host"
+    )
     command.add_argument("--wait-timeout-seconds", type=float, default=8.0)
     command.add_argument(
         "--admin",
@@ -189,10 +193,10 @@
 def _add_logs(commands: Any, common: argparse.ArgumentParser) -> None:
     command = commands.add_parser("logs", parents=[common], help=run_logs.__doc__)
     command.set_defaults(run=run_logs)
-    command.add_argument("files", nargs="*", help="log files; none reads the input")
+    command.add_argument("files", nargs="*", help="log files (default: stdin)")
     command.add_argument("--about", help="a request, an upstream or a peer")
     command.add_argument("--workspace", help="path of a workspace")
-    command.add_argument("--part", help="what writes it: entry, route, beliefs, ...")
+    command.add_argument("--part", help="component: entry, route, beliefs, ...")
     command.add_argument("--problems", action="store_true", help="problems only")
     command.add_argument("--follow", action="store_true", help="wait for more lines")
 
@@ -221,8 +225,8 @@
 async def _run_check(arguments: argparse.Namespace, output: Output) -> int:
     problems: list[str] = []
     settings = read_settings(arguments.settings, problems.append)
-    shown: dict[str, Any] = {"settings": "valid", "host": settings.host.name}
+    result: dict[str, Any] = {"settings": "valid", "host": settings.host.name}
     if problems:
-        shown["problems"] = problems
-    output.show_object(shown)
+        result["problems"] = problems
+    output.show_object(result)
     return _exit_codes.OK
--- a/packages/rampwick-cli/src/rampwick_cli/_node_values.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_node_values.py
@@ -1,4 +1,4 @@
-"""Reading ``key=value`` words of the command line as values of a node."""
+"""Parsing ``key=value`` arguments of the command line into a tree node."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -12,8 +12,8 @@
 _FIELDS = attrs.fields_dict(Node)
 
 
-def changed_node(node: Node, words: Sequence[str], unset: Sequence[str]) -> Node:
-    """Return the node with the given values set and others taken away."""
+def update_node(node: Node, words: Sequence[str], unset: Sequence[str]) -> Node:
+    """Return a copy of the node with values set and the ``unset`` ones removed."""
     data = unstructure(node)
     for name in unset:
         if name not in _FIELDS:
--- a/packages/rampwick-cli/src/rampwick_cli/_output.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_output.py
@@ -1,4 +1,4 @@
-"""Tables for people and JSON for programs."""
+"""Command output as tables or JSON."""
 
 import json
 import sys
@@ -10,14 +10,14 @@
 
 
 class Output:
-    """Where a command prints its result: a table, or JSON if asked for."""
+    """Printer of a command's result, as a table or as JSON."""
 
     def __init__(self, as_json: bool) -> None:
         self.as_json = as_json
         self._console = Console(soft_wrap=True)
 
     def show(self, title: str, rows: Sequence[Mapping[str, Any]]) -> None:
-        """Print rows of equal keys."""
+        """Print rows that share the same keys."""
         if self.as_json:
             print(json.dumps(list(rows), sort_keys=True))
             return
@@ -25,7 +25,7 @@
             print(f"{title}: none")
             return
         table = Table(title=title, title_justify="left")
-        # Columns without any value would only push the others together.
+        # Empty columns are dropped; they would narrow the others.
         names = [name for name in rows[0] if any(_cell(row[name]) for row in rows)]
         for name in names:
             table.add_column(name.replace("_", " "))
@@ -41,14 +41,14 @@
         for name, value in data.items():
             print(f"{name}: {_cell(value)}")
 
-    def say(self, sentence: str) -> None:
-        """Print a sentence for people; programs don't see it."""
+    def print_text(self, sentence: str) -> None:
+        """Print a sentence; omitted from JSON output."""
         if not self.as_json:
             print(sentence)
 
 
-def complain(error: object) -> None:
-    """Print an error."""
+def print_error(error: object) -> None:
+    """Print an error message to standard error."""
     print(f"rampwick: {error}", file=sys.stderr)
 
 
--- a/packages/rampwick-cli/src/rampwick_cli/_platform.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_platform.py
@@ -1,4 +1,4 @@
-"""Opening the platform that the command line names."""
+"""Client of the platform given on the command line."""
 
 import argparse
 
@@ -9,7 +9,7 @@
 
 
 def open_platform(arguments: argparse.Namespace) -> HttpObjectApi:
-    """Return a client of the platform, to be entered."""
+    """Return a platform client, to be used as an async context manager."""
     return HttpObjectApi(
         arguments.platform,
         call_timeout_seconds=CALL_TIMEOUT_SECONDS,
--- a/packages/rampwick-cli/src/rampwick_cli/_tree_commands.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_tree_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the tree: reading it, and edits that lose to nobody unnoticed."""
+"""Commands that read and edit the tree; concurrent edits are reported as conflicts."""
 
 import argparse
 import getpass
@@ -13,16 +13,16 @@
 from rampwick_schema import Change, Node, NodeEdit, Tree, unstructure
 
 from . import _exit_codes
-from ._node_values import changed_node
+from ._node_values import update_node
 from ._output import Output
 from ._platform import open_platform
 from ._wait import wait_in_force
 
-Edits = Callable[[Tree], Sequence[NodeEdit]]
+EditsFactory = Callable[[Tree], Sequence[NodeEdit]]
 
 
 async def run_tree(arguments: argparse.Namespace, output: Output) -> int:
-    """Run one of the tree commands; return the exit code."""
+    """Run a tree subcommand; return the exit code."""
     async with open_platform(arguments) as api:
         store = TreeStore(api)
         command = COMMANDS[arguments.tree_command]
@@ -32,11 +32,11 @@
 async def _show(store: TreeStore, arguments: argparse.Namespace, output: Output) -> int:
     tree = (await store.load()).tree
     rows = [
-        {"path": path, **_short(node)}
+        {"path": path, **_node_row(node)}
         for path, node in sorted(tree.nodes.items())
         if path.startswith(arguments.path)
     ]
-    output.say(f"revision {tree.revision}")
+    output.print_text(f"revision {tree.revision}")
     output.show("tree", rows)
     return _exit_codes.OK
 
@@ -53,7 +53,7 @@
 async def _set(store: TreeStore, arguments: argparse.Namespace, output: Output) -> int:
     def edits(tree: Tree) -> list[NodeEdit]:
         node = _find(tree, arguments.path)
-        changed = changed_node(node, arguments.values, arguments.unset)
+        changed = update_node(node, arguments.values, arguments.unset)
         return [NodeEdit(arguments.path, changed)]
 
     return await _write(store, edits, arguments, output)
@@ -69,12 +69,12 @@
             raise TreeError(f"{arguments.path}: exists already", step="create node")
         hashes = [hashlib.sha256(key.encode()).hexdigest()] if key else []
         node = Node(is_workspace=arguments.workspace or bool(key), key_hashes=hashes)
-        return [NodeEdit(arguments.path, changed_node(node, arguments.values, []))]
+        return [NodeEdit(arguments.path, update_node(node, arguments.values, []))]
 
     code = await _write(store, edits, arguments, output)
     if key and code in (_exit_codes.OK, _exit_codes.NOT_EVERYWHERE):
         output.show_object({"bearer_key": key})
-        output.say("The key is shown this once; the tree holds only its hash.")
+        output.print_text("The key is shown only once; the tree stores only its hash.")
     return code
 
 
@@ -117,7 +117,7 @@
 
 
 async def _write(
-    store: TreeStore, edits: Edits, arguments: argparse.Namespace, output: Output
+    store: TreeStore, edits: EditsFactory, arguments: argparse.Namespace, output: Output
 ) -> int:
     change = await store.propose(
         edits,
@@ -138,7 +138,7 @@
     return tree.nodes[path]
 
 
-def _short(node: Node) -> dict[str, Any]:
+def _node_row(node: Node) -> dict[str, Any]:
     return {
         "workspace": "yes" if node.is_workspace else "",
         "weight": node.weight,
--- a/packages/rampwick-cli/src/rampwick_cli/_wait.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_wait.py
@@ -1,4 +1,4 @@
-"""Waiting until a revision is in force on every live host."""
+"""Waiting until a tree revision is in force on every live host."""
 
 import argparse
 import time
@@ -13,14 +13,14 @@
 from . import _exit_codes
 from ._output import Output
 
-LOOK_INTERVAL_SECONDS = 0.1
+POLL_INTERVAL_SECONDS = 0.1
 
 
 async def wait_in_force(
     version: TreeVersion, arguments: argparse.Namespace, output: Output
 ) -> int:
-    """Wait until every host that one host hears reports the revision."""
-    began_seconds = time.monotonic()
+    """Wait until a host and all its live peers report the revision."""
+    started_seconds = time.monotonic()
     behind = {"this host": TreeVersion(0)}
     with Progress(transient=True, disable=output.as_json) as progress:
         task = progress.add_task(f"revision {version.revision} in force")
@@ -35,8 +35,8 @@
                     }
                     done = len(versions) - len(behind)
                     progress.update(task, total=len(versions), completed=done)
-                    await anyio.sleep(LOOK_INTERVAL_SECONDS if behind else 0)
-    waited = round(time.monotonic() - began_seconds, 3)
+                    await anyio.sleep(POLL_INTERVAL_SECONDS if behind else 0)
+    waited = round(time.monotonic() - started_seconds, 3)
     state = "in force" if not behind else "not yet everywhere"
     output.show_object({"state": state, "waited_seconds": waited})
     if not behind:
@@ -57,5 +57,5 @@
     return versions
 
 
-def _version(told: dict[str, Any]) -> TreeVersion:
-    return TreeVersion(told["revision"], told.get("revision_era"))
+def _version(report: dict[str, Any]) -> TreeVersion:
+    return TreeVersion(report["revision"], report.get("revision_era"))
--- a/packages/rampwick-cli/src/rampwick_cli/_weights_commands.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_weights_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the targets of the runners' weights."""
+"""Commands that show and set the target weights of runners."""
 
 import argparse
 
@@ -11,7 +11,7 @@
 
 
 async def run_weights(arguments: argparse.Namespace, output: Output) -> int:
-    """Show or set which weights runners shall have loaded."""
+    """Show or set the target weights version of runners by model."""
     async with open_platform(arguments) as api:
         store = WeightsStore(api)
         if arguments.weights_command == "set":
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' command and interface, against a running host."""
+"""The rampwick command and the admin interface, against a running host."""
 
 import io
 import json
@@ -16,11 +16,11 @@
 from .case import ScenarioCase
 
 
-def run_main(words):
-    """Run the command; return its exit code and what it printed."""
+def run_main(arguments):
+    """Run the command; return its exit code, standard output and standard error."""
     out, errors = io.StringIO(), io.StringIO()
     with (
-        mock.patch.object(sys, "argv", ["rampwick", *words]),
+        mock.patch.object(sys, "argv", ["rampwick", *arguments]),
         redirect_stdout(out),
         redirect_stderr(errors),
     ):
@@ -31,24 +31,24 @@
     return code, out.getvalue(), errors.getvalue()
 
 
-async def run(*words):
-    """Run the command in a thread, beside the event loop that serves it."""
-    return await anyio.to_thread.run_sync(run_main, words)
+async def run(*arguments):
+    """Run the command in a worker thread; the event loop serves its requests."""
+    return await anyio.to_thread.run_sync(run_main, arguments)
 
 
 class TreeCommandsTest(ScenarioCase):
-    def test_an_operators_day(self):
+    def test_create_edit_move_delete_and_history(self):
         async def scenario(bench):
             platform = ("--platform", bench.platform_url)
             async with bench.run_host() as host:
                 await host.until_ready()
                 admin = ("--admin", f"http://{host.addresses.admin}")
-                made = await run(
+                created = await run(
                     *("tree", "create", "/herbaria/new", "--new-key", "--json"),
                     *("--wait", "weight=3", "priority_class=batch", *platform, *admin),
                 )
-                self.assertEqual(0, made[0], made)
-                key = json.loads(made[1].splitlines()[-1])["bearer_key"]
+                self.assertEqual(0, created[0], created)
+                key = json.loads(created[1].splitlines()[-1])["bearer_key"]
                 models = await host.client.get(
                     "/v1/models", headers={"Authorization": f"Bearer {key}"}
                 )
@@ -56,19 +56,19 @@
                 got = await run("tree", "get", "/herbaria/new", "--json", *platform)
                 self.assertEqual(3.0, json.loads(got[1])["weight"])
                 await run("tree", "set", "/herbaria/new", "weight=4", *platform)
-                lost = await run(
+                conflict = await run(
                     "tree", "set", "/herbaria/new", "weight=5", "--base", "2", *platform
                 )
-                self.assertEqual(3, lost[0])
-                self.assertIn("/herbaria/new", lost[2])
+                self.assertEqual(3, conflict[0])
+                self.assertIn("/herbaria/new", conflict[2])
                 bad = await run("tree", "set", "/herbaria", "weight=-1", *platform)
                 self.assertEqual(2, bad[0])
                 typo = await run("tree", "set", "/herbaria", "weigth=1", *platform)
                 self.assertIn("did you mean weight", typo[2])
                 moved = await run("tree", "move", "/herbaria/new", "/new", *platform)
                 self.assertEqual(0, moved[0], moved)
-                gone = await run("tree", "delete", "/new", *platform)
-                self.assertEqual(0, gone[0], gone)
+                deleted = await run("tree", "delete", "/new", *platform)
+                self.assertEqual(0, deleted[0], deleted)
                 history = await run("tree", "history", "--json", *platform)
                 self.assertEqual(5, len(json.loads(history[1])))
                 shown = await run("tree", "show", *platform)
@@ -96,11 +96,11 @@
                 entry = ("--entry", f"http://{host.addresses.entry}", "--key", KEY)
                 status = await run("status", "--json", *admin)
                 self.assertTrue(json.loads(status[1])["is_ready"])
-                asked = await run(
+                completed = await run(
                     "ask", "--model", "lektor", "--json", *entry, "what is this?"
                 )
-                self.assertEqual(0, asked[0], asked)
-                answer = json.loads(asked[1])
+                self.assertEqual(0, completed[0], completed)
+                answer = json.loads(completed[1])
                 self.assertEqual("lektor-1", answer["upstream"])
                 explained = await run("explain", answer["request"], "--json", *admin)
                 (decision,) = json.loads(explained[1])
@@ -139,37 +139,37 @@
     def test_weights_and_check(self):
         async def scenario(bench):
             platform = ("--platform", bench.platform_url)
-            made = await run("weights", "set", "lektor", "3", "--json", *platform)
+            created = await run("weights", "set", "lektor", "3", "--json", *platform)
             shown = await run("weights", "show", "--json", *platform)
             missing = await run("check", "no-such-file.toml")
-            return made, shown, missing
+            return created, shown, missing
 
-        made, shown, missing = self.run_scenario(scenario)
+        created, shown, missing = self.run_scenario(scenario)
         self.assertEqual(
             [{"model": "lektor", "weights_version": 3}], json.loads(shown[1])
         )
-        self.assertEqual((0, 2), (made[0], missing[0]))
+        self.assertEqual((0, 2), (created[0], missing[0]))
         self.assertIn("no-such-file.toml", missing[2])
 
 
 class ProfileCommandTest(ScenarioCase):
-    def test_a_host_tells_where_its_time_goes(self):
+    def test_profile_lists_modules_and_cpu_share(self):
         async def scenario(bench):
             async with bench.run_host() as host:
                 admin = ("--admin", f"http://{host.addresses.admin}")
-                words = ("profile", "--seconds", "0.3", *admin)
-                code, out, _ = await run(*words, "--json")
+                arguments = ("profile", "--seconds", "0.3", *admin)
+                code, out, _ = await run(*arguments, "--json")
                 self.assertEqual(0, code)
                 report = json.loads(out)
                 self.assertGreaterEqual(report["elapsed_seconds"], 0.3)
                 names = [row["name"] for row in report["modules"]]
                 self.assertTrue(any("rampwick_" in name for name in names), names)
-                code, out, _ = await run(*words)
+                code, out, _ = await run(*arguments)
                 self.assertIn("part of a core", out)
 
         self.run_scenario(scenario)
 
-    def test_what_is_no_time_is_refused(self):
+    def test_profile_duration_over_the_limit_is_rejected(self):
         async def scenario(bench):
             async with bench.run_host() as host:
                 admin = ("--admin", f"http://{host.addresses.admin}")
@@ -179,13 +179,13 @@
 
         self.run_scenario(scenario)
 
-    def test_one_profile_is_taken_at_once(self):
+    def test_concurrent_profile_gets_a_conflict(self):
         async def scenario(bench):
             async with bench.run_host() as host:
                 url = f"http://{host.addresses.admin}/profile"
                 async with httpx.AsyncClient(trust_env=False) as client:
                     async with anyio.create_task_group() as tasks:
-                        tasks.start_soon(post_for, client, url, 0.4)
+                        tasks.start_soon(post_profile, client, url, 0.4)
                         await anyio.sleep(0.1)
                         second = await client.post(url, params={"seconds": 0.1})
                         self.assertEqual(409, second.status_code)
@@ -195,19 +195,19 @@
         self.run_scenario(scenario)
 
 
-async def post_for(client, url, seconds):
-    """Have a profile taken."""
+async def post_profile(client, url, seconds):
+    """Request a profile."""
     await client.post(url, params={"seconds": seconds}, timeout=5.0)
 
 
-class FleetInSightTest(ScenarioCase):
-    def test_status_and_metrics_tell_roles_and_costs(self):
+class FleetStatusTest(ScenarioCase):
+    def test_status_and_metrics_report_roles_and_costs(self):
         async def scenario(bench):
-            async with bench.run_host() as one:
-                seeds = (one.addresses.peer,)
-                async with bench.run_host("entry-2", seeds=seeds) as two:
-                    await until(lambda: two.daemon._gossip.roles.live_names)
-                    admin = f"http://{two.addresses.admin}"
+            async with bench.run_host() as first_host:
+                seeds = (first_host.addresses.peer,)
+                async with bench.run_host("entry-2", seeds=seeds) as second_host:
+                    await until(lambda: second_host.daemon._gossip.roles.live_names)
+                    admin = f"http://{second_host.addresses.admin}"
                     code, out, _ = await run("status", "--admin", admin)
                     self.assertEqual(0, code)
                     self.assertIn("roles: ", out)
--- a/tests/test_logs_command.py
+++ b/tests/test_logs_command.py
@@ -1,4 +1,4 @@
-"""The logs command, on lines that hosts wrote."""
+"""The logs command, on log lines as hosts write them."""
 
 import re
 import shlex
@@ -26,14 +26,14 @@
 
 
 class LogsTest(TestCase):
-    def run_logs(self, *words):
+    def run_logs(self, *arguments):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "host.log"
             path.write_text(LINES)
-            code, out, errors = run_main(["logs", str(path), *words])
+            code, out, errors = run_main(["logs", str(path), *arguments])
         return code, out.splitlines(), errors
 
-    def test_all_lines_of_a_request_in_their_order(self):
+    def test_lines_of_a_request_in_order(self):
         code, lines, _ = self.run_logs("--about", "r1")
         self.assertEqual(0, code)
         self.assertEqual(2, len(lines))
@@ -41,37 +41,37 @@
         self.assertIn("! entry: attempt failed", lines[1])
         self.assertIn('collected="3.99 host-1"', lines[1])
 
-    def test_what_was_believed_of_an_upstream(self):
+    def test_state_changes_of_an_upstream(self):
         _, lines, _ = self.run_logs("--about", "i-1", "--part", "beliefs")
         self.assertEqual(1, len(lines))
         self.assertIn("before=up after=down reason=reset", lines[0])
 
-    def test_problems_of_a_workspace_or_nothing(self):
+    def test_no_match_exits_with_failure(self):
         code, lines, _ = self.run_logs("--problems", "--workspace", "/a")
         self.assertEqual((1, []), (code, lines))
 
-    def test_json_gives_the_lines_as_they_were(self):
+    def test_json_prints_the_original_lines(self):
         _, lines, _ = self.run_logs("--json", "--part", "beliefs")
         self.assertEqual([LINES.splitlines()[-1]], lines)
 
-    def test_a_file_that_is_not_there_is_said(self):
+    def test_missing_file_is_invalid_input(self):
         code, _, errors = run_main(["logs", "/nowhere/host.log"])
         self.assertEqual(2, code)
         self.assertIn("/nowhere/host.log", errors)
 
 
 class OperationsPageTest(TestCase):
-    """What docs/OPERATIONS.md tells operators to type can be typed."""
+    """The commands in docs/OPERATIONS.md are valid."""
 
     def commands(self):
         text = OPERATIONS.read_text()
         return re.findall(r"^    \$ (rampwick .*)$", text, re.MULTILINE)
 
     def examples(self):
-        """Return the log lines that the page shows."""
+        """Return the example log lines of the page."""
         return re.findall(r"^    (\{.*\})$", OPERATIONS.read_text(), re.MULTILINE)
 
-    def test_each_logs_command_finds_its_lines_on_the_page(self):
+    def test_each_logs_command_matches_an_example_line(self):
         commands = [
             item for item in self.commands() if item.startswith("rampwick logs")
         ]
@@ -80,16 +80,16 @@
             path = Path(folder) / "host.log"
             path.write_text("\n".join(self.examples()) + "\n")
             for command in commands:
-                words = shlex.split(command.replace("*.log", str(path)))[1:]
-                code, out, errors = run_main(words)
+                arguments = shlex.split(command.replace("*.log", str(path)))[1:]
+                code, out, errors = run_main(arguments)
                 self.assertEqual(0, code, f"{command}: {errors}")
                 self.assertTrue(out, command)
 
-    def test_every_other_command_is_understood(self):
+    def test_options_of_every_command_exist(self):
         for command in self.commands():
-            words = shlex.split(command)[1:]
-            code, out, _ = run_main([*words[:1], "--help"])
+            arguments = shlex.split(command)[1:]
+            code, out, _ = run_main([*arguments[:1], "--help"])
             self.assertEqual(0, code, command)
-            for word in words:
+            for word in arguments:
                 if word.startswith("--"):
                     self.assertIn(word, out, command)
