--- a/packages/rampwick-standin/src/rampwick_standin/__init__.py
+++ b/packages/rampwick-standin/src/rampwick_standin/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what rampwick meets outside: for demos and tests only."""
+"""Stand-ins for the platform, runners and services, for demos and tests only."""
 
 from ._engine import (
     Engine as Engine,
--- a/packages/rampwick-standin/src/rampwick_standin/__main__.py
+++ b/packages/rampwick-standin/src/rampwick_standin/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in: ``python -m rampwick_standin platform|runner|service``."""
+"""Run a stand-in: ``python -m rampwick_standin platform|runner|service``."""
 
 import argparse
 
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Parse the command line and serve until a signal."""
+    """Parse the command line and serve until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(prog="rampwick_standin", description=__doc__)
     kinds = parser.add_subparsers(dest="kind", required=True)
     for kind in ("platform", "runner", "service"):
@@ -36,7 +36,7 @@
     )
     command.add_argument("--step-seconds", type=float, default=defaults.step_seconds)
     command.add_argument(
-        "--deadly-text", default="", help="crash on prompts that hold it"
+        "--deadly-text", default="", help="crash on prompts that contain it"
     )
 
 
--- a/packages/rampwick-standin/src/rampwick_standin/_engine.py
+++ b/packages/rampwick-standin/src/rampwick_standin/_engine.py
@@ -1,8 +1,8 @@
-"""A toy model engine: slots, a prefix cache and deterministic answers.
+"""Simulated model engine: slots, a prefix cache and deterministic output.
 
-Prefill is serial and costs time only for blocks that the cache misses. Each token of
-the answer is a function of the prompt and its position, so that a checker can tell
-whose answer it sees and whether it is whole.
+Prefill is serial and takes time only for the blocks missing from the cache. Each output
+token is a function of the prompt and its position, so that a check can detect output of
+another request and truncated output.
 """
 
 import hashlib
@@ -18,7 +18,7 @@
 
 from rampwick_schema import Order
 
-#: Bytes of prompt text in one token, and tokens in one block.
+#: Bytes of prompt text per token, and tokens per cache block.
 BYTES_PER_TOKEN = 4
 BLOCK_TOKENS = 16
 BLOCK_BYTES = BYTES_PER_TOKEN * BLOCK_TOKENS
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class EngineSettings:
-    """Size and speed of an engine."""
+    """Capacity and speed of an engine."""
 
     name: str = "runner"
     model: str = "lektor"
@@ -36,67 +36,71 @@
     step_seconds: float = 0.01
     load_seconds: float = 0.3
     checks_fencing: bool = False
-    #: Crash once a prompt that holds this text is computed; none if empty.
+    #: Crash after the prefill of a prompt that contains this text; never if empty.
     deadly_text: str = ""
 
 
 @attrs.define
 class EngineFaults:
-    """What the engine does wrong at present."""
+    """Faults that are injected into an engine."""
 
     is_frozen: bool = False
     is_busy: bool = False
-    #: Cut each connection after so many events; nothing to let them end.
+    #: Break each connection after this many events; None to complete the stream.
     cut_after_count: int | None = None
-    #: Send this event twice.
+    #: Position of an event that is sent twice.
     repeat_position: int | None = None
-    #: Answer as if to this attempt, whichever was asked.
+    #: Attempt id in the header of every response, in place of the requested one.
     crossed_attempt_id: str = ""
-    #: Take a request in, then break the connection without an answer.
+    #: Accept each request, then break the connection without a response.
     loses_answers: bool = False
-    #: Keep the cache over a load of other weights, as no engine should.
+    #: Keep the cache when other weights are loaded, which a correct engine never does.
     keeps_cache: bool = False
 
 
 @attrs.frozen
-class CacheUse:
-    """What a prompt found in the cache."""
+class CacheLookup:
+    """The cached part of a prompt."""
 
     tokens: int
-    #: Oldest weights that computed any of it; those in use if nothing was found.
+    #: Oldest weights version of the cached blocks; the current one if none is cached.
     weights_version: int
 
 
 class BlockCache:
-    """Least-recently-used prefix blocks by chained hash, with the weights of each."""
+    """LRU cache of prefix blocks by chained hash, with the weights version of each."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity_blocks = capacity_tokens // BLOCK_TOKENS
         self._blocks: OrderedDict[bytes, int] = OrderedDict()
 
-    def use(self, salt: str, text: bytes, weights_version: int) -> "CacheUse":
-        """Say what is cached of a prompt and put all its blocks in."""
+    def use(self, salt: str, text: bytes, weights_version: int) -> "CacheLookup":
+        """Return the cached part of a prompt, then insert all its blocks."""
         hashes = hash_blocks(salt, text)
-        held = 0
-        while held < len(hashes) and hashes[held] in self._blocks:
-            held += 1
-        oldest = min(
-            (self._blocks[block] for block in hashes[:held]), default=weights_version
+        cached_blocks_count = 0
+        while (
+            cached_blocks_count < len(hashes)
+            and hashes[cached_blocks_count] in self._blocks
+        ):
+            cached_blocks_count += 1
+        oldest_version = min(
+            (self._blocks[block] for block in hashes[:cached_blocks_count]),
+            default=weights_version,
         )
         for block in reversed(hashes):
             self._blocks.setdefault(block, weights_version)
             self._blocks.move_to_end(block)
         while len(self._blocks) > self._capacity_blocks:
             self._blocks.popitem(last=False)
-        return CacheUse(held * BLOCK_TOKENS, oldest)
+        return CacheLookup(cached_blocks_count * BLOCK_TOKENS, oldest_version)
 
     def clear(self) -> None:
-        """Drop every block."""
+        """Evict every block."""
         self._blocks.clear()
 
 
 def hash_blocks(salt: str, text: bytes) -> list[bytes]:
-    """Return the chained hash of each whole block."""
+    """Return the chained hash of each full block."""
     running = hashlib.blake2b(salt.encode(), digest_size=12)
     hashes = []
     for end in range(BLOCK_BYTES, len(text) + 1, BLOCK_BYTES):
@@ -106,41 +110,41 @@
 
 
 def answer_token(text: bytes, position: int) -> str:
-    """Return the token of a prompt's answer at a position, with its space."""
+    """Return the output token for a prompt at a position, with a trailing space."""
     digest = hashlib.blake2b(text, digest_size=4).hexdigest()
     return f"{digest}-{position} "
 
 
 @attrs.define
 class Stream:
-    """One answer under way or just ended."""
+    """Output of one attempt, running or finished."""
 
     attempt_id: str
     weights_version: int
     incarnation: str
     request: "EngineRequest"
-    #: Steady time at which the attempt came in; one clock for all of a machine.
+    #: Monotonic time of arrival; the clock is the same for all processes of a machine.
     started_at_seconds: float = attrs.field(factory=time.monotonic)
     tokens: list[str] = attrs.field(factory=list)
     prompt_tokens: int = 0
     cached_tokens: int = 0
-    #: Oldest weights that computed what was cached.
+    #: Oldest weights version of the cached blocks.
     cached_weights_version: int = 0
     is_done: bool = False
     is_cancelled: bool = False
-    #: Whether the head of its answer announced the engine's shutdown.
+    #: Whether the response headers announced the engine's shutdown.
     announced_leaving: bool = False
     changed: anyio.Event = attrs.field(factory=anyio.Event)
 
     def notify(self) -> None:
-        """Wake all readers."""
+        """Wake up all readers."""
         self.changed.set()
         self.changed = anyio.Event()
 
 
 @attrs.frozen
 class EngineRequest:
-    """What an engine is asked."""
+    """A completion request."""
 
     attempt_id: str
     text: bytes
@@ -150,25 +154,25 @@
 
 
 class Engine:
-    """One life after another of a model engine."""
+    """A simulated model engine that can crash and restart with a new incarnation."""
 
     def __init__(self, settings: EngineSettings) -> None:
         self.settings = settings
         self.faults = EngineFaults()
-        #: Requests a second that it says it takes from all hosts; none to say nothing.
+        #: Total request rate, from all hosts, that responses announce; None for none.
         self.request_rate: float | None = None
         self.weights_version = 1
         self.fencing_number = 0
         self.loads_count = 0
-        #: Attempts that began to run, in order, over all lives: for checks.
+        #: Attempts accepted, in order, over all incarnations; read by checks.
         self.started: list[Stream] = []
         self.cancelled: list[str] = []
         self.orders: list[Order] = []
-        self._tickets = itertools.count()
-        self._begin_life()
+        self._sequence = itertools.count()
+        self._start_incarnation()
 
-    def _begin_life(self) -> None:
-        #: Whether all answers of this life announce its end.
+    def _start_incarnation(self) -> None:
+        #: Whether responses of this incarnation announce its shutdown.
         self.is_leaving = False
         self.incarnation = secrets.token_hex(4)
         self.cache = BlockCache(self.settings.cache_tokens)
@@ -181,29 +185,29 @@
         self._waiting_tokens = 0
 
     def crash(self) -> None:
-        """Lose everything and come back empty behind the same address."""
+        """Drop all state and restart empty at the same address."""
         for stream in self.streams.values():
             stream.is_cancelled = True
             stream.notify()
-        self._begin_life()
+        self._start_incarnation()
 
     @property
     def running_count(self) -> int:
-        """Requests in the batch."""
+        """Number of requests in the batch."""
         return self.settings.slots_count - self._free_slots
 
     @property
     def waiting_tokens(self) -> int:
-        """Prompt tokens not yet computed."""
+        """Number of prompt tokens not yet computed."""
         return self._waiting_tokens
 
-    async def wait_thawed(self) -> None:
+    async def wait_unfrozen(self) -> None:
         """Wait until the engine is not frozen."""
         while self.faults.is_frozen:
             await anyio.sleep(0.005)
 
     async def load_weights(self, weights_version: int) -> None:
-        """Load other weights; the cache is of no use to them."""
+        """Load other weights and clear the cache, which is invalid for them."""
         incarnation = self.incarnation
         async with self._loading:
             if incarnation == self.incarnation:
@@ -214,37 +218,37 @@
             return
         self.loads_count += 1
         self.role = "loading"
-        # Like an engine's own reload: the batch is served out first.
+        # As in a real engine's reload, the running batch is finished first.
         for _ in range(self.settings.slots_count):
-            await self._take_slot(priority=0)
+            await self._acquire_slot(priority=0)
         await anyio.sleep(self.settings.load_seconds)
         if incarnation != self.incarnation:
-            # The life that loaded has ended, and its batch with it.
+            # The engine crashed meanwhile; the slots taken belong to the old batch.
             return
         self.weights_version = weights_version
         if not self.faults.keeps_cache:
             self.cache.clear()
         self.role = "serve"
         for _ in range(self.settings.slots_count):
-            self._give_slot()
+            self._release_slot()
 
     async def run(self, request: EngineRequest) -> None:
-        """Compute one answer; readers follow its stream."""
+        """Compute the output of a request; readers follow its stream."""
         stream = self.streams.get(request.attempt_id)
         if stream is None:
-            # The life that took it in has ended.
+            # The incarnation that accepted the request has crashed.
             return
         incarnation = self.incarnation
-        await self._take_slot(request.priority)
+        await self._acquire_slot(request.priority)
         try:
             await self._compute(request, stream)
         finally:
             stream.notify()
             if incarnation == self.incarnation:
-                self._give_slot()
+                self._release_slot()
 
     def open_stream(self, request: EngineRequest) -> Stream:
-        """Register a new attempt's stream."""
+        """Register the stream of a new attempt."""
         stream = Stream(
             request.attempt_id, self.weights_version, self.incarnation, request
         )
@@ -252,15 +256,15 @@
         self.started.append(stream)
         return stream
 
-    async def _take_slot(self, priority: int) -> None:
+    async def _acquire_slot(self, priority: int) -> None:
         if self._free_slots > 0:
             self._free_slots -= 1
             return
-        turn = anyio.Event()
-        heapq.heappush(self._queue, (priority, next(self._tickets), turn))
-        await turn.wait()
+        slot_granted = anyio.Event()
+        heapq.heappush(self._queue, (priority, next(self._sequence), slot_granted))
+        await slot_granted.wait()
 
-    def _give_slot(self) -> None:
+    def _release_slot(self) -> None:
         if self._queue:
             heapq.heappop(self._queue)[2].set()
         else:
@@ -269,12 +273,12 @@
     async def _compute(self, request: EngineRequest, stream: Stream) -> None:
         speed = self.settings.prefill_tokens_per_second
         stream.prompt_tokens = max(1, len(request.text) // BYTES_PER_TOKEN)
-        # What waited over a reload is computed with the weights of now.
+        # A request that waited during a reload is computed with the new weights.
         stream.weights_version = self.weights_version
         incarnation = self.incarnation
         async with self._prefill:
             if stream.is_cancelled:
-                # The life that it waited in has ended.
+                # The engine crashed, or the attempt was cancelled, while it waited.
                 return
             found = self.cache.use(request.salt, request.text, self.weights_version)
             stream.cached_tokens = found.tokens
@@ -285,11 +289,11 @@
             if incarnation != self.incarnation:
                 return
             self._waiting_tokens -= missing
-        if self._is_deadly(request):
+        if self._causes_crash(request):
             self.crash()
             return
         for position in range(request.max_tokens):
-            await self.wait_thawed()
+            await self.wait_unfrozen()
             if stream.is_cancelled:
                 return
             stream.tokens.append(answer_token(request.text, position))
@@ -297,12 +301,12 @@
             stream.notify()
             await anyio.sleep(self.settings.step_seconds)
 
-    def _is_deadly(self, request: EngineRequest) -> bool:
+    def _causes_crash(self, request: EngineRequest) -> bool:
         text = self.settings.deadly_text
         return bool(text) and text.encode() in request.text
 
     async def follow(self, stream: Stream, position: int) -> AsyncIterator[int]:
-        """Yield each position from ``position`` on as its token is there."""
+        """Yield each position from ``position`` on as its token becomes available."""
         while True:
             changed = stream.changed
             while position < len(stream.tokens):
--- a/packages/rampwick-standin/src/rampwick_standin/_platform.py
+++ b/packages/rampwick-standin/src/rampwick_standin/_platform.py
@@ -1,10 +1,10 @@
-"""Stand-in of the platform: an object API and a host list over HTTP.
+"""Simulated platform: an object API and a host list over HTTP.
 
-``POST /faults`` makes it fail: ``is_down`` answers nothing, ``delay_seconds`` is added
-to each call, ``lost_answers_count`` drops that many answers after their writes took
-effect, ``is_stale`` answers reads from the state at the time of the order. ``POST
-/copy`` keeps a copy of the store, and ``POST /restore`` brings it back from that copy,
-in a new era.
+``POST /faults`` injects faults: ``is_down`` fails every call with status 503,
+``delay_seconds`` delays each call, ``lost_answers_count`` loses the responses of that
+many writes after they took effect, ``is_stale`` serves reads from the state at the time
+of the call to ``/faults``. ``POST /copy`` saves a copy of the store, and ``POST
+/restore`` restores the store from that copy in a new era.
 """
 
 import copy
@@ -23,16 +23,16 @@
 
 from ._store import Item, ObjectStore, PreconditionError
 
-#: Header of the store's era, in all answers once there was a restore.
+#: Header with the store's era, in all responses after the first restore.
 ERA_HEADER = "Rampwick-Store-Era"
 
-#: Longest sleep between two looks of a watch.
+#: Poll interval of a watch.
 WATCH_STEP_SECONDS = 0.02
 
 
 @attrs.define
 class PlatformFaults:
-    """What the platform does wrong at present."""
+    """Faults that are injected into the platform."""
 
     is_down: bool = False
     delay_seconds: float = 0.0
@@ -41,7 +41,7 @@
 
 
 class PlatformStandIn:
-    """The platform's state and its HTTP application."""
+    """State and HTTP application of a simulated platform."""
 
     def __init__(self) -> None:
         self.store = ObjectStore()
@@ -67,17 +67,17 @@
         )
 
     def save_copy(self) -> None:
-        """Keep the store's present state for a later restore."""
+        """Save a copy of the store for a later restore."""
         self._copy = copy.deepcopy(self.store)
 
     def restore(self, eras_count: int = 1) -> None:
-        """Lose all that was written since the copy; revisions count on from there."""
+        """Restore the saved copy: later writes are lost, versions continue from it."""
         self.store = copy.deepcopy(self._copy)
         self._stale_store = self.store
         self.era += eras_count
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Change what goes wrong from now on."""
+        """Replace the injected faults."""
         if faults.is_stale and not self.faults.is_stale:
             self._stale_store = copy.deepcopy(self.store)
         self.faults = faults
@@ -95,77 +95,81 @@
         return response
 
     @property
-    def _readable(self) -> ObjectStore:
+    def _visible_store(self) -> ObjectStore:
         return self._stale_store if self.faults.is_stale else self.store
 
-    async def _begin(self) -> Response | None:
+    async def _apply_faults(self) -> Response | None:
         self.calls_count += 1
         await anyio.sleep(self.faults.delay_seconds)
         return Response(status_code=503) if self.faults.is_down else None
 
-    def _take_lost_answer(self) -> bool:
+    def _consume_lost_answer(self) -> bool:
         if self.faults.lost_answers_count <= 0:
             return False
         self.faults.lost_answers_count -= 1
         return True
 
     async def _get(self, request: Request) -> Response:
-        if failure := await self._begin():
+        if failure := await self._apply_faults():
             return failure
-        item = self._readable.get(request.path_params["key"])
+        item = self._visible_store.get(request.path_params["key"])
         if item is None:
             return Response(status_code=404)
         return Response(item.value, headers={"ETag": f'"{item.version}"'})
 
     async def _put(self, request: Request) -> Response:
         value = await request.body()
-        if failure := await self._begin():
+        if failure := await self._apply_faults():
             return failure
         expected = request.headers.get("If-Match", '"0"').strip('"')
         try:
             version = self.store.put(request.path_params["key"], value, int(expected))
         except PreconditionError:
             return Response(status_code=412)
-        if self._take_lost_answer():
+        if self._consume_lost_answer():
             return Response(status_code=504)
         return Response(headers={"ETag": f'"{version}"'})
 
     async def _list(self, request: Request) -> Response:
-        if failure := await self._begin():
+        if failure := await self._apply_faults():
             return failure
         prefix = request.query_params.get("prefix", "")
         after_key = request.query_params.get("after_key", "")
-        return self._listing(self._readable.list_items(prefix, after_key))
+        return self._list_response(self._visible_store.list_items(prefix, after_key))
 
     async def _watch(self, request: Request) -> Response:
-        if failure := await self._begin():
+        if failure := await self._apply_faults():
             return failure
         prefix = request.query_params.get("prefix", "")
         after_version = int(request.query_params["after_version"])
         timeout_seconds = float(request.query_params["timeout_seconds"])
         era = self.era
-        if after_version > self._readable.version:
+        if after_version > self._visible_store.version:
             return Response(status_code=410)
         items: list[Item] = []
         with anyio.move_on_after(timeout_seconds):
             while not items and not self.faults.is_down:
                 if self.era != era:
                     return Response(status_code=410)
-                items = self._readable.changed_after(prefix, after_version)
+                items = self._visible_store.written_after(prefix, after_version)
                 await anyio.sleep(0 if items else WATCH_STEP_SECONDS)
         return (
-            Response(status_code=503) if self.faults.is_down else self._listing(items)
+            Response(status_code=503)
+            if self.faults.is_down
+            else self._list_response(items)
         )
 
-    def _listing(self, items: list[Item]) -> Response:
+    def _list_response(self, items: list[Item]) -> Response:
         objects = [
             {"key": item.key, "version": item.version, "value": item.value.decode()}
             for item in items
         ]
-        return JSONResponse({"version": self._readable.version, "objects": objects})
+        return JSONResponse(
+            {"version": self._visible_store.version, "objects": objects}
+        )
 
     async def _read_hosts(self, request: Request) -> Response:
-        if failure := await self._begin():
+        if failure := await self._apply_faults():
             return failure
         return JSONResponse(unstructure(self.hosts))
 
--- a/packages/rampwick-standin/src/rampwick_standin/_runner.py
+++ b/packages/rampwick-standin/src/rampwick_standin/_runner.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the toy engine: OpenAI's completions with a few extensions."""
+"""HTTP interface of the simulated engine: OpenAI completions with a few extensions."""
 
 import json
 from collections.abc import AsyncIterator
@@ -14,16 +14,16 @@
 
 from ._engine import Engine, EngineFaults, EngineRequest, EngineSettings, Stream
 
-#: Answer length where the caller names none.
+#: Output length of requests without ``max_tokens``.
 DEFAULT_MAX_TOKENS = 16
 
 
 class ConnectionCutError(Exception):
-    """Raised on purpose in the middle of an answer, to break the connection."""
+    """Raised to break the connection before the response is complete."""
 
 
 class RunnerStandIn:
-    """A runner; ``task_group`` runs its engine's requests."""
+    """A simulated runner whose requests run in ``task_group``."""
 
     def __init__(
         self, settings: EngineSettings, task_group: anyio.abc.TaskGroup
@@ -47,27 +47,27 @@
         )
 
     async def _complete(self, request: Request) -> Response:
-        await self.engine.wait_thawed()
+        await self.engine.wait_unfrozen()
         if self.engine.faults.is_busy:
             return Response(status_code=429, headers={"Retry-After": "1"})
         body = json.loads(await request.body())
-        wanted = EngineRequest(
+        engine_request = EngineRequest(
             attempt_id=request.headers["X-Request-Id"],
             text=prompt_text(body),
             salt=body.get("cache_salt", ""),
             max_tokens=body.get("max_tokens") or DEFAULT_MAX_TOKENS,
             priority=body.get("priority", 0),
         )
-        if wanted.attempt_id in self.engine.streams:
+        if engine_request.attempt_id in self.engine.streams:
             return Response(status_code=409)
-        stream = self.engine.open_stream(wanted)
-        self._task_group.start_soon(self.engine.run, wanted)
+        stream = self.engine.open_stream(engine_request)
+        self._task_group.start_soon(self.engine.run, engine_request)
         if self.engine.faults.loses_answers:
             raise ConnectionCutError
         return self._respond(stream, 0, is_chat="messages" in body)
 
     async def _resume(self, request: Request) -> Response:
-        await self.engine.wait_thawed()
+        await self.engine.wait_unfrozen()
         stream = self.engine.streams.get(request.path_params["attempt_id"])
         if stream is None:
             return Response(status_code=404)
@@ -99,7 +99,7 @@
         faults = self.engine.faults
         sent = 0
         async for at in self.engine.follow(stream, position):
-            await self.engine.wait_thawed()
+            await self.engine.wait_unfrozen()
             if faults.cut_after_count is not None and sent >= faults.cut_after_count:
                 raise ConnectionCutError
             event = _token_event(stream, at, is_chat)
@@ -121,7 +121,7 @@
         return Response(status_code=204)
 
     async def _load(self, request: Request) -> Response:
-        await self.engine.wait_thawed()
+        await self.engine.wait_unfrozen()
         settings = self.engine.settings
         report = LoadReport(
             incarnation=self.engine.incarnation,
@@ -155,13 +155,13 @@
         return Response(status_code=204)
 
     async def _set_rate(self, request: Request) -> Response:
-        """Name a rate in all answers from now on, or none."""
+        """Set the request rate that responses announce; null for none."""
         named = json.loads(await request.body())
         self.engine.request_rate = named["requests_per_second"]
         return Response(status_code=204)
 
     async def _seen(self, request: Request) -> Response:
-        """Tell all that ran, over all lives, for checks from outside."""
+        """Return all attempts and orders of all incarnations, for external checks."""
         attempts = [
             {
                 "attempt_id": stream.attempt_id,
@@ -180,7 +180,7 @@
         return JSONResponse({"attempts": attempts, "orders": orders})
 
     async def _leave(self, request: Request) -> Response:
-        """Announce in all answers from now on that this life ends."""
+        """Announce in all further responses that the engine is shutting down."""
         self.engine.is_leaving = True
         return Response(status_code=204)
 
@@ -190,7 +190,7 @@
 
 
 def prompt_text(body: dict[str, Any]) -> bytes:
-    """Return the prompt as the bytes that the engine caches."""
+    """Return the prompt of a request body as the bytes that the engine caches."""
     if "messages" in body:
         parts = (f"<{item['role']}>{item['content']}" for item in body["messages"])
         return "".join(parts).encode()
--- a/packages/rampwick-standin/src/rampwick_standin/_service.py
+++ b/packages/rampwick-standin/src/rampwick_standin/_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: it echoes calls and remembers what it ran."""
+"""Simulated plain service that echoes calls and records them."""
 
 from collections.abc import AsyncIterator
 
@@ -9,8 +9,8 @@
 from starlette.routing import Route
 
 
-async def _cut() -> AsyncIterator[bytes]:
-    raise ConnectionError("answer lost on purpose")
+async def _interrupted_body() -> AsyncIterator[bytes]:
+    raise ConnectionError("injected fault: response lost")
     yield b""
 
 
@@ -18,14 +18,14 @@
 
 
 class ServiceStandIn:
-    """A plain service whose calls take a fixed time."""
+    """A simulated plain service whose calls take a fixed time."""
 
     def __init__(self, name: str, call_seconds: float = 0.005) -> None:
         self.name = name
         self.call_seconds = call_seconds
-        #: Method, path and body of every call that ran, in order.
+        #: Method, path and body of every executed call, in order.
         self.calls: list[tuple[str, str, bytes]] = []
-        #: Calls to run and then break off without an answer.
+        #: Number of calls to execute without sending a response.
         self.lost_answers_count = 0
         self.is_busy = False
         self.app = Starlette(
@@ -40,7 +40,7 @@
         return Response(status_code=204)
 
     async def _seen(self, request: Request) -> Response:
-        """Tell the bodies of all calls that ran, for checks from outside."""
+        """Return the bodies of all executed calls, for external checks."""
         return JSONResponse([body.decode() for _, _, body in self.calls])
 
     async def _call(self, request: Request) -> Response:
@@ -51,7 +51,7 @@
         self.calls.append((request.method, request.url.path, body))
         if self.lost_answers_count > 0:
             self.lost_answers_count -= 1
-            return StreamingResponse(_cut())
+            return StreamingResponse(_interrupted_body())
         status = int(request.query_params.get("status", "200"))
         answer = {"service": self.name, "path": request.url.path, "bytes": len(body)}
         return JSONResponse(answer, status_code=status)
--- a/packages/rampwick-standin/src/rampwick_standin/_store.py
+++ b/packages/rampwick-standin/src/rampwick_standin/_store.py
@@ -1,15 +1,15 @@
-"""The object store behind the platform's stand-in; no I/O, no clock."""
+"""Object store of the simulated platform, without I/O or clock."""
 
 import attrs
 
 
 class PreconditionError(Exception):
-    """A conditional write found another version."""
+    """Raised if a conditional write finds another version."""
 
 
 @attrs.frozen
 class Item:
-    """One object as stored."""
+    """A stored object."""
 
     key: str
     version: int
@@ -18,11 +18,11 @@
 
 @attrs.define
 class ObjectStore:
-    """Objects by key under one rising version."""
+    """Objects by key, with one version counter for all writes."""
 
     version: int = 0
     items: dict[str, Item] = attrs.field(factory=dict)
-    #: Conditional writes that took effect, for history checks.
+    #: Successful conditional writes, for history checks.
     log: list[Item] = attrs.field(factory=list)
 
     def get(self, key: str) -> Item | None:
@@ -30,7 +30,10 @@
         return self.items.get(key)
 
     def put(self, key: str, value: bytes, expected_version: int) -> int:
-        """Write under the expected version, 0 for absent; return the new one."""
+        """Write if the stored version is the expected one; return the new version.
+
+        The version of an absent object is 0.
+        """
         found = self.items[key].version if key in self.items else 0
         if found != expected_version:
             raise PreconditionError(f"{key}: version {found}, not {expected_version}")
@@ -44,6 +47,6 @@
         keys = sorted(key for key in self.items if key.startswith(prefix))
         return [self.items[key] for key in keys if key > after_key]
 
-    def changed_after(self, prefix: str, version: int) -> list[Item]:
+    def written_after(self, prefix: str, version: int) -> list[Item]:
         """Return the objects under a prefix written after a version."""
         return [item for item in self.list_items(prefix) if item.version > version]
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The toy engine that tests and the soak send requests to: crashes while it loads."""
+"""The simulated engine of tests and soak runs, mostly crashes at awkward times."""
 
 import anyio
 from testtools import TestCase
@@ -8,34 +8,34 @@
     BLOCK_BYTES,
     BLOCK_TOKENS,
     BlockCache,
-    CacheUse,
+    CacheLookup,
     Engine,
     EngineRequest,
 )
 
 from .bench import STUCK_SECONDS
 
-#: Turns of the loop after which what can go on without time has gone on.
-TURNS_COUNT = 20
+#: Event loop cycles after which every task that needs no time to pass has run.
+LOOP_CYCLES_COUNT = 20
 
 
 class CrashWhileLoadingTest(TestCase):
-    """Symptom: an engine that the soak had crashed never came back.
+    """Guards against an engine that never serves again after a crash in a soak run.
 
-    It answered each probe with status 500, or said for good that it was loading. The
-    load of the life before went on in the new one: it handed back slots that nobody
-    had taken, or waited for good for slots of a queue that was gone.
+    It answered every probe with status 500, or stayed in role "loading". The load
+    started before the crash continued in the new incarnation: it released slots that
+    were not acquired, or waited forever for slots of the discarded queue.
     """
 
-    def play(self, before_crash):
+    def run_crash(self, before_crash):
         async def main():
             engine = Engine(EngineSettings(slots_count=2, load_seconds=0.0))
             async with anyio.create_task_group() as tasks:
                 await before_crash(engine, tasks)
                 tasks.start_soon(engine.load_weights, 2)
-                await self.turn()
+                await self.run_event_loop()
                 engine.crash()
-                await self.turn()
+                await self.run_event_loop()
                 states = [(engine.running_count, engine.role)]
                 await engine.load_weights(3)
                 states.append((engine.running_count, engine.role))
@@ -44,35 +44,35 @@
 
         return anyio.run(main)
 
-    async def turn(self):
-        for _ in range(TURNS_COUNT):
+    async def run_event_loop(self):
+        for _ in range(LOOP_CYCLES_COUNT):
             await anyio.sleep(0)
 
     async def hold_all_slots(self, engine, tasks):
-        """Fill the batch with answers that take for ever."""
+        """Fill the batch with requests that never finish."""
         for number in range(engine.settings.slots_count):
             request = EngineRequest(f"a{number}", b"text", "s", 10**9, 0)
             engine.open_stream(request)
             tasks.start_soon(engine.run, request)
-        await self.turn()
+        await self.run_event_loop()
 
-    def test_a_load_that_waits_for_the_batch_ends_with_its_life(self):
-        engine, states = self.play(self.hold_all_slots)
+    def test_crash_cancels_a_load_that_waits_for_the_batch(self):
+        engine, states = self.run_crash(self.hold_all_slots)
         self.assertEqual([(0, "serve"), (0, "serve")], states)
         self.assertEqual(3, engine.weights_version)
 
-    def test_a_load_under_way_ends_with_its_life(self):
-        async def nothing(engine, tasks):
+    def test_crash_cancels_a_running_load(self):
+        async def no_requests(engine, tasks):
             engine.settings = EngineSettings(slots_count=2, load_seconds=0.05)
 
-        engine, states = self.play(nothing)
+        engine, states = self.run_crash(no_requests)
         self.assertEqual([(0, "serve"), (0, "serve")], states)
         self.assertEqual(3, engine.weights_version)
 
 
 class CrashBeforeRunTest(TestCase):
-    def test_an_attempt_whose_life_ended_before_it_began_does_nothing(self):
-        """It took all tasks of the engine with it: each request got status 500."""
+    def test_attempt_accepted_before_a_crash_is_not_run(self):
+        """The error cancelled all tasks of the engine; every request got status 500."""
 
         async def main():
             engine = Engine(EngineSettings())
@@ -85,15 +85,15 @@
         self.assertEqual(([], 0), anyio.run(main))
 
 
-class CrashWhileReadingTest(TestCase):
-    """Symptom: an engine answered each probe with status 500 for good.
+class CrashDuringPrefillTest(TestCase):
+    """Guards against an engine that answers every probe with status 500 after a crash.
 
-    It crashed while a prompt was read and another one waited to be. Both went on in
-    the next life: the first gave back tokens of a sum that had begun anew, which fell
-    below zero, and the second was read into the new cache.
+    It crashed during the prefill of a prompt while another one waited. Both continued
+    in the next incarnation: the first subtracted its tokens from a counter that had
+    been reset, which became negative, and the second was inserted into the new cache.
     """
 
-    def test_what_was_read_or_waited_ends_with_its_life(self):
+    def test_crash_cancels_running_and_waiting_prefills(self):
         async def main():
             settings = EngineSettings(slots_count=2, prefill_tokens_per_second=100.0)
             engine = Engine(settings)
@@ -102,7 +102,7 @@
                     request = EngineRequest(name, b"text" * 8, "s", 2, 0)
                     engine.open_stream(request)
                     tasks.start_soon(engine.run, request)
-                for _ in range(TURNS_COUNT):
+                for _ in range(LOOP_CYCLES_COUNT):
                     await anyio.sleep(0)
                 engine.crash()
             return engine
@@ -112,9 +112,9 @@
         self.assertEqual(0, engine.cache.use("s", b"text" * 8, 1).tokens)
 
 
-class LoadsAtOnceTest(TestCase):
-    def test_two_loads_follow_each_other(self):
-        """Each took a part of the slots before, and waited for good for the rest."""
+class ConcurrentLoadsTest(TestCase):
+    def test_concurrent_loads_run_one_after_the_other(self):
+        """Each load acquired some of the slots and waited forever for the others."""
 
         async def main():
             engine = Engine(EngineSettings(slots_count=3, load_seconds=0.0))
@@ -135,13 +135,13 @@
         self.assertEqual(0, engine.running_count)
 
 
-class CacheMakersTest(TestCase):
-    def test_the_oldest_weights_that_computed_a_block_are_told(self):
+class CachedWeightsVersionTest(TestCase):
+    def test_lookup_returns_the_oldest_weights_version(self):
         cache = BlockCache(1000)
         text = b"x" * BLOCK_BYTES * 2
-        self.assertEqual(CacheUse(0, 1), cache.use("s", text[:BLOCK_BYTES], 1))
-        self.assertEqual(CacheUse(BLOCK_TOKENS, 1), cache.use("s", text, 2))
-        self.assertEqual(CacheUse(2 * BLOCK_TOKENS, 1), cache.use("s", text, 2))
+        self.assertEqual(CacheLookup(0, 1), cache.use("s", text[:BLOCK_BYTES], 1))
+        self.assertEqual(CacheLookup(BLOCK_TOKENS, 1), cache.use("s", text, 2))
+        self.assertEqual(CacheLookup(2 * BLOCK_TOKENS, 1), cache.use("s", text, 2))
         cache.clear()
-        self.assertEqual(CacheUse(0, 2), cache.use("s", text, 2))
-        self.assertEqual(CacheUse(2 * BLOCK_TOKENS, 2), cache.use("s", text, 2))
+        self.assertEqual(CacheLookup(0, 2), cache.use("s", text, 2))
+        self.assertEqual(CacheLookup(2 * BLOCK_TOKENS, 2), cache.use("s", text, 2))
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request served from end to end."""
+"""Requests served end to end."""
 
 import anyio
 import testtools
@@ -8,8 +8,8 @@
 from .bench import KEY, run_bench, until
 
 
-class WholePathTest(testtools.TestCase):
-    def test_streamed_and_whole_answers_are_the_runners(self):
+class EndToEndTest(testtools.TestCase):
+    def test_streamed_and_unstreamed_responses_match_the_engine(self):
         async def scenario():
             async with run_bench() as bench:
                 bench.add_runner("lektor-1")
@@ -27,7 +27,7 @@
 
         anyio.run(scenario)
 
-    def test_unknown_key_is_refused(self):
+    def test_unknown_key_is_rejected(self):
         async def scenario():
             async with run_bench() as bench, bench.run_host() as host:
                 await until(lambda: host.daemon.follower.revision == 1)
