--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# make demo: the main job on stand-ins.  make test: the tests.  Both set up first.
+# make demo: run the demo on stand-ins.  make test: run the tests.  Both run setup first.
 
 PYTHON ?= python3
 BIN := .venv/bin
@@ -34,6 +34,6 @@
 measure: setup
 	$(BIN)/python -m measure
 
-# Fresh seeds for some minutes; `python -m soak --seed N` plays one again.
+# Random seeds for five minutes; `python -m soak --seed N` repeats one.
 soak: setup
 	$(BIN)/python -m soak --minutes 5
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,7 +1,7 @@
-"""Puts what a host runs into target/: libraries by the lock file, then our packages.
+"""Build the runtime of a host in target/: locked libraries and rampwick packages.
 
-Libraries are installed only if the lock file changed, packages copied only if a
-source did, so that a build with nothing to do takes no time.
+Libraries are installed only if the lock file changed and packages copied only if a
+source file changed, so that a build without changes is fast.
 """
 
 import compileall
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TARGET = ROOT / "target"
-DEPENDENCIES = TARGET / "deps"
+LIBRARIES = TARGET / "deps"
 LOCK = ROOT / "requirements-host.lock"
 
 SOURCES = [
@@ -27,12 +27,12 @@
 
 
 def main() -> int:
-    """Build what is out of date; return the exit code."""
+    """Rebuild outdated parts; return the exit code."""
     TARGET.mkdir(exist_ok=True)
-    lock = hashlib.sha256(LOCK.read_bytes()).hexdigest()
-    if read_stamp("lock") != lock:
+    lock_hash = hashlib.sha256(LOCK.read_bytes()).hexdigest()
+    if read_stamp("lock") != lock_hash:
         install_libraries()
-        write_stamp("lock", lock)
+        write_stamp("lock", lock_hash)
         write_stamp("sources", "")
     sources = hash_sources()
     if read_stamp("sources") != sources:
@@ -42,15 +42,15 @@
 
 
 def install_libraries() -> None:
-    """Install the locked libraries afresh."""
-    shutil.rmtree(DEPENDENCIES, ignore_errors=True)
-    arguments = ["install", "-q", "--no-deps", "--target", str(DEPENDENCIES)]
+    """Reinstall the locked libraries into an empty directory."""
+    shutil.rmtree(LIBRARIES, ignore_errors=True)
+    arguments = ["install", "-q", "--no-deps", "--target", str(LIBRARIES)]
     command = [sys.executable, "-m", "pip", *arguments, "-r", str(LOCK)]
     subprocess.run(command, check=True, cwd=ROOT)
 
 
 def hash_sources() -> str:
-    """Return a hash of all sources of the packages."""
+    """Return a hash over all source files of the packages."""
     digest = hashlib.sha256()
     for folder in SOURCES:
         for path in sorted(folder.rglob("*.py")):
@@ -60,22 +60,22 @@
 
 
 def copy_packages() -> None:
-    """Copy the packages beside the libraries and compile them."""
+    """Copy the packages next to the libraries and compile them to bytecode."""
     for folder in SOURCES:
-        copy = DEPENDENCIES / folder.name
+        copy = LIBRARIES / folder.name
         shutil.rmtree(copy, ignore_errors=True)
         shutil.copytree(folder, copy, ignore=shutil.ignore_patterns("__pycache__"))
         compileall.compile_dir(str(copy), quiet=1)
 
 
 def read_stamp(name: str) -> str:
-    """Return what was built last, or an empty text."""
+    """Return the hash of the last build, or an empty string."""
     path = TARGET / f"{name}.stamp"
     return path.read_text() if path.exists() else ""
 
 
 def write_stamp(name: str, text: str) -> None:
-    """Remember what was built."""
+    """Store the hash of the current build."""
     (TARGET / f"{name}.stamp").write_text(text)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,9 @@
-"""Failures that are known and listed cost a run nothing; every run prints them.
+"""Expected failures: listed tests don't fail the run, and every run prints them.
 
-``KNOWN-RED.txt`` at the root holds one line for each: the test's id, the command (with
-its seed) that shows it, what was seen, and the issue, apart by ``|``. What is not
-listed fails as ever, and so does a list that is too long or names a test that isn't
-there.
+``KNOWN-RED.txt`` at the root holds one line per test: its id, the command (with the
+seed) that reproduces the failure, what was seen, and the issue, separated by ``|``.
+Tests that are not listed fail the run as usual. A list that is too long or names a test
+that doesn't exist is an error.
 """
 
 from pathlib import Path
@@ -14,13 +14,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 
-#: Most failures that may be known at once.
-MAX_KNOWN = 3
+#: Maximum number of entries in the list.
+MAX_KNOWN_FAILURES_COUNT = 3
 
 
 @attrs.frozen
 class KnownFailure:
-    """One line of the list."""
+    """An entry of the list."""
 
     test: str
     command: str
@@ -28,8 +28,8 @@
     issue: str
 
 
-def read_known(text: str) -> list[KnownFailure]:
-    """Return the list's lines, or raise ValueError."""
+def parse_known_failures(text: str) -> list[KnownFailure]:
+    """Return the entries of the list; raise ValueError if it is invalid."""
     known = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
@@ -38,13 +38,17 @@
         if len(fields) != 4 or not all(fields):
             raise ValueError(f"not 'test | command | seen | issue': {line!r}")
         known.append(KnownFailure(*fields))
-    if len(known) > MAX_KNOWN:
-        raise ValueError(f"{len(known)} known failures, allowed are {MAX_KNOWN}")
+    if len(known) > MAX_KNOWN_FAILURES_COUNT:
+        raise ValueError(
+            f"{len(known)} known failures, at most {MAX_KNOWN_FAILURES_COUNT} allowed"
+        )
     return known
 
 
-def find_missing(known: list[KnownFailure], collected: dict[str, object]) -> list[str]:
-    """Return the listed tests that a collected file does not hold."""
+def find_unknown_tests(
+    known: list[KnownFailure], collected: dict[str, object]
+) -> list[str]:
+    """Return the listed tests that don't exist in the collected files or on disk."""
     files = {node_id.partition("::")[0] for node_id in collected}
     return [
         failure.test
@@ -59,17 +63,17 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """Expect the failures that are listed."""
+    """Mark the listed tests as expected failures."""
     if not KNOWN_RED.exists():
         return
     try:
-        known = read_known(KNOWN_RED.read_text())
+        known = parse_known_failures(KNOWN_RED.read_text())
     except ValueError as error:
         raise pytest.UsageError(f"{KNOWN_RED.name}: {error}") from None
     collected = {item.nodeid: item for item in items}
-    # One test that was asked for by its name says nothing of the others.
+    # A run of single tests doesn't collect the other tests of their files.
     is_partial = any("::" in word for word in config.args)
-    missing = [] if is_partial else find_missing(known, collected)
+    missing = [] if is_partial else find_unknown_tests(known, collected)
     if missing:
         raise pytest.UsageError(f"{KNOWN_RED.name}: no such test: {missing}")
     for failure in known:
@@ -80,7 +84,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Say how each known failure went."""
-    for outcome, word in (("xfailed", "failed"), ("xpassed", "PASSED, take it off")):
+    """Print the outcome of each known failure."""
+    for outcome, word in (("xfailed", "failed"), ("xpassed", "PASSED, remove it")):
         for report in terminalreporter.stats.get(outcome, []):
             terminalreporter.write_line(f"known red: {report.nodeid}: {word}")
--- a/tools/generate_schema.py
+++ b/tools/generate_schema.py
@@ -17,7 +17,7 @@
 TARGET_DIR = ROOT / "packages/rampwick-schema/src/rampwick_schema"
 REFERENCE = ROOT / "docs/settings.md"
 
-# The import order of the generated modules: later ones may use earlier ones.
+# Generated modules with the modules they import, dependencies first.
 MODULES = {
     "settings": [],
     "routing": [],
@@ -27,7 +27,7 @@
     "peer": ["platform", "tree"],
 }
 
-# A number names its unit, or is one of these counters and pure numbers.
+# The name of a number ends in its unit, except for these counters and pure numbers.
 UNIT_SUFFIXES = (
     "_seconds",
     "_bytes",
@@ -94,11 +94,11 @@
 
 
 class SchemaError(Exception):
-    """A schema file breaks a rule; the text names file, class and field."""
+    """Raised if a schema file is invalid; the message names file, class and field."""
 
 
 def main():
-    """Generate or check all modules; return the exit code."""
+    """Generate or check all files; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true", help="write nothing")
     arguments = parser.parse_args()
@@ -127,7 +127,7 @@
 
 
 def read_schema(name):
-    """Return the classes of one schema file, checked."""
+    """Return the classes of a schema file; raise SchemaError if it is invalid."""
     with (SCHEMA_DIR / f"{name}.toml").open("rb") as stream:
         classes = tomllib.load(stream)
     for class_name, definition in classes.items():
@@ -137,10 +137,10 @@
 
 
 def check_unit(file_name, class_name, field):
-    """Raise SchemaError if a number's name says no unit."""
+    """Raise SchemaError if the name of a numeric field has no unit suffix."""
     is_number = field["type"].split(" ")[0] in {"int", "float"}
-    named = field["name"].endswith(UNIT_SUFFIXES) or field["name"] in PURE_NUMBERS
-    if is_number and not named:
+    has_unit = field["name"].endswith(UNIT_SUFFIXES) or field["name"] in PURE_NUMBERS
+    if is_number and not has_unit:
         where = f"schema/{file_name}.toml: {class_name}.{field['name']}"
         raise SchemaError(f"{where}: a number's name must end in its unit")
 
@@ -208,7 +208,7 @@
     name = "packages/rampwick-schema/src/rampwick_schema/_generated.py"
     fixes = ["check", "--fix-only", "--quiet", "--select", "F401,I"]
     for arguments in (fixes, ["format", "--quiet"]):
-        done = subprocess.run(
+        completed = subprocess.run(
             [*command, *arguments, "--stdin-filename", name, "-"],
             input=text,
             capture_output=True,
@@ -216,7 +216,7 @@
             check=True,
             cwd=ROOT,
         )
-        text = done.stdout
+        text = completed.stdout
     return text
 
 
