--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -15,7 +15,7 @@
 from rampwick_schema import Shown, Summary
 
 from ._limit_patterns import LimitPattern
-from ._limit_ways import WAYS, Way
+from ._limit_strategies import WAYS, Way
 from ._runner import Clock
 
 TELL_SECONDS = 0.25
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -27,7 +27,7 @@
 from rampwick_schema import HostEntry, Shown
 
 from ._rate_patterns import RatePattern
-from ._rate_ways import (
+from ._rate_strategies import (
     OVER_RATIO,
     SLACK_COUNT,
     WINDOW_SECONDS,
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from ._limit_patterns import PATTERNS
-from ._limit_ways import WAYS
+from ._limit_strategies import WAYS
 from ._limits_lab import LimitsLab, refused_wrongly_ratio, worst_window_ratio
 
 
--- a/measure/load.py
+++ b/measure/load.py
@@ -14,8 +14,8 @@
 from rampwick_schema import Node
 
 from ._runner import WorldSettings
+from ._simulation import Sample, World
 from ._workload import HERBARIA, Arrival, Kind, Script, make_prompt, make_workspaces
-from ._world import Sample, World
 from .placement import learned, nominal_rate, wait_ms
 
 Figures = dict[str, float]
--- a/measure/placement.py
+++ b/measure/placement.py
@@ -21,8 +21,8 @@
 )
 
 from ._runner import STEP_SECONDS, WorldSettings
+from ._simulation import World
 from ._workload import SHAPES, Script, WorkloadShape
-from ._world import World
 
 WARM_SECONDS = 20.0
 
