--- a/measure/_blame_lab.py
+++ b/measure/_blame_lab.py
@@ -46,7 +46,7 @@
     #: Mean time between two ordinary ends of one upstream.
     ordinary_seconds: float = 30.0
     #: Time until the other hosts hear what one saw.
-    told_seconds: float = 0.03
+    broadcast_delay_seconds: float = 0.03
     length_seconds: float = 40.0
 
 
@@ -54,7 +54,7 @@
     BlamePattern("8 hosts, 5 upstreams", 8, 5, 32.0),
     BlamePattern("8 hosts, 5 upstreams, 6 deadly at once", 8, 5, 32.0, deadly_count=6),
     BlamePattern("8 hosts, 5 upstreams, often ill", 8, 5, 32.0, ordinary_seconds=6.0),
-    BlamePattern("90 hosts, 45 upstreams", 90, 45, 360.0, told_seconds=0.12),
+    BlamePattern("90 hosts, 45 upstreams", 90, 45, 360.0, broadcast_delay_seconds=0.12),
     BlamePattern("90 hosts, often ill", 90, 45, 360.0, 6, 1.5, 10.0, 0.12),
 )
 
@@ -92,7 +92,7 @@
     is_apart: bool
 
 
-WAYS = {
+STRATEGIES = {
     "none": BlameWay(NeverBlames(), is_apart=False),
     "count": BlameWay(CountedEnds(), is_apart=False),
     "most": BlameWay(MostEnds(), is_apart=False),
@@ -152,7 +152,7 @@
 
     def __init__(self, pattern: BlamePattern, way: str, seed: int) -> None:
         self._pattern = pattern
-        self._way = WAYS[way]
+        self._way = STRATEGIES[way]
         self._draw = random.Random(seed)
         self._clock = Clock()
         self._names = itertools.count()
@@ -301,7 +301,9 @@
             self.result.lost_count += not asked.is_deadly
 
     def _tell(self, teller: _Host, name: str, *terms: object) -> None:
-        self._clock.after(self._pattern.told_seconds, self._hear, teller, name, terms)
+        self._clock.after(
+            self._pattern.broadcast_delay_seconds, self._hear, teller, name, terms
+        )
 
     def _hear(self, teller: _Host, name: str, terms: tuple[object, ...]) -> None:
         for host in self._hosts:
--- a/measure/_lab_engine.py
+++ b/measure/_lab_engine.py
@@ -65,7 +65,7 @@
         self._free_seconds = 0.0
         self.read_tokens = 0
         #: When each attempt came.
-        self.taken_seconds: list[float] = []
+        self.arrival_times_seconds: list[float] = []
 
     @property
     def rate_per_second(self) -> float | None:
@@ -80,7 +80,7 @@
     def take(self, host: Host, dispatch: Dispatch, sample: Sample) -> None:
         """Receive an attempt: import what it may, then wait to be read."""
         now_seconds = self._lab.clock.now_seconds
-        self.taken_seconds.append(now_seconds)
+        self.arrival_times_seconds.append(now_seconds)
         ready_seconds = now_seconds
         parts = sample.call.parts
         if dispatch.import_address:
--- a/measure/_limit_patterns.py
+++ b/measure/_limit_patterns.py
@@ -32,17 +32,17 @@
     cut_at_seconds: float = math.inf
     cut_serves_seconds: float = 5.0
     #: Part of the rate that the limit is changed to again, and when.
-    again_ratio: float = 1.0
-    again_at_seconds: float = math.inf
+    second_change_ratio: float = 1.0
+    second_change_at_seconds: float = math.inf
     #: Part of the hosts that learn of changes later, and by how much.
     late_hosts_ratio: float = 0.0
     late_seconds: float = 0.0
     #: A second hot time.
-    surge_ratio: float = 1.0
-    surge_from_seconds: float = math.inf
-    surge_until_seconds: float = math.inf
+    second_burst_ratio: float = 1.0
+    second_burst_from_seconds: float = math.inf
+    second_burst_until_seconds: float = math.inf
     #: Hosts at which what is beyond the usual demand arrives; none means all.
-    surge_hosts_count: int = 0
+    burst_hosts_count: int = 0
     hosts_count: int = 90
     halls_count: int = 4
     length_seconds: float = 32.0
@@ -67,11 +67,11 @@
     LimitPattern(
         "limit_changed_then_surge",
         lowered_ratio=0.5,
-        again_ratio=0.7,
-        again_at_seconds=20.0,
-        surge_ratio=6.0,
-        surge_from_seconds=23.0,
-        surge_until_seconds=28.0,
+        second_change_ratio=0.7,
+        second_change_at_seconds=20.0,
+        second_burst_ratio=6.0,
+        second_burst_from_seconds=23.0,
+        second_burst_until_seconds=28.0,
     ),
     LimitPattern(
         "half_of_the_hosts_know_the_new_limit",
@@ -83,23 +83,23 @@
     LimitPattern("surge_from_calm", usual_ratio=0.3, hot_ratio=15.0),
     LimitPattern("surge_from_calm_7", usual_ratio=0.6, hot_ratio=7.0),
     LimitPattern(
-        "surge_at_one_host", usual_ratio=0.6, hot_ratio=7.0, surge_hosts_count=1
+        "surge_at_one_host", usual_ratio=0.6, hot_ratio=7.0, burst_hosts_count=1
     ),
     LimitPattern(
-        "surge_in_one_hall", usual_ratio=0.6, hot_ratio=7.0, surge_hosts_count=22
+        "surge_in_one_hall", usual_ratio=0.6, hot_ratio=7.0, burst_hosts_count=22
     ),
     LimitPattern(
         "changed_half_know_surge",
         lowered_ratio=0.5,
         hot_ratio=6.0,
         hot_until_seconds=16.0,
-        again_ratio=0.3,
-        again_at_seconds=22.0,
+        second_change_ratio=0.3,
+        second_change_at_seconds=22.0,
         late_hosts_ratio=0.5,
         late_seconds=7.0,
-        surge_ratio=6.0,
-        surge_from_seconds=25.0,
-        surge_until_seconds=30.0,
+        second_burst_ratio=6.0,
+        second_burst_from_seconds=25.0,
+        second_burst_until_seconds=30.0,
         length_seconds=40.0,
     ),
     LimitPattern(
@@ -107,13 +107,13 @@
         lowered_ratio=0.5,
         hot_ratio=6.0,
         hot_until_seconds=16.0,
-        again_ratio=1.0,
-        again_at_seconds=22.0,
+        second_change_ratio=1.0,
+        second_change_at_seconds=22.0,
         late_hosts_ratio=0.5,
         late_seconds=7.0,
-        surge_ratio=12.0,
-        surge_from_seconds=25.0,
-        surge_until_seconds=30.0,
+        second_burst_ratio=12.0,
+        second_burst_from_seconds=25.0,
+        second_burst_until_seconds=30.0,
         length_seconds=40.0,
     ),
 )
--- a/measure/_limit_strategies.py
+++ b/measure/_limit_strategies.py
@@ -15,7 +15,7 @@
 PATH = "/w"
 
 
-class Way(Protocol):
+class Strategy(Protocol):
     """How one host decides under a limit."""
 
     def hold_seconds(self, tokens: int, now_seconds: float) -> float:
@@ -193,7 +193,7 @@
     equal_ratio = 0.2
 
 
-WAYS: dict[str, Callable[[LimitPattern, str, float], Way]] = {
+STRATEGIES: dict[str, Callable[[LimitPattern, str, float], Strategy]] = {
     "fleet-sums": FleetSums,
     "early-words": EarlyWords,
     "granted-parts": GrantedParts,
--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -15,7 +15,7 @@
 from rampwick_schema import Shown, Summary
 
 from ._limit_patterns import LimitPattern
-from ._limit_strategies import WAYS, Way
+from ._limit_strategies import STRATEGIES, Strategy
 from ._runner import Clock
 
 TELL_SECONDS = 0.25
@@ -33,7 +33,7 @@
 class _Host(Shown):
     name: str
     hall: int
-    way: Way
+    way: Strategy
     told: Summary | None = None
     told_at_seconds: float = 0.0
     is_off: bool = False
@@ -53,7 +53,7 @@
 
     def __init__(self, pattern: LimitPattern, way: str, seed: int) -> None:
         self._pattern = pattern
-        self._make = WAYS[way]
+        self._make = STRATEGIES[way]
         self._draw = random.Random(seed)
         self.clock = Clock()
         self.asked: list[Asked] = []
@@ -69,7 +69,7 @@
         self._surges = [SurgeGate() for _ in range(pattern.halls_count)]
         self.passed_on_count = 0
 
-    def _new(self, name: str, now_seconds: float) -> Way:
+    def _new(self, name: str, now_seconds: float) -> Strategy:
         return self._make(self._pattern, name, now_seconds)
 
     def run(self) -> list[Asked]:
@@ -86,8 +86,10 @@
             self.clock.after(at_seconds, self._arrive, tokens)
         if pattern.lowered_ratio != 1.0:
             self._plan_change(pattern.hot_from_seconds, pattern.lowered_ratio)
-        if pattern.again_at_seconds < math.inf:
-            self._plan_change(pattern.again_at_seconds, pattern.again_ratio)
+        if pattern.second_change_at_seconds < math.inf:
+            self._plan_change(
+                pattern.second_change_at_seconds, pattern.second_change_ratio
+            )
         if pattern.killed_at_seconds < math.inf:
             self.clock.after(pattern.killed_at_seconds, self._kill)
         self.clock.run_until(pattern.length_seconds)
@@ -234,14 +236,14 @@
     def _surge_hosts(self, up: list[_Host]) -> list[_Host]:
         """Return the hosts at one of which the next request arrives."""
         pattern = self._pattern
-        surge_ratio = _surge_ratio(pattern, self.clock.now_seconds)
-        if not pattern.surge_hosts_count or surge_ratio <= 1.0:
+        second_burst_ratio = _surge_ratio(pattern, self.clock.now_seconds)
+        if not pattern.burst_hosts_count or second_burst_ratio <= 1.0:
             return up
-        if self._draw.random() < 1.0 / surge_ratio:
+        if self._draw.random() < 1.0 / second_burst_ratio:
             return up
         # Those of one hall first.
         by_hall = sorted(up, key=lambda host: host.hall)
-        return by_hall[: pattern.surge_hosts_count]
+        return by_hall[: pattern.burst_hosts_count]
 
     def _kill(self) -> None:
         count = round(len(self.hosts) * self._pattern.killed_ratio)
@@ -262,8 +264,12 @@
     """Return the multiple of the usual demand at a time."""
     if pattern.hot_from_seconds <= at_seconds < pattern.hot_until_seconds:
         return pattern.hot_ratio
-    if pattern.surge_from_seconds <= at_seconds < pattern.surge_until_seconds:
-        return pattern.surge_ratio
+    if (
+        pattern.second_burst_from_seconds
+        <= at_seconds
+        < pattern.second_burst_until_seconds
+    ):
+        return pattern.second_burst_ratio
     return 1.0
 
 
@@ -272,8 +278,8 @@
     changes = [(0.0, 1.0)]
     if pattern.lowered_ratio != 1.0:
         changes.append((pattern.hot_from_seconds, pattern.lowered_ratio))
-    if pattern.again_at_seconds < math.inf:
-        changes.append((pattern.again_at_seconds, pattern.again_ratio))
+    if pattern.second_change_at_seconds < math.inf:
+        changes.append((pattern.second_change_at_seconds, pattern.second_change_ratio))
     return changes
 
 
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -31,13 +31,13 @@
     OVER_RATIO,
     SLACK_COUNT,
     WINDOW_SECONDS,
-    EachHost,
+    AdmitRatioGate,
+    AllHostsSend,
+    FullRateGate,
     Gate,
-    OneSender,
-    OpenGate,
-    SumsGate,
-    TurnGate,
-    WholeGate,
+    RateLimiterGate,
+    SingleSender,
+    UnlimitedGate,
 )
 from ._runner import Clock
 
@@ -135,9 +135,9 @@
     def _make_host(self, index: int) -> _Host:
         rates = RequestRates(NoticeBook())
         host = _Host(
-            f"e{index}", f"h{index % self._pattern.halls_count}", rates, OpenGate()
+            f"e{index}", f"h{index % self._pattern.halls_count}", rates, UnlimitedGate()
         )
-        WAYS[self._way](host, self)
+        STRATEGIES[self._way](host, self)
         return host
 
     def run(self) -> RateResult:
@@ -200,7 +200,7 @@
         for index in range(0, len(self._hosts), 2):
             self._hosts[index] = self._make_host(index)
         self._look_around()
-        self._clock.after(self._pattern.told_seconds * 2, self._greet)
+        self._clock.after(self._pattern.broadcast_delay_seconds * 2, self._greet)
 
     def _greet(self) -> None:
         for item in self._named:
@@ -255,7 +255,9 @@
             host.known_since.setdefault(name, now_seconds)
         word = RateObservation("", rate, asked_at_seconds, now_seconds)
         if host.rates.take(name, word, "its answer says so"):
-            self._clock.after(self._pattern.told_seconds, self._hear, host, name, word)
+            self._clock.after(
+                self._pattern.broadcast_delay_seconds, self._hear, host, name, word
+            )
 
     def _hear(self, teller: _Host, name: str, word: RateObservation) -> None:
         for host in self._hosts:
@@ -272,7 +274,11 @@
                 if (limit := _limits(host).get(name)) is not None
             }
             self._clock.after(
-                self._pattern.told_seconds, self._hear_words, name, said, now_seconds
+                self._pattern.broadcast_delay_seconds,
+                self._hear_words,
+                name,
+                said,
+                now_seconds,
             )
         self._clock.after(WORD_SECONDS, self._tell_words)
 
@@ -290,7 +296,7 @@
 
 
 def _limits(host: _Host) -> dict[str, FleetLimit]:
-    return host.gate.limits if isinstance(host.gate, SumsGate) else {}
+    return host.gate.limits if isinstance(host.gate, AdmitRatioGate) else {}
 
 
 def _with_turns(
@@ -304,29 +310,29 @@
             lambda now_seconds: host.heard_ratio,
             make_rule(count),
         )
-        host.gate = TurnGate(host.turns)
+        host.gate = RateLimiterGate(host.turns)
 
     return equip
 
 
 def _with_whole(host: _Host, lab: RateLab) -> None:
-    host.gate = WholeGate(host.rates)
+    host.gate = FullRateGate(host.rates)
 
 
 def _with_sums(host: _Host, lab: RateLab) -> None:
-    host.gate = SumsGate(host.rates, lab._draw)
+    host.gate = AdmitRatioGate(host.rates, lab._draw)
 
 
 def _with_nothing(host: _Host, lab: RateLab) -> None:
-    host.gate = OpenGate()
+    host.gate = UnlimitedGate()
 
 
 #: What each host is given to decide with.
-WAYS: dict[str, Callable[[_Host, RateLab], None]] = {
+STRATEGIES: dict[str, Callable[[_Host, RateLab], None]] = {
     "unread": _with_nothing,
     "each the whole": _with_whole,
-    "equal parts": _with_turns(EachHost),
+    "equal parts": _with_turns(AllHostsSend),
     "sums": _with_sums,
-    "one sender": _with_turns(lambda count: OneSender()),
+    "one sender": _with_turns(lambda count: SingleSender()),
     "few senders": _with_turns(lambda count: FewSenders()),
 }
--- a/measure/_rate_patterns.py
+++ b/measure/_rate_patterns.py
@@ -18,7 +18,7 @@
     #: Part of the requests that would all go to the first upstream.
     hot_ratio: float = 0.0
     #: Time until the other hosts hear what one tells.
-    told_seconds: float = 0.03
+    broadcast_delay_seconds: float = 0.03
     #: When a hall is cut off and heals; it neither hears the others nor is heard.
     cut_seconds: tuple[float, float] | None = None
     #: When a part of the hosts begins anew, knowing nothing.
@@ -34,7 +34,7 @@
         hosts_count=90,
         upstreams_count=45,
         requests_per_second=368.0,
-        told_seconds=0.12,
+        broadcast_delay_seconds=0.12,
     )
     huge = attrs.evolve(
         large,
--- a/measure/_rate_strategies.py
+++ b/measure/_rate_strategies.py
@@ -15,7 +15,7 @@
 SLACK_COUNT = 5
 
 
-class EachHost:
+class AllHostsSend:
     """All hosts send, each its equal part."""
 
     def __init__(self, hosts_count: int) -> None:
@@ -26,7 +26,7 @@
         return self._hosts_count
 
 
-class OneSender:
+class SingleSender:
     """One host sends all."""
 
     def senders_count(self, requests_per_second: float) -> int:
@@ -41,7 +41,7 @@
         """Return whether it may, and count it if so."""
 
 
-class OpenGate:
+class UnlimitedGate:
     """Nobody reads rates."""
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
@@ -49,7 +49,7 @@
         return True
 
 
-class TurnGate:
+class RateLimiterGate:
     """The policy's own turns, with a rule for the senders."""
 
     def __init__(self, turns: RequestTurns) -> None:
@@ -63,7 +63,7 @@
         return True
 
 
-class WholeGate:
+class FullRateGate:
     """Each host keeps to the whole rate by itself."""
 
     def __init__(self, rates: RequestRates) -> None:
@@ -82,7 +82,7 @@
         return True
 
 
-class SumsGate:
+class AdmitRatioGate:
     """Sums and one admit ratio, as limits in tokens are kept."""
 
     def __init__(self, rates: RequestRates, draw: random.Random) -> None:
--- a/measure/blame.py
+++ b/measure/blame.py
@@ -7,13 +7,15 @@
 import statistics
 from collections.abc import Sequence
 
-from ._blame_lab import PATTERNS, WAYS, BlameLab
+from ._blame_lab import PATTERNS, STRATEGIES, BlameLab
 
 
 def main(words: Sequence[str]) -> None:
     """Print a table: one line for each pattern and way."""
     parser = argparse.ArgumentParser(prog="python -m measure blame")
-    parser.add_argument("--ways", nargs="*", choices=list(WAYS), default=list(WAYS))
+    parser.add_argument(
+        "--ways", nargs="*", choices=list(STRATEGIES), default=list(STRATEGIES)
+    )
     parser.add_argument("--seeds", type=int, default=5)
     arguments = parser.parse_args(words)
     print(
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from ._limit_patterns import PATTERNS
-from ._limit_strategies import WAYS
+from ._limit_strategies import STRATEGIES
 from ._limits_lab import LimitsLab, refused_wrongly_ratio, worst_window_ratio
 
 
@@ -17,7 +17,9 @@
     names = [pattern.name for pattern in PATTERNS]
     parser = argparse.ArgumentParser(prog="python -m measure limits")
     parser.add_argument("patterns", nargs="*", choices=[*names, []], default=[])
-    parser.add_argument("--ways", nargs="*", choices=list(WAYS), default=list(WAYS))
+    parser.add_argument(
+        "--ways", nargs="*", choices=list(STRATEGIES), default=list(STRATEGIES)
+    )
     parser.add_argument("--seeds", type=int, default=3)
     arguments = parser.parse_args(words)
     print("pattern                          way            worst window  used  refused")
--- a/measure/placement.py
+++ b/measure/placement.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Way:
+class Strategy:
     """One way of placement with its settings."""
 
     name: str
@@ -43,26 +43,26 @@
     return
 
 
-def ways(prices: tuple[float, ...] = (1.0, 2.0, 4.0, 8.0)) -> list[Way]:
+def ways(prices: tuple[float, ...] = (1.0, 2.0, 4.0, 8.0)) -> list[Strategy]:
     """Return all ways, the last three over a range of prices."""
     found = [
-        Way("round robin", lambda world: RoundRobin()),
-        Way("least loaded", lambda world: LeastLoaded()),
-        Way("computed", lambda world: ComputedHome(1.25)),
+        Strategy("round robin", lambda world: RoundRobin()),
+        Strategy("least loaded", lambda world: LeastLoaded()),
+        Strategy("computed", lambda world: ComputedHome(1.25)),
     ]
     for price in (1.0, 4.0):
         found.append(
-            Way("own only", learned, shares_placements=False, miss_price=price)
+            Strategy("own only", learned, shares_placements=False, miss_price=price)
         )
     for price in prices:
-        found.append(Way("pooled 0.25 s", learned, miss_price=price))
-    found.append(Way("pooled 0.5 s", learned, gossip_seconds=0.5))
-    found.append(Way("pooled 0.1 s", learned, gossip_seconds=0.1))
-    found.append(Way("pooled 1 s", learned, gossip_seconds=1.0))
-    found.append(Way("pooled 3 s", learned, gossip_seconds=3.0))
+        found.append(Strategy("pooled 0.25 s", learned, miss_price=price))
+    found.append(Strategy("pooled 0.5 s", learned, gossip_seconds=0.5))
+    found.append(Strategy("pooled 0.1 s", learned, gossip_seconds=0.1))
+    found.append(Strategy("pooled 1 s", learned, gossip_seconds=1.0))
+    found.append(Strategy("pooled 3 s", learned, gossip_seconds=3.0))
     for price in prices:
         found.append(
-            Way(
+            Strategy(
                 "oracle",
                 lambda world: PricedKnowledge(world.oracle),
                 gossip_seconds=0.05,
--- a/measure/rates.py
+++ b/measure/rates.py
@@ -7,14 +7,16 @@
 import statistics
 from collections.abc import Sequence
 
-from ._rate_lab import WAYS, RateLab
+from ._rate_lab import STRATEGIES, RateLab
 from ._rate_patterns import PATTERNS
 
 
 def main(words: Sequence[str]) -> None:
     """Print a table: one line for each pattern and way."""
     parser = argparse.ArgumentParser(prog="python -m measure rates")
-    parser.add_argument("--ways", nargs="*", choices=list(WAYS), default=list(WAYS))
+    parser.add_argument(
+        "--ways", nargs="*", choices=list(STRATEGIES), default=list(STRATEGIES)
+    )
     parser.add_argument("--patterns", nargs="*", type=int, help="by number, from 0")
     parser.add_argument("--seeds", type=int, default=3)
     arguments = parser.parse_args(words)
--- a/measure/restores.py
+++ b/measure/restores.py
@@ -117,7 +117,7 @@
             self.confirmed_at_seconds = now_seconds
 
 
-WAYS: dict[str, Callable[[], RevisionOnly]] = {
+STRATEGIES: dict[str, Callable[[], RevisionOnly]] = {
     "revision only": RevisionOnly,
     "take the copy": TakeTheCopy,
     "hold": Hold,
@@ -146,7 +146,7 @@
         draw.uniform(0.5, 3.0),
         draw.uniform(0.0, 6.0) if is_rewritten else None,
     )
-    hosts = [WAYS[way]() for _ in range(hosts_count)]
+    hosts = [STRATEGIES[way]() for _ in range(hosts_count)]
     hear_offsets = [draw.random() * GOSSIP_SECONDS for _ in hosts]
     store, copy, log = Store(), Store(), []
     pending: list[Tree] = []
@@ -231,7 +231,7 @@
     print("fleet, written again, way: returned key, late, refused host-s; hosts apart")
     for hosts_count in FLEETS:
         for is_rewritten in (True, False):
-            for way in WAYS:
+            for way in STRATEGIES:
                 runs = [
                     play(hosts_count, way, seed, is_rewritten)
                     for seed in range(arguments.seeds)
--- a/measure/signals.py
+++ b/measure/signals.py
@@ -205,13 +205,13 @@
                 self._after(now + HOP_SECONDS, lambda at, peer=peer: action(peer, at))
 
 
-PAUSE_WAYS = {
+PAUSE_STRATEGIES = {
     "cut to 1 s": {"max_pause_seconds": CUT_PAUSE_SECONDS, "tells": False},
     "whole, by the host that was refused": {"tells": False},
     "whole, by all hosts": {"tells": True},
 }
 
-LEAVING_WAYS = {
+LEAVING_STRATEGIES = {
     "unread": {"reads": False, "tells": False},
     "by the host that had the answer": {"reads": True, "tells": False},
     "by all hosts": {"reads": True, "tells": True},
@@ -229,7 +229,7 @@
     seeds = range(1, parser.parse_args(words).seeds + 1)
     for fleet_name, fleet in FLEETS.items():
         for pattern, refuses in PAUSE_PATTERNS.items():
-            for way, options in PAUSE_WAYS.items():
+            for way, options in PAUSE_STRATEGIES.items():
                 runs = [
                     SignalLab(fleet, seed, refuses=refuses, reads=True, **options).run()
                     for seed in seeds
@@ -245,7 +245,7 @@
                     f"worst in a pause {worst}, served {served:.2f} of offered, "
                     f"{unserved:.0f} unserved, {messages:.0f} messages"
                 )
-        for way, options in LEAVING_WAYS.items():
+        for way, options in LEAVING_STRATEGIES.items():
             runs = [
                 SignalLab(fleet, seed, refuses=None, **options).run() for seed in seeds
             ]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -345,8 +345,10 @@
             draw = random.Random(seed)
             rate = draw.choice([100_000.0, 300_000.0])
             hot_until_seconds = draw.uniform(13.0, 18.0)
-            again_at_seconds = draw.uniform(16.0, 24.0)
-            surge_from_seconds = again_at_seconds + draw.uniform(0.0, 4.0)
+            second_change_at_seconds = draw.uniform(16.0, 24.0)
+            second_burst_from_seconds = second_change_at_seconds + draw.uniform(
+                0.0, 4.0
+            )
             pattern = LimitPattern(
                 "drawn",
                 tokens_per_second=rate,
@@ -356,14 +358,14 @@
                 hot_ratio=draw.uniform(1.0, 7.0),
                 hot_until_seconds=hot_until_seconds,
                 lowered_ratio=draw.uniform(0.4, 1.0),
-                again_ratio=draw.uniform(0.4, 1.0),
-                again_at_seconds=again_at_seconds,
+                second_change_ratio=draw.uniform(0.4, 1.0),
+                second_change_at_seconds=second_change_at_seconds,
                 late_hosts_ratio=draw.choice([0.0, 0.3, 0.5]),
                 late_seconds=draw.uniform(0.0, 7.0),
-                surge_ratio=draw.uniform(1.0, 8.0),
-                surge_from_seconds=surge_from_seconds,
-                surge_until_seconds=surge_from_seconds + 4.0,
-                surge_hosts_count=draw.choice([0, 0, 1, 4]),
+                second_burst_ratio=draw.uniform(1.0, 8.0),
+                second_burst_from_seconds=second_burst_from_seconds,
+                second_burst_until_seconds=second_burst_from_seconds + 4.0,
+                burst_hosts_count=draw.choice([0, 0, 1, 4]),
                 hosts_count=draw.choice([16, 40]),
                 length_seconds=32.0,
             )
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -87,7 +87,7 @@
         taken = [
             [
                 at
-                for at in engine.taken_seconds
+                for at in engine.arrival_times_seconds
                 if known_seconds < at < pattern.length_seconds
             ]
             for engine in list(lab.engines.values())[: pattern.limited_count]
