--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the decisions under scripted load, and of the daemon's own costs."""
+"""Simulations of the policy under scripted load, and benchmarks of the daemon."""
--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -1,4 +1,4 @@
-"""Run a measurement: ``python -m measure NAME …``; without a name, all of them."""
+"""Run measurements: ``python -m measure [NAME …]``; without a name, all of them."""
 
 import sys
 
@@ -32,13 +32,13 @@
 
 
 def main() -> int:
-    """Run the named measurements, or all of them with their defaults."""
+    """Run the named measurement, or all of them with default options."""
     if len(sys.argv) > 1:
-        name, *words = sys.argv[1:]
+        name, *argv = sys.argv[1:]
         if name not in MEASUREMENTS:
             print(f"unknown measurement {name}; known: {', '.join(MEASUREMENTS)}")
             return 2
-        MEASUREMENTS[name](words)
+        MEASUREMENTS[name](argv)
         return 0
     for run in MEASUREMENTS.values():
         run([])
--- a/measure/_lab.py
+++ b/measure/_lab.py
@@ -1,7 +1,7 @@
-"""The load lab: schedulers of several hosts, toy engines and one clock, under a load.
+"""Load lab: simulation of several hosts' schedulers and engines under a load pattern.
 
-Everything is stepped and seeded: the same pattern, seed and mechanisms give the same
-result. Hosts tell each other summaries as the daemon does.
+The simulation is deterministic: the same pattern, seed and disabled mechanisms give the
+same result. Hosts exchange summaries as the daemon does.
 """
 
 import random
@@ -59,7 +59,7 @@
     Cache,
     Engine,
 )
-from ._lab_script import Call, Kind, Pattern, Sample, script
+from ._lab_script import Call, Kind, Pattern, Sample, draw_calls
 from ._runner import Clock
 
 STORE = "kept"
@@ -67,15 +67,15 @@
 
 TICK_SECONDS = 0.1
 GOSSIP_SECONDS = 0.25
-#: Between two words of what a cache holds, and their way.
-CACHE_WORD_SECONDS = 0.7
-CACHE_LAG_SECONDS = 0.1
-EARLY_WORD_SECONDS = 0.05
-#: Time for which what upstreams name is gathered before peers hear it.
-RATE_NEWS_SECONDS = 0.02
+#: Interval of the caches' change events, and their delay until hosts receive them.
+CACHE_EVENT_INTERVAL_SECONDS = 0.7
+CACHE_EVENT_DELAY_SECONDS = 0.1
+EARLY_SUMMARY_INTERVAL_SECONDS = 0.05
+#: Time for which rate limits of upstreams are collected before they are broadcast.
+RATE_UPDATE_DELAY_SECONDS = 0.02
 LONG_PROMPT_TOKENS = 1000
 
-#: Mechanisms that can be left out.
+#: Mechanisms that can be disabled.
 MECHANISMS = (
     "order",
     "early-word",
@@ -86,7 +86,7 @@
 
 
 class Host:
-    """One host's scheduler."""
+    """A host's scheduler with its open requests."""
 
     def __init__(self, lab: "Lab", index: int) -> None:
         self._lab = lab
@@ -96,11 +96,11 @@
         self.incarnation = 0
         self._sequence = 0
         self._count = 0
-        self._told_early_seconds = -1.0
+        self._early_summary_at_seconds = -1.0
         self.start()
 
     def start(self) -> None:
-        """Begin a life that knows no more than the platform tells."""
+        """Start a new incarnation whose only state comes from the platform."""
         self.incarnation += 1
         self.open: dict[str, Sample] = {}
         settings = parse_settings(
@@ -110,38 +110,38 @@
             source="lab",
         )
         self.scheduler = Scheduler(settings)
-        self.scheduler.pool.rates.on_update = self._tell_rates
-        self.handle(NeighboursSeen(self._neighbours(), is_leaving=False))
+        self.scheduler.pool.rates.on_update = self._schedule_rate_update
+        self.handle(NeighboursSeen(self._live_peers(), is_leaving=False))
         self.handle(TreeInForce(self._lab.view))
         self.handle(HostListRead(self._lab.host_list))
 
-    def _neighbours(self) -> Neighbours:
+    def _live_peers(self) -> Neighbours:
         halls = {
             f"host-{index}": HALLS[index % len(HALLS)]
             for index in range(self._lab.pattern.hosts_count)
         }
-        mates = frozenset(
+        hall_peers = frozenset(
             name
             for name, hall in halls.items()
             if hall == self.hall and name != self.name
         )
-        return Neighbours(mates, mates, frozenset(halls.values()))
+        return Neighbours(hall_peers, hall_peers, frozenset(halls.values()))
 
-    def _tell_rates(self) -> None:
-        self._lab.clock.after(RATE_NEWS_SECONDS, self._broadcast_rates)
+    def _schedule_rate_update(self) -> None:
+        self._lab.clock.after(RATE_UPDATE_DELAY_SECONDS, self._broadcast_rate_update)
 
-    def _broadcast_rates(self) -> None:
-        news = self.scheduler.pool.rates.take_update(self._lab.clock.now_seconds)
-        if news is None:
+    def _broadcast_rate_update(self) -> None:
+        update = self.scheduler.pool.rates.take_update(self._lab.clock.now_seconds)
+        if update is None:
             return
         for peer in self._lab.hosts:
             if peer is not self:
                 self._lab.clock.after(
-                    HOP_SECONDS, peer.handle, RateLimitUpdateReceived(news)
+                    HOP_SECONDS, peer.handle, RateLimitUpdateReceived(update)
                 )
 
     def arrive(self, sample: Sample) -> None:
-        """Take a caller's request."""
+        """Receive a request of a caller."""
         self._count += 1
         request_id = f"{self.name}.{self.incarnation}.{self._count}"
         self.open[request_id] = sample
@@ -163,7 +163,7 @@
         )
 
     def handle(self, event: Event) -> None:
-        """Have the scheduler handle an event, and carry its actions out."""
+        """Pass an event to the scheduler and execute its actions."""
         for action in self.scheduler.handle(event, self._lab.clock.now_seconds):
             if isinstance(action, Dispatch):
                 self._send(action)
@@ -177,42 +177,45 @@
     def _send(self, dispatch: Dispatch) -> None:
         sample = self.open[dispatch.request_id]
         engine = self._lab.engines[dispatch.upstream]
-        self._lab.clock.after(HOP_SECONDS, engine.take, self, dispatch, sample)
+        self._lab.clock.after(HOP_SECONDS, engine.receive, self, dispatch, sample)
         choice = dispatch.choice
         if choice is not None and choice.missing_tokens >= LONG_PROMPT_TOKENS:
-            self._tell_early()
+            self._publish_early()
 
-    def _tell_early(self) -> None:
+    def _publish_early(self) -> None:
         now_seconds = self._lab.clock.now_seconds
-        due_seconds = self._told_early_seconds + EARLY_WORD_SECONDS
-        if "early-word" in self._lab.without or now_seconds < self._told_early_seconds:
+        due_seconds = self._early_summary_at_seconds + EARLY_SUMMARY_INTERVAL_SECONDS
+        if (
+            "early-word" in self._lab.without
+            or now_seconds < self._early_summary_at_seconds
+        ):
             return
         at_seconds = max(now_seconds, due_seconds)
-        self._told_early_seconds = at_seconds
-        self._lab.clock.after(at_seconds - now_seconds, self.tell)
+        self._early_summary_at_seconds = at_seconds
+        self._lab.clock.after(at_seconds - now_seconds, self.publish_summary)
 
     def first_token(self, dispatch: Dispatch) -> None:
-        """Receive an attempt's first token."""
+        """Receive the first token of an attempt."""
         sample = self.open.get(dispatch.request_id)
         if sample is None:
             return
         sample.first_seconds = self._lab.clock.now_seconds
-        self._note_rate(dispatch)
+        self._report_rate(dispatch)
         names = (dispatch.request_id, dispatch.attempt_id)
         self.handle(AttemptAccepted(*names))
         self.handle(AttemptDelivered(*names))
 
-    def _note_rate(self, dispatch: Dispatch) -> None:
+    def _report_rate(self, dispatch: Dispatch) -> None:
         rate = self._lab.engines[dispatch.upstream].rate_per_second
         if rate is not None:
             now_seconds = self._lab.clock.now_seconds
-            named = RateNamed(
+            observation = RateNamed(
                 dispatch.upstream, dispatch.incarnation, rate, now_seconds
             )
-            self.handle(named)
+            self.handle(observation)
 
     def done(self, dispatch: Dispatch, sample: Sample) -> None:
-        """Receive an attempt's end."""
+        """Receive the end of an attempt."""
         if self.open.pop(dispatch.request_id, None) is None:
             return
         tokens = sum(part.tokens for part in sample.call.parts)
@@ -228,24 +231,24 @@
             )
         )
 
-    def tell(self) -> None:
-        """Tell all peers a summary."""
+    def publish_summary(self) -> None:
+        """Send a summary to all peers."""
         self._sequence += 1
         now_seconds = self._lab.clock.now_seconds
         summary = self.scheduler.summary(self._sequence, 1, False, now_seconds)
-        heard = PeerSummaryReceived(self.name, self.hall, self.incarnation, summary)
+        received = PeerSummaryReceived(self.name, self.hall, self.incarnation, summary)
         for peer in self._lab.hosts:
             if peer is not self:
-                self._lab.clock.after(HOP_SECONDS, peer.hear, heard)
+                self._lab.clock.after(HOP_SECONDS, peer.receive_summary, received)
 
-    def hear(self, heard: PeerSummaryReceived) -> None:
-        """Hear a peer, unless this host is off."""
-        if not self._lab.is_off:
-            self.handle(heard)
+    def receive_summary(self, received: PeerSummaryReceived) -> None:
+        """Receive a peer's summary, unless the hosts are down."""
+        if not self._lab.is_down:
+            self.handle(received)
 
 
 class Lab:
-    """One run of a pattern."""
+    """A simulation of one load pattern."""
 
     def __init__(
         self, pattern: Pattern, seed: int, without: frozenset[str] = frozenset()
@@ -254,9 +257,9 @@
         self.without = without
         self.clock = Clock()
         self.samples: list[Sample] = []
-        self.is_off = False
-        self._draw = random.Random(seed)
-        self._calls = script(pattern, seed)
+        self.is_down = False
+        self._rng = random.Random(seed)
+        self._calls = draw_calls(pattern, seed)
         self.store = Cache(600_000)
         self.engines = {
             f"e{index}": Engine(self, f"e{index}", HALLS[index % len(HALLS)])
@@ -268,18 +271,18 @@
         self.hosts = [Host(self, index) for index in range(pattern.hosts_count)]
 
     def run(self) -> list[Sample]:
-        """Play the pattern; return what came of each request."""
-        with leave_out(self.without):
+        """Simulate the pattern; return the requests after the warm-up."""
+        with disable_mechanisms(self.without):
             for host in self.hosts:
-                phase = self._draw.random()
+                phase = self._rng.random()
                 self.clock.after(phase * GOSSIP_SECONDS, self._gossip, host)
                 self.clock.after(phase * TICK_SECONDS, self._tick, host)
-            self.clock.after(CACHE_WORD_SECONDS, self._tell_caches)
+            self.clock.after(CACHE_EVENT_INTERVAL_SECONDS, self._publish_cache_changes)
             for call in self._calls:
                 self.clock.after(call.at_seconds, self._arrive, call)
             if self.pattern.off_until_seconds:
-                self.clock.after(self.pattern.off_from_seconds, self._turn_off)
-                self.clock.after(self.pattern.off_until_seconds, self._turn_on)
+                self.clock.after(self.pattern.off_from_seconds, self._stop_hosts)
+                self.clock.after(self.pattern.off_until_seconds, self._restart_hosts)
             self.clock.run_until(self.pattern.length_seconds + 15.0)
         return [
             sample
@@ -290,54 +293,64 @@
     def _arrive(self, call: Call) -> None:
         sample = Sample(call)
         self.samples.append(sample)
-        if self.is_off:
-            # Its connection waits for the host, or for the next one.
+        if self.is_down:
+            # The caller's connection waits until a host is up again.
             wait = self.pattern.off_until_seconds - self.clock.now_seconds
-            self.clock.after(wait + 0.3 * self._draw.random(), self._submit, sample)
+            self.clock.after(wait + 0.3 * self._rng.random(), self._submit, sample)
         else:
             self._submit(sample)
 
     def _submit(self, sample: Sample) -> None:
-        self._draw.choice(self.hosts).arrive(sample)
+        self._rng.choice(self.hosts).arrive(sample)
 
     def _gossip(self, host: Host) -> None:
-        if not self.is_off:
-            host.tell()
+        if not self.is_down:
+            host.publish_summary()
         self.clock.after(GOSSIP_SECONDS, self._gossip, host)
 
     def _tick(self, host: Host) -> None:
-        if not self.is_off:
+        if not self.is_down:
             host.handle(Tick())
         self.clock.after(TICK_SECONDS, self._tick, host)
 
-    def _tell_caches(self) -> None:
-        self.clock.after(CACHE_WORD_SECONDS, self._tell_caches)
+    def _publish_cache_changes(self) -> None:
+        self.clock.after(CACHE_EVENT_INTERVAL_SECONDS, self._publish_cache_changes)
         for name, label, cache in self._caches():
             changed = cache.take_changes()
             if changed:
-                self.clock.after(CACHE_LAG_SECONDS, self._hear, name, label, changed)
+                self.clock.after(
+                    CACHE_EVENT_DELAY_SECONDS,
+                    self._deliver_cache_changes,
+                    name,
+                    label,
+                    changed,
+                )
 
     def _caches(self) -> Iterator[tuple[str, str, Cache]]:
         for engine in self.engines.values():
             yield engine.name, life_label(Life(engine.name, 1)), engine.cache
         yield STORE, life_label(kept_life(1)), self.store
 
-    def _hear(self, name: str, label: str, changed: dict[bytes, int]) -> None:
+    def _deliver_cache_changes(
+        self, name: str, label: str, changed: dict[bytes, int]
+    ) -> None:
         changes = CacheChanges(label, tuple(changed), tuple(changed.values()))
         for host in self.hosts:
-            if not self.is_off:
+            if not self.is_down:
                 host.handle(CacheSeen(name, (changes,)))
 
-    def _turn_off(self) -> None:
-        self.is_off = True
+    def _stop_hosts(self) -> None:
+        self.is_down = True
 
-    def _turn_on(self) -> None:
-        self.is_off = False
+    def _restart_hosts(self) -> None:
+        self.is_down = False
         for host in self.hosts:
             host.start()
         if "cache-word" not in self.without:
             for name, label, cache in self._caches():
-                self.clock.after(0.02, self._hear, name, label, dict(cache.tokens))
+                self.clock.after(
+                    0.02, self._deliver_cache_changes, name, label, dict(cache.tokens)
+                )
 
 
 def _entry(engine: Engine) -> HostEntry:
@@ -369,8 +382,8 @@
 
 
 @contextmanager
-def leave_out(names: frozenset[str]) -> Iterator[None]:
-    """Leave mechanisms of the policy out for the length of the context."""
+def disable_mechanisms(names: frozenset[str]) -> Iterator[None]:
+    """Disable mechanisms of the policy within the context."""
     unknown = names - set(MECHANISMS)
     if unknown:
         raise ValueError(f"unknown: {sorted(unknown)}; known: {MECHANISMS}")
@@ -391,6 +404,6 @@
 
 
 def in_time_ratio(samples: list[Sample], kind: Kind | None = None) -> float:
-    """Return the part of the requests, of one kind or all, that were in time."""
+    """Return the share of requests, of one kind or all, that met their target."""
     counted = [item for item in samples if kind is None or item.call.kind is kind]
     return sum(item.outcome == "in time" for item in counted) / max(1, len(counted))
--- a/measure/_lab_engine.py
+++ b/measure/_lab_engine.py
@@ -1,4 +1,4 @@
-"""Toy engines of the load lab, and the caches they and their store keep."""
+"""Simulated engines of the load lab, and the caches of engines and KV store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 HALLS = ("a", "b", "c", "d")
 SCOPE = Scope("wall", "m")
 
-#: One way between a host and an engine or another host.
+#: One-way latency between a host and an engine or another host.
 HOP_SECONDS = 0.001
 STEP_SECONDS = 0.006
 TOKEN_BYTES = 163_840
@@ -23,7 +23,7 @@
 
 
 class Cache:
-    """Parts by key, those used last; tells what changed since it was asked last."""
+    """LRU cache of prompt parts by key that records its changes."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity_tokens = capacity_tokens
@@ -31,15 +31,15 @@
         self._changed: dict[bytes, int] = {}
         self.link_free_seconds = 0.0
 
-    def missing(self, parts: tuple[PromptPart, ...]) -> int:
-        """Return the tokens of a prompt from its first part that is not kept."""
+    def missing_tokens(self, parts: tuple[PromptPart, ...]) -> int:
+        """Return the number of tokens from the first part that is not cached."""
         for index, part in enumerate(parts):
             if part_key(SCOPE, part.name) not in self.tokens:
                 return sum(item.tokens for item in parts[index:])
         return 0
 
-    def use(self, parts: tuple[PromptPart, ...]) -> None:
-        """Keep the parts of a prompt; those unused longest give way."""
+    def insert(self, parts: tuple[PromptPart, ...]) -> None:
+        """Insert the parts of a prompt and evict the least recently used ones."""
         for part in reversed(parts):
             key = part_key(SCOPE, part.name)
             self.tokens[key] = self._changed[key] = part.tokens
@@ -49,13 +49,13 @@
             self._changed[key] = 0
 
     def take_changes(self) -> dict[bytes, int]:
-        """Return what changed since the last call."""
+        """Return the changes since the last call."""
         changed, self._changed = self._changed, {}
         return changed
 
 
 class Engine:
-    """Reads prompts one after another, first come first served."""
+    """Simulated engine with serial prefill in order of arrival."""
 
     def __init__(self, lab: Lab, name: str, hall: str) -> None:
         self._lab = lab
@@ -63,13 +63,13 @@
         self.hall = hall
         self.cache = Cache(lab.pattern.cache_tokens)
         self._free_seconds = 0.0
-        self.read_tokens = 0
-        #: When each attempt came.
+        self.prefilled_tokens = 0
+        #: Arrival time of each attempt.
         self.arrival_times_seconds: list[float] = []
 
     @property
     def rate_per_second(self) -> float | None:
-        """Requests a second that it takes from all hosts; none if it names none."""
+        """Limit in requests per second over all hosts; None if there is none."""
         pattern = self._lab.pattern
         if int(self.name[1:]) >= pattern.limited_count:
             return None
@@ -77,8 +77,8 @@
             return None
         return pattern.limited_per_second
 
-    def take(self, host: Host, dispatch: Dispatch, sample: Sample) -> None:
-        """Receive an attempt: import what it may, then wait to be read."""
+    def receive(self, host: Host, dispatch: Dispatch, sample: Sample) -> None:
+        """Receive an attempt: import cached parts if allowed, then prefill the rest."""
         now_seconds = self._lab.clock.now_seconds
         self.arrival_times_seconds.append(now_seconds)
         ready_seconds = now_seconds
@@ -86,30 +86,32 @@
         if dispatch.import_address:
             ready_seconds = self._import(parts[:-1], now_seconds)
         delay = ready_seconds - now_seconds
-        self._lab.clock.after(delay, self._read, host, dispatch, sample)
+        self._lab.clock.after(delay, self._prefill, host, dispatch, sample)
 
     def _import(self, parts: tuple[PromptPart, ...], now_seconds: float) -> float:
         store = self._lab.store
-        tokens = self.cache.missing(parts)
-        if not tokens or store.missing(parts):
+        tokens = self.cache.missing_tokens(parts)
+        if not tokens or store.missing_tokens(parts):
             return now_seconds + HOP_SECONDS
         seconds = tokens * 8.0 * TOKEN_BYTES / LINK_BITS_PER_SECOND
         seconds *= 1.0 if self.hall == HALLS[1] else 2.0
-        begin = max(now_seconds, store.link_free_seconds)
-        store.link_free_seconds = begin + seconds
-        self.cache.use(parts)
+        start_seconds = max(now_seconds, store.link_free_seconds)
+        store.link_free_seconds = start_seconds + seconds
+        self.cache.insert(parts)
         return store.link_free_seconds
 
-    def _read(self, host: Host, dispatch: Dispatch, sample: Sample) -> None:
+    def _prefill(self, host: Host, dispatch: Dispatch, sample: Sample) -> None:
         now_seconds = self._lab.clock.now_seconds
         parts = sample.call.parts
-        missing = self.cache.missing(parts)
-        self.read_tokens += missing
-        self.cache.use(parts)
+        missing_tokens = self.cache.missing_tokens(parts)
+        self.prefilled_tokens += missing_tokens
+        self.cache.insert(parts)
         if dispatch.save_address:
-            self._lab.store.use(parts[:-1])
-        begin = max(now_seconds, self._free_seconds)
-        self._free_seconds = begin + missing / self._lab.pattern.tokens_per_second
+            self._lab.store.insert(parts[:-1])
+        start_seconds = max(now_seconds, self._free_seconds)
+        self._free_seconds = (
+            start_seconds + missing_tokens / self._lab.pattern.tokens_per_second
+        )
         delay = self._free_seconds - now_seconds + HOP_SECONDS
         self._lab.clock.after(delay, host.first_token, dispatch)
         answer_seconds = sample.call.kind.answer_tokens * STEP_SECONDS
--- a/measure/_lab_script.py
+++ b/measure/_lab_script.py
@@ -1,4 +1,4 @@
-"""What the load lab is asked: patterns from a file, kinds of requests, arrivals."""
+"""Load patterns of the load lab, read from a file, and the requests drawn from them."""
 
 import random
 import tomllib
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Pattern:
-    """A load and the fleet that it meets."""
+    """A load pattern and the size of the fleet that serves it."""
 
     name: str
     doc: str
@@ -24,8 +24,8 @@
     engines_count: int = 5
     long_per_second: float = 11.0
     short_per_second: float = 14.0
-    things_count: int = 84
-    #: Part of the long prompts that share one thing.
+    collections_count: int = 84
+    #: Share of the long prompts that use the same collection.
     hot_ratio: float = 0.0
     tokens_per_second: float = 30_000.0
     cache_tokens: int = 75_000
@@ -34,11 +34,11 @@
     burst_ratio: float = 1.0
     off_from_seconds: float = 0.0
     off_until_seconds: float = 0.0
-    #: Engines that take only so many requests a second from all hosts, and since when.
+    #: Number of engines with a request rate limit over all hosts, its start and value.
     limited_count: int = 0
     limited_from_seconds: float = 0.0
     limited_per_second: float = 0.0
-    #: Time before which nothing counts.
+    #: Warm-up time; earlier requests are left out of the results.
     warm_seconds: float = 2.0
 
 
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Kind:
-    """One kind of request."""
+    """A kind of request."""
 
     name: str
     priority_class: str
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class Call:
-    """One request of the script."""
+    """A request of the script."""
 
     at_seconds: float
     kind: Kind
@@ -78,7 +78,7 @@
 
 @attrs.define
 class Sample:
-    """What came of one request."""
+    """Outcome of one request."""
 
     call: Call
     first_seconds: float | None = None
@@ -87,14 +87,14 @@
 
     @property
     def held_seconds(self) -> float:
-        """Time for which it was held before it was refused; none of others."""
+        """Time from arrival to refusal; 0 if the request was not refused."""
         if self.refused_seconds is None:
             return 0.0
         return self.refused_seconds - self.call.at_seconds
 
     @property
     def outcome(self) -> str:
-        """In one word: in time, late, refused or open."""
+        """One of "in time", "late", "refused" and "open"."""
         if self.refused:
             return "refused"
         if self.first_seconds is None:
@@ -103,18 +103,18 @@
         return "in time" if waited_seconds <= self.call.kind.target_seconds else "late"
 
 
-def script(pattern: Pattern, seed: int) -> list[Call]:
-    """Draw a pattern's requests, in order of time."""
-    draw = random.Random(seed)
+def draw_calls(pattern: Pattern, seed: int) -> list[Call]:
+    """Draw the requests of a pattern in order of time."""
+    rng = random.Random(seed)
     calls = [
-        *_calls(pattern, draw, LONG, pattern.long_per_second),
-        *_calls(pattern, draw, SHORT, pattern.short_per_second),
+        *_calls(pattern, rng, LONG, pattern.long_per_second),
+        *_calls(pattern, rng, SHORT, pattern.short_per_second),
     ]
     return sorted(calls, key=lambda call: call.at_seconds)
 
 
 def _calls(
-    pattern: Pattern, draw: random.Random, kind: Kind, per_second: float
+    pattern: Pattern, rng: random.Random, kind: Kind, per_second: float
 ) -> Iterator[Call]:
     at_seconds = 0.0
     while True:
@@ -122,31 +122,29 @@
             pattern.burst_from_seconds <= at_seconds < pattern.burst_until_seconds
         )
         rate = per_second * (pattern.burst_ratio if is_burst else 1.0)
-        at_seconds += draw.expovariate(rate)
+        at_seconds += rng.expovariate(rate)
         if at_seconds >= pattern.length_seconds:
             return
-        parts = _long_parts(pattern, draw) if kind is LONG else _short_parts(draw)
-        yield Call(at_seconds, kind, parts, draw.randrange(8))
+        parts = _long_parts(pattern, rng) if kind is LONG else _short_parts(rng)
+        yield Call(at_seconds, kind, parts, rng.randrange(8))
 
 
-def _long_parts(pattern: Pattern, draw: random.Random) -> tuple[PromptPart, ...]:
-    thing = 0
-    if draw.random() >= pattern.hot_ratio:
-        thing = draw.randrange(pattern.things_count)
-    own_tokens = min(20_000, 100 + int(draw.expovariate(1 / 2800)))
+def _long_parts(pattern: Pattern, rng: random.Random) -> tuple[PromptPart, ...]:
+    collection = 0
+    if rng.random() >= pattern.hot_ratio:
+        collection = rng.randrange(pattern.collections_count)
+    own_tokens = min(20_000, 100 + int(rng.expovariate(1 / 2800)))
     return (
-        PromptPart(b"guide %d" % (thing % 4), 2520),
-        PromptPart(b"thing %d" % thing, 3780),
-        PromptPart(b"own %d" % draw.getrandbits(60), own_tokens),
+        PromptPart(b"guide %d" % (collection % 4), 2520),
+        PromptPart(b"thing %d" % collection, 3780),
+        PromptPart(b"own %d" % rng.getrandbits(60), own_tokens),
     )
 
 
-def _short_parts(draw: random.Random) -> tuple[PromptPart, ...]:
-    thing = draw.randrange(157)
+def _short_parts(rng: random.Random) -> tuple[PromptPart, ...]:
+    collection = rng.randrange(157)
     return (
-        PromptPart(b"style %d" % (thing % 20), 119),
-        PromptPart(b"shop %d" % thing, 79),
-        PromptPart(
-            b"own %d" % draw.getrandbits(60), 50 + int(draw.expovariate(1 / 580))
-        ),
+        PromptPart(b"style %d" % (collection % 20), 119),
+        PromptPart(b"shop %d" % collection, 79),
+        PromptPart(b"own %d" % rng.getrandbits(60), 50 + int(rng.expovariate(1 / 580))),
     )
--- a/measure/_limit_patterns.py
+++ b/measure/_limit_patterns.py
@@ -1,4 +1,4 @@
-"""What is asked under one limit in the limits lab, and what happens meanwhile."""
+"""Demand and faults of the limits lab's patterns."""
 
 import math
 
@@ -9,39 +9,39 @@
 
 @attrs.frozen(repr=False)
 class LimitPattern(Shown):
-    """What is asked under one limit, and what happens meanwhile; rates in tokens."""
+    """Demand under one token limit, with changes of the limit and faults."""
 
     name: str
     tokens_per_second: float = 300_000.0
     burst_tokens: float = 300_000.0
-    #: How far the limit may be passed before a rule is broken.
+    #: Allowed excess over the limit, as a ratio and in tokens.
     over_ratio: float = 0.1
     slack_tokens: float = 100_000.0
-    #: Usual demand as a part of the rate, and its multiple in the hot time.
+    #: Usual demand as a share of the rate, and its multiple during the burst.
     usual_ratio: float = 0.8
     hot_ratio: float = 1.0
     hot_from_seconds: float = 12.0
     hot_until_seconds: float = 22.0
-    #: Part of the rate that the limit is lowered to at the start of the hot time.
+    #: Share of the rate to which the limit is lowered at the start of the burst.
     lowered_ratio: float = 1.0
-    #: When all hosts are killed, and for how long.
+    #: When hosts are killed, for how long, and the share of hosts.
     killed_at_seconds: float = math.inf
     killed_seconds: float = 2.0
     killed_ratio: float = 1.0
-    #: When a hall is cut off, which goes on serving for a while.
+    #: When a hall is partitioned off, and how long it continues to serve.
     cut_at_seconds: float = math.inf
     cut_serves_seconds: float = 5.0
-    #: Part of the rate that the limit is changed to again, and when.
+    #: Share of the rate to which the limit changes a second time, and when.
     second_change_ratio: float = 1.0
     second_change_at_seconds: float = math.inf
-    #: Part of the hosts that learn of changes later, and by how much.
+    #: Share of the hosts that receive limit changes late, and their delay.
     late_hosts_ratio: float = 0.0
     late_seconds: float = 0.0
-    #: A second hot time.
+    #: Multiple of the usual demand in a second burst, and its time.
     second_burst_ratio: float = 1.0
     second_burst_from_seconds: float = math.inf
     second_burst_until_seconds: float = math.inf
-    #: Hosts at which what is beyond the usual demand arrives; none means all.
+    #: Number of hosts that receive the demand beyond the usual one; 0 means all.
     burst_hosts_count: int = 0
     hosts_count: int = 90
     halls_count: int = 4
--- a/measure/_limit_strategies.py
+++ b/measure/_limit_strategies.py
@@ -1,4 +1,4 @@
-"""Ways to keep a limit over many hosts, as one host of the limits lab decides."""
+"""Strategies of the limits lab to enforce a token limit over many hosts."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,45 +16,45 @@
 
 
 class Strategy(Protocol):
-    """How one host decides under a limit."""
+    """Admission under a limit, as decided by one host."""
 
     def hold_seconds(self, tokens: int, now_seconds: float) -> float:
-        """Return how long a request waits before that is decided."""
+        """Return how long a request is held before its admission is decided."""
         ...
 
     def ask(self, tokens: int, was_held: bool, now_seconds: float) -> bool:
-        """Return whether a request may go."""
+        """Return whether a request is admitted."""
         ...
 
     def change(self, ratio: float, now_seconds: float) -> None:
-        """Take a limit that is lowered to a part."""
+        """Set the limit to a share of the pattern's rate."""
         ...
 
     def summary(self, now_seconds: float) -> Summary:
-        """Return what the host tells."""
+        """Return the host's summary for its peers."""
         ...
 
     def hear(
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
-        """Take what is told it."""
+        """Receive the summary of a peer."""
         ...
 
     def note_time(self, hosts_count: int, now_seconds: float) -> None:
-        """Note the present time."""
+        """Advance the strategy's time."""
         ...
 
     def note_members(self, count: int, now_seconds: float) -> None:
-        """Note how many hosts are known."""
+        """Set the number of known hosts."""
         ...
 
     def has_surged(self, now_seconds: float) -> bool:
-        """Return whether peers are to hear at once of what the host is asked."""
+        """Return whether peers must be notified immediately of a burst in demand."""
         ...
 
 
 def workspace(pattern: LimitPattern, ratio: float = 1.0) -> Workspace:
-    """Return the workspace with its limit."""
+    """Return the workspace with a share of the pattern's limit."""
     node = Node(
         is_workspace=True,
         tokens_per_second=pattern.tokens_per_second * ratio,
@@ -63,8 +63,8 @@
     return TreeView(Tree(1, {"/": Node(), PATH: node})).workspaces[PATH]
 
 
-class FleetSums:
-    """Sums of all, and a ratio that every host lets go; words at intervals only."""
+class FleetUsage:
+    """Fleet-wide usage and one admit ratio; updates by periodic summaries only."""
 
     def __init__(self, pattern: LimitPattern, name: str, now_seconds: float) -> None:
         self._pattern = pattern
@@ -77,11 +77,11 @@
         self.book.apply({PATH: self._workspace}, now_seconds)
 
     def hold_seconds(self, tokens: int, now_seconds: float) -> float:
-        """Return how long a request waits before that is decided."""
+        """Return how long a request is held before its admission is decided."""
         return self.book.hold_seconds(self._arrival(tokens, now_seconds), now_seconds)
 
     def ask(self, tokens: int, was_held: bool, now_seconds: float) -> bool:
-        """Return whether a request may go."""
+        """Return whether a request is admitted."""
         arrival = self._arrival(tokens, now_seconds)
         arrival = attrs.evolve(arrival, was_held=was_held)
         return not isinstance(self.book.ask(arrival, now_seconds), OverLimit)
@@ -93,12 +93,12 @@
         )
 
     def change(self, ratio: float, now_seconds: float) -> None:
-        """Take a limit that is lowered to a part."""
+        """Set the limit to a share of the pattern's rate."""
         self._workspace = workspace(self._pattern, ratio)
         self.book.apply({PATH: self._workspace}, now_seconds)
 
     def summary(self, now_seconds: float) -> Summary:
-        """Return what the host tells."""
+        """Return the host's summary for its peers."""
         self._sequence += 1
         return Summary(
             self._sequence,
@@ -115,34 +115,34 @@
     def hear(
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
-        """Take what is told it."""
+        """Receive the summary of a peer."""
         self.book.hear(peer, summary, age_seconds, now_seconds)
 
     def note_time(self, hosts_count: int, now_seconds: float) -> None:
-        """Note the present time."""
+        """Advance the strategy's time."""
         self.book.note_time(hosts_count, now_seconds)
 
     def note_members(self, count: int, now_seconds: float) -> None:
-        """Note how many hosts are known."""
+        """Set the number of known hosts."""
         self.book.note_members(count, now_seconds)
 
     def has_surged(self, now_seconds: float) -> bool:
-        """Return whether peers are to hear at once of what the host is asked."""
+        """Return whether peers must be notified immediately of a burst in demand."""
         return False
 
 
-class EarlyWords(FleetSums):
-    """The product's own way: the same, and who is asked for more says so at once."""
+class EarlyNotifications(FleetUsage):
+    """The router's strategy: fleet-wide usage, with immediate updates on bursts."""
 
     def has_surged(self, now_seconds: float) -> bool:
-        """Return whether peers are to hear at once of what the host is asked."""
+        """Return whether peers must be notified immediately of a burst in demand."""
         return self.book.has_surged(self._workspace, now_seconds)
 
 
-class Parts(FleetSums):
-    """Each host has a part of the limit, and no more: equal, or by what it is asked."""
+class EqualShares(FleetUsage):
+    """A fixed share of the limit per host: equal, or partly in proportion to demand."""
 
-    #: Part of the limit that goes to all hosts equally, whatever they are asked.
+    #: Share of the limit that is divided equally, regardless of demand.
     equal_ratio = 1.0
 
     def __init__(self, pattern: LimitPattern, name: str, now_seconds: float) -> None:
@@ -150,52 +150,52 @@
         self._ratio = 1.0
         self._level = 0.0
         self._at_seconds = now_seconds
-        self._own_asked = 0.0
-        self._others_asked: dict[str, float] = {}
+        self._own_demand = 0.0
+        self._peer_demand: dict[str, float] = {}
 
     def ask(self, tokens: int, was_held: bool, now_seconds: float) -> bool:
-        """Return whether a request may go."""
+        """Return whether a request is admitted."""
         super().ask(tokens, was_held, now_seconds)
-        equal = self.equal_ratio / self._pattern.hosts_count
-        total = self._own_asked + sum(self._others_asked.values())
-        asked_part = self._own_asked / total if total else equal
-        part = equal + (1.0 - self.equal_ratio) * asked_part
-        rate = self._pattern.tokens_per_second * self._ratio * part
-        most = max(self._pattern.burst_tokens * self._ratio * part, tokens)
+        equal_share = self.equal_ratio / self._pattern.hosts_count
+        total = self._own_demand + sum(self._peer_demand.values())
+        demand_share = self._own_demand / total if total else equal_share
+        share = equal_share + (1.0 - self.equal_ratio) * demand_share
+        rate = self._pattern.tokens_per_second * self._ratio * share
+        capacity = max(self._pattern.burst_tokens * self._ratio * share, tokens)
         elapsed_seconds = now_seconds - self._at_seconds
         self._at_seconds = now_seconds
-        self._level = min(most, self._level + rate * elapsed_seconds)
+        self._level = min(capacity, self._level + rate * elapsed_seconds)
         if self._level < tokens:
             return False
         self._level -= tokens
         return True
 
     def change(self, ratio: float, now_seconds: float) -> None:
-        """Take a limit that is lowered to a part."""
+        """Set the limit to a share of the pattern's rate."""
         self._ratio = ratio
 
     def summary(self, now_seconds: float) -> Summary:
-        """Return what the host tells."""
-        told = super().summary(now_seconds)
-        self._own_asked = sum(item.asked_tokens for item in told.limits)
-        return told
+        """Return the host's summary for its peers."""
+        result = super().summary(now_seconds)
+        self._own_demand = sum(item.asked_tokens for item in result.limits)
+        return result
 
     def hear(
         self, peer: str, summary: Summary, age_seconds: float, now_seconds: float
     ) -> None:
-        """Take what is told it."""
-        self._others_asked[peer] = sum(item.asked_tokens for item in summary.limits)
+        """Receive the summary of a peer."""
+        self._peer_demand[peer] = sum(item.asked_tokens for item in summary.limits)
 
 
-class GrantedParts(Parts):
-    """Parts that follow what each host is asked for."""
+class DemandShares(EqualShares):
+    """Shares of the limit mostly in proportion to each host's demand."""
 
     equal_ratio = 0.2
 
 
 STRATEGIES: dict[str, Callable[[LimitPattern, str, float], Strategy]] = {
-    "fleet-sums": FleetSums,
-    "early-words": EarlyWords,
-    "granted-parts": GrantedParts,
-    "equal-parts": Parts,
+    "fleet-sums": FleetUsage,
+    "early-words": EarlyNotifications,
+    "granted-parts": DemandShares,
+    "equal-parts": EqualShares,
 }
--- a/measure/_rate_patterns.py
+++ b/measure/_rate_patterns.py
@@ -1,27 +1,28 @@
-"""Fleets, upstreams and the rates that they name, for the rate lab."""
+"""Fleets and request rate limits of upstreams for the rate lab."""
 
 import attrs
 
 
 @attrs.frozen
 class RatePattern:
-    """Sizes and troubles of a run."""
+    """Sizes and faults of a run."""
 
     name: str
     hosts_count: int
     halls_count: int
     upstreams_count: int
     requests_per_second: float
-    #: Upstreams that name a rate, and the rate from each time on; none ends it.
+    #: Number of upstreams with a rate limit, and the rate from each time on; None
+    #: removes the limit.
     limited_count: int
     rates: tuple[tuple[float, float | None], ...]
-    #: Part of the requests that would all go to the first upstream.
+    #: Share of the requests that prefer the first upstream.
     hot_ratio: float = 0.0
-    #: Time until the other hosts hear what one tells.
+    #: Delay until the other hosts receive a broadcast.
     broadcast_delay_seconds: float = 0.03
-    #: When a hall is cut off and heals; it neither hears the others nor is heard.
+    #: Start and end of a partition between a hall and the others.
     cut_seconds: tuple[float, float] | None = None
-    #: When a part of the hosts begins anew, knowing nothing.
+    #: When half of the hosts restart without state.
     restart_seconds: float | None = None
     length_seconds: float = 30.0
 
--- a/measure/_rate_strategies.py
+++ b/measure/_rate_strategies.py
@@ -1,4 +1,4 @@
-"""Ways to keep to the rates that upstreams name, for the rate lab."""
+"""Strategies of the rate lab to respect the request rate limits of upstreams."""
 
 import random
 from typing import Protocol
@@ -9,54 +9,54 @@
 from rampwick_policy._tree import LimitedNode
 from rampwick_policy._upstream import Upstream
 
-#: What is allowed: so many times the rate within a window, and so many beside it.
+#: Allowed requests in a window: OVER_RATIO times the rate, plus SLACK_COUNT.
 WINDOW_SECONDS = 4.0
 OVER_RATIO = 1.5
 SLACK_COUNT = 5
 
 
 class AllHostsSend:
-    """All hosts send, each its equal part."""
+    """All hosts send, each an equal share of the rate."""
 
     def __init__(self, hosts_count: int) -> None:
         self._hosts_count = hosts_count
 
     def senders_count(self, requests_per_second: float) -> int:
-        """Return the hosts that send, as far as there are so many."""
+        """Return the maximum number of hosts that send."""
         return self._hosts_count
 
 
 class SingleSender:
-    """One host sends all."""
+    """A single host sends all requests."""
 
     def senders_count(self, requests_per_second: float) -> int:
-        """Return the hosts that send, as far as there are so many."""
+        """Return the maximum number of hosts that send."""
         return 1
 
 
 class Gate(Protocol):
-    """One host's say on whether it may send an upstream a request."""
+    """Decision of one host whether to send a request to an upstream."""
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether it may, and count it if so."""
+        """Return whether a request may be sent, and count it if so."""
 
 
 class UnlimitedGate:
-    """Nobody reads rates."""
+    """Ignores rate limits."""
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether it may, and count it if so."""
+        """Return True."""
         return True
 
 
 class RateLimiterGate:
-    """The policy's own turns, with a rule for the senders."""
+    """The policy's rate limiter with a policy for the number of senders."""
 
     def __init__(self, turns: RequestTurns) -> None:
         self._turns = turns
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether it may, and count it if so."""
+        """Return whether a request may be sent, and count it if so."""
         if not self._turns.may_send(upstream, now_seconds):
             return False
         self._turns.note_sent(upstream, now_seconds)
@@ -64,14 +64,14 @@
 
 
 class FullRateGate:
-    """Each host keeps to the whole rate by itself."""
+    """Every host applies the full rate on its own."""
 
     def __init__(self, rates: RequestRates) -> None:
         self._rates = rates
         self._last_at: dict[str, float] = {}
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether it may, and count it if so."""
+        """Return whether a request may be sent, and count it if so."""
         rate = self._rates.rate(upstream.name, "", now_seconds)
         if rate is None:
             return True
@@ -83,15 +83,15 @@
 
 
 class AdmitRatioGate:
-    """Sums and one admit ratio, as limits in tokens are kept."""
+    """Fleet-wide usage and one admit ratio, as for token limits."""
 
-    def __init__(self, rates: RequestRates, draw: random.Random) -> None:
+    def __init__(self, rates: RequestRates, rng: random.Random) -> None:
         self._rates = rates
-        self._draw = draw
+        self._rng = rng
         self.limits: dict[str, FleetLimit] = {}
 
     def may_send(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether it may, and count it if so."""
+        """Return whether a request may be sent, and count it if so."""
         rate = self._rates.rate(upstream.name, "", now_seconds)
         if rate is None:
             self.limits.pop(upstream.name, None)
@@ -99,7 +99,7 @@
         node = LimitedNode(upstream.name, rate, 0.0, 1.0, True, None, None)
         limit = self.limits.get(upstream.name)
         if limit is None:
-            limit = FleetLimit(node, WINDOW_SECONDS, self._draw)
+            limit = FleetLimit(node, WINDOW_SECONDS, self._rng)
             self.limits[upstream.name] = limit
         elif limit.limit != node:
             limit.change(node, WINDOW_SECONDS, now_seconds)
--- a/measure/_simulation.py
+++ b/measure/_simulation.py
@@ -1,7 +1,7 @@
-"""The policy driven by a script: schedulers of several hosts, toy runners, one clock.
+"""Simulation of several hosts' schedulers with simulated runners and a shared clock.
 
-This is no cluster simulator: it delivers each event with a fixed delay and a toy
-runner's answers, so that ways of deciding can be compared on the same arrivals.
+Network delays are constant and runners are simplified: the simulation compares
+placement strategies on the same arrivals and does not predict absolute figures.
 """
 
 import random
@@ -48,7 +48,7 @@
     Clock,
     Job,
     Runner,
-    WorldSettings,
+    SimulationSettings,
 )
 from ._workload import Arrival
 
@@ -56,24 +56,24 @@
 
 
 class Oracle:
-    """Knows every cache exactly and at once."""
+    """Exact view of every runner's cache without delay."""
 
     def __init__(self, runners: dict[str, Runner]) -> None:
         self._runners = runners
         self._blocks: dict[int, tuple[tuple[str, int], ...]] = {}
 
-    def learn(self, arrival: Arrival) -> None:
-        """Note which blocks belong to a chain."""
+    def register(self, arrival: Arrival) -> None:
+        """Register the blocks of a prompt's chain."""
         self._blocks[id(arrival.prompt.chain)] = arrival.prompt.blocks
 
     def cached_tokens(self, upstream: str, chain: PrefixChain) -> int:
-        """Return the tokens that a runner holds."""
-        return self._runners[upstream].held_tokens(self._blocks[id(chain)])
+        """Return the number of tokens of a chain that a runner has cached."""
+        return self._runners[upstream].cached_prefix_tokens(self._blocks[id(chain)])
 
 
 @attrs.define
 class Sample:
-    """What came of one request."""
+    """Outcome of one request."""
 
     arrival: Arrival
     first_seconds: float | None = None
@@ -84,13 +84,13 @@
 
 
 class Host:
-    """One host's scheduler and its clients."""
+    """A host's scheduler with its open requests."""
 
     def __init__(
-        self, world: "World", index: int, placement: Placement | None = None
+        self, simulation: "Simulation", index: int, placement: Placement | None = None
     ) -> None:
-        self._world = world
-        self._clock = world.clock
+        self._simulation = simulation
+        self._clock = simulation.clock
         self._index = index
         self.name = f"entry-{index}"
         self._placement = placement
@@ -100,37 +100,37 @@
         self.restart()
 
     def restart(self) -> None:
-        """Begin another life that knows nothing."""
+        """Restart with a new incarnation and without state."""
         self.incarnation += 1
         self._sequence = 0
         hall = HALLS[self._index % len(HALLS)]
         settings = parse_settings(
             f'[host]\nname = "{self.name}"\nhall = "{hall}"\n'
-            f"[placement]\nmiss_price = {self._world.settings.miss_price}\n",
+            f"[placement]\nmiss_price = {self._simulation.settings.miss_price}\n",
             source="world",
         )
         self.scheduler = Scheduler(settings, self._placement)
         now_seconds = self._clock.now_seconds
-        self.scheduler.handle(HostListRead(self._world.host_list), now_seconds)
-        self.scheduler.handle(TreeInForce(self._world.view), now_seconds)
-        for runner in self._world.runners.values():
+        self.scheduler.handle(HostListRead(self._simulation.host_list), now_seconds)
+        self.scheduler.handle(TreeInForce(self._simulation.view), now_seconds)
+        for runner in self._simulation.runners.values():
             if runner.is_up:
-                self.hear_report(runner.name, runner.report())
+                self.receive_report(runner.name, runner.report())
 
     def arrive(self, arrival: Arrival) -> None:
-        """Take a client's request."""
+        """Receive a request of a client."""
         self._count += 1
         request_id = f"{self.name}.{self.incarnation}.{self._count}"
         sample = Sample(arrival)
         self.open[request_id] = sample
-        self._world.samples.append(sample)
+        self._simulation.samples.append(sample)
         self.handle(
             RequestArrived(
                 request_id=request_id,
                 workspace=arrival.workspace,
                 priority_class=arrival.kind.priority_class,
                 deadline_seconds=self._clock.now_seconds
-                + self._world.settings.deadline_seconds,
+                + self._simulation.settings.deadline_seconds,
                 is_repeatable=True,
                 chain=arrival.prompt.chain,
                 scope=arrival.prompt.scope,
@@ -139,12 +139,12 @@
         )
 
     def handle(self, event: Any) -> None:
-        """Have the scheduler handle an event, and carry its actions out."""
+        """Pass an event to the scheduler and execute its actions."""
         for action in self.scheduler.handle(event, self._clock.now_seconds):
             if isinstance(action, Dispatch):
                 self._send(action)
             elif isinstance(action, CancelAttempt):
-                runner = self._world.runners[action.upstream]
+                runner = self._simulation.runners[action.upstream]
                 self._clock.after(HOP_SECONDS, runner.cancel, action.attempt_id)
             elif isinstance(action, Refuse):
                 sample = self.open.pop(action.request_id)
@@ -154,13 +154,13 @@
     def _send(self, dispatch: Dispatch) -> None:
         sample = self.open[dispatch.request_id]
         job = Job(self, dispatch, sample.arrival)
-        runner = self._world.runners[dispatch.upstream]
+        runner = self._simulation.runners[dispatch.upstream]
         classes = ("portal", "interactive", "batch")
         priority = classes.index(sample.arrival.kind.priority_class)
-        self._clock.after(HOP_SECONDS, runner.take, job, priority)
+        self._clock.after(HOP_SECONDS, runner.receive, job, priority)
 
     def first_token(self, job: Job) -> None:
-        """Receive an attempt's first token."""
+        """Receive the first token of an attempt."""
         names = (job.dispatch.request_id, job.dispatch.attempt_id)
         sample = self.open.get(names[0])
         if sample is None:
@@ -171,7 +171,7 @@
         self.handle(AttemptDelivered(*names))
 
     def done(self, job: Job) -> None:
-        """Receive an attempt's end."""
+        """Receive the end of an attempt."""
         sample = self.open.pop(job.dispatch.request_id, None)
         if sample is None:
             return
@@ -188,18 +188,18 @@
         )
 
     def failed(self, job: Job, outcome: Outcome) -> None:
-        """Hear that an attempt failed."""
+        """Receive the failure of an attempt."""
         names = (job.dispatch.request_id, job.dispatch.attempt_id)
         if names[0] in self.open:
             self.handle(AttemptFailed(*names, outcome, "failed"))
 
-    def hear_report(self, name: str, report: LoadReport) -> None:
-        """Hear a runner's report."""
+    def receive_report(self, name: str, report: LoadReport) -> None:
+        """Receive the load report of a runner."""
         self.handle(LoadReported(name, report))
 
     def gossip(self) -> None:
-        """Tell all peers a summary, again and again."""
-        settings = self._world.settings
+        """Send a summary to all peers and schedule the next one."""
+        settings = self._simulation.settings
         self._sequence += 1
         summary = self.scheduler.summary(
             self._sequence, 1, False, self._clock.now_seconds
@@ -207,33 +207,35 @@
         if not settings.shares_placements:
             summary = attrs.evolve(summary, placed=[])
         size_bytes = len(encode_message(summary))
-        for peer in self._world.hosts:
-            if peer is not self and self._world.can_talk(self, peer):
-                self._world.gossip_bytes += size_bytes
-                heard = PeerSummaryReceived(self.name, "", self.incarnation, summary)
-                self._clock.after(HOP_SECONDS, peer.handle, heard)
+        for peer in self._simulation.hosts:
+            if peer is not self and self._simulation.can_communicate(self, peer):
+                self._simulation.gossip_bytes += size_bytes
+                summary_received = PeerSummaryReceived(
+                    self.name, "", self.incarnation, summary
+                )
+                self._clock.after(HOP_SECONDS, peer.handle, summary_received)
         self._clock.after(settings.gossip_seconds, self.gossip)
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Handle a tick and schedule the next one."""
         self.handle(Tick())
         self._clock.after(TICK_SECONDS, self.tick)
 
 
-class World:
-    """Hosts, runners and one script."""
+class Simulation:
+    """A simulated fleet of hosts and runners."""
 
     def __init__(
         self,
-        settings: WorldSettings,
+        settings: SimulationSettings,
         seed: int,
-        make_placement: Callable[["World"], Placement | None],
+        make_placement: Callable[["Simulation"], Placement | None],
     ) -> None:
         self.settings = settings
         self.clock = Clock()
         self.samples: list[Sample] = []
         self.gossip_bytes = 0
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self.runners = {
             f"lektor-{index}": Runner(f"lektor-{index}", settings, self.clock)
             for index in range(settings.runners_count)
@@ -251,25 +253,27 @@
             ],
         )
         self.view = TreeView(Tree(1, {"/": Node()}))
-        self.cut_hosts: set[str] = set()
+        self.partitioned_hosts: set[str] = set()
         self.hosts: list[Host] = []
         for index in range(settings.hosts_count):
             self.hosts.append(Host(self, index, make_placement(self)))
 
     def set_weights(self, nodes: dict[str, Node]) -> None:
-        """Put a tree in force everywhere."""
+        """Put a tree with these nodes in force on all hosts."""
         self.view = TreeView(Tree(2, {"/": Node(), **nodes}))
         for host in self.hosts:
             host.handle(TreeInForce(self.view))
 
-    def can_talk(self, one: Host, two: Host) -> bool:
-        """Return whether two hosts are on the same side of a cut."""
-        return (one.name in self.cut_hosts) == (two.name in self.cut_hosts)
+    def can_communicate(self, one: Host, two: Host) -> bool:
+        """Return whether two hosts are on the same side of a network partition."""
+        return (one.name in self.partitioned_hosts) == (
+            two.name in self.partitioned_hosts
+        )
 
-    def begin(self) -> None:
-        """Start what happens at intervals."""
+    def start(self) -> None:
+        """Start the periodic tasks of hosts and runners."""
         for host in self.hosts:
-            phase = self._draw.random()
+            phase = self._rng.random()
             self.clock.after(phase * self.settings.gossip_seconds, host.gossip)
             self.clock.after(phase * TICK_SECONDS, host.tick)
         for runner in self.runners.values():
@@ -280,13 +284,13 @@
             report = runner.report()
             for host in self.hosts:
                 lag = REPORT_LAG_SECONDS
-                self.clock.after(lag, host.hear_report, runner.name, report)
+                self.clock.after(lag, host.receive_report, runner.name, report)
         self.clock.after(REPORT_INTERVAL_SECONDS, self._report, runner)
 
     def submit(self, arrival: Arrival) -> None:
-        """Have a request arrive at a random host at its time."""
+        """Schedule a request's arrival at a random host."""
         weights = self.settings.host_weights or [1.0] * len(self.hosts)
-        (host,) = self._draw.choices(self.hosts, weights)
-        self.oracle.learn(arrival)
+        (host,) = self._rng.choices(self.hosts, weights)
+        self.oracle.register(arrival)
         delay_seconds = arrival.at_seconds - self.clock.now_seconds
         self.clock.after(delay_seconds, host.arrive, arrival)
--- a/measure/_workload.py
+++ b/measure/_workload.py
@@ -1,4 +1,4 @@
-"""Seeded workloads of the two users: prompts of three levels and their arrivals."""
+"""Seeded workloads of two users: prompts with nested prefixes, Poisson arrivals."""
 
 import random
 from collections.abc import Iterator
@@ -15,20 +15,20 @@
 
 @attrs.frozen
 class Kind:
-    """One kind of request within a workspace."""
+    """A kind of request within a workspace."""
 
     name: str
     share: float
     priority_class: str
     item_tokens: int
     answer_tokens: int
-    #: Whether it carries the workspace's guide and collection.
+    #: Whether prompts start with the workspace's guide and a collection.
     has_levels: bool = True
 
 
 @attrs.frozen
 class WorkloadShape:
-    """Sizes of a user's traffic."""
+    """Sizes of the traffic of one user."""
 
     name: str
     workspaces_count: int
@@ -36,9 +36,9 @@
     collections_count: int
     collection_tokens: int
     kinds: tuple[Kind, ...]
-    #: Hit rate by which the nominal rate is worked out.
+    #: Cache hit rate assumed in the nominal request rate.
     nominal_hit_rate: float = 0.92
-    #: Exponent by which workspaces and collections differ in size.
+    #: Zipf exponent of the popularity of workspaces and collections.
     skew: float = 1.0
 
 
@@ -72,18 +72,18 @@
 
 @attrs.frozen
 class Prompt:
-    """A prompt as hosts and runners see it."""
+    """A prompt in the representations of hosts and runners."""
 
     chain: PrefixChain
     scope: Scope
-    #: Ids of its cached blocks at a runner, in order, and its tokens.
+    #: Ids of the prompt's cache blocks at a runner, in order.
     blocks: tuple[tuple[str, int], ...]
     tokens: int
 
 
 @attrs.frozen
 class Arrival:
-    """One request of the script."""
+    """A request of the script."""
 
     at_seconds: float
     workspace: Workspace
@@ -94,7 +94,7 @@
 def make_workspaces(
     shape: WorkloadShape, weights: dict[int, float] | None = None
 ) -> list[Workspace]:
-    """Return a user's workspaces, the largest first."""
+    """Return the workspaces of a user, most popular first."""
     return [
         Workspace(
             path=f"/{shape.name}/w{index}",
@@ -106,7 +106,7 @@
 
 
 class Script:
-    """Draws a workload's requests; the same seed gives the same script."""
+    """Random requests of a workload; the same seed gives the same requests."""
 
     def __init__(
         self,
@@ -116,47 +116,47 @@
         shift_at_seconds: float | None = None,
     ) -> None:
         self._shape = shape
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self._rate = requests_per_second
         self._shift_at_seconds = shift_at_seconds
         self.workspaces = make_workspaces(shape)
-        self._workspace_weights = skewed(shape.workspaces_count, shape.skew)
-        self._collection_weights = skewed(shape.collections_count, shape.skew)
+        self._workspace_weights = zipf_weights(shape.workspaces_count, shape.skew)
+        self._collection_weights = zipf_weights(shape.collections_count, shape.skew)
         self._count = 0
 
     def arrivals(self, duration_seconds: float) -> Iterator[Arrival]:
         """Yield Poisson arrivals in order of time."""
         at_seconds = 0.0
         while True:
-            at_seconds += self._draw.expovariate(self._rate)
+            at_seconds += self._rng.expovariate(self._rate)
             if at_seconds >= duration_seconds:
                 return
             yield self._arrival(at_seconds)
 
     def _arrival(self, at_seconds: float) -> Arrival:
-        draw, shape = self._draw, self._shape
-        (workspace,) = draw.choices(self.workspaces, self._workspace_weights)
-        (kind,) = draw.choices(shape.kinds, [kind.share for kind in shape.kinds])
+        rng, shape = self._rng, self._shape
+        (workspace,) = rng.choices(self.workspaces, self._workspace_weights)
+        (kind,) = rng.choices(shape.kinds, [kind.share for kind in shape.kinds])
         numbers = range(shape.collections_count)
-        (collection,) = draw.choices(numbers, self._collection_weights)
+        (collection,) = rng.choices(numbers, self._collection_weights)
         shift = self._shift_at_seconds
         if shift is not None and at_seconds >= shift:
-            # All hot collections give way to others that were never seen.
+            # All hot collections are replaced by new ones.
             collection += 1000
         self._count += 1
         prompt = make_prompt(shape, workspace.path, kind, collection, self._count)
         return Arrival(at_seconds, workspace, kind, prompt)
 
 
-def skewed(count: int, skew: float) -> list[float]:
-    """Return weights that fall with rank."""
+def zipf_weights(count: int, skew: float) -> list[float]:
+    """Return Zipf weights by rank."""
     return [1.0 / (rank + 1) ** skew for rank in range(count)]
 
 
 def make_prompt(
     shape: WorkloadShape, path: str, kind: Kind, collection: int, number: int
 ) -> Prompt:
-    """Return a prompt of guide, collection and item, or of an item alone."""
+    """Return a prompt of guide, collection and item, or of an item only."""
     levels = []
     if kind.has_levels:
         levels.append((f"{path} guide", shape.guide_tokens))
--- a/measure/lab.py
+++ b/measure/lab.py
@@ -1,4 +1,4 @@
-"""Loads at their worst, with and without each mechanism that answers them.
+"""Simulate adverse load patterns with and without each mechanism of the policy.
 
 ``python -m measure lab [PATTERN …] [--seeds N] [--without MECHANISM …]``
 """
@@ -12,14 +12,14 @@
 from ._lab_script import LONG, SHORT, Pattern, Sample, read_patterns
 
 
-def main(words: Sequence[str]) -> None:
-    """Print a table: one line for each pattern and set of mechanisms."""
+def main(argv: Sequence[str]) -> None:
+    """Print a table with one line per pattern and set of disabled mechanisms."""
     patterns = read_patterns()
     parser = argparse.ArgumentParser(prog="python -m measure lab")
     parser.add_argument("patterns", nargs="*", choices=[*patterns, []], default=[])
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--without", nargs="*", choices=MECHANISMS, default=None)
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     wanted = arguments.patterns or list(patterns)
     print("pattern without        in time  long   short  late refused  read again")
     for name in wanted:
@@ -39,7 +39,8 @@
     counts = Counter(sample.outcome for samples, _ in runs for sample in samples)
     total = sum(counts.values())
     read = statistics.mean(
-        sum(engine.read_tokens for engine in lab.engines.values()) for _, lab in runs
+        sum(engine.prefilled_tokens for engine in lab.engines.values())
+        for _, lab in runs
     )
     print(
         f"{pattern.name:7s} {'+'.join(sorted(without)) or '-':14s}"
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -1,4 +1,4 @@
-"""Ways to keep a limit in tokens over a fleet, compared on the same arrivals.
+"""Compare strategies that enforce a token limit over a fleet on the same arrivals.
 
 ``python -m measure limits [PATTERN …] [--ways WAY …] [--seeds N]``
 """
@@ -12,8 +12,8 @@
 from ._limits_lab import LimitsLab, refused_wrongly_ratio, worst_window_ratio
 
 
-def main(words: Sequence[str]) -> None:
-    """Print a table: one line for each pattern and way."""
+def main(argv: Sequence[str]) -> None:
+    """Print a table with one line per pattern and strategy."""
     names = [pattern.name for pattern in PATTERNS]
     parser = argparse.ArgumentParser(prog="python -m measure limits")
     parser.add_argument("patterns", nargs="*", choices=[*names, []], default=[])
@@ -21,21 +21,21 @@
         "--ways", nargs="*", choices=list(STRATEGIES), default=list(STRATEGIES)
     )
     parser.add_argument("--seeds", type=int, default=3)
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     print("pattern                          way            worst window  used  refused")
     for pattern in PATTERNS:
         if arguments.patterns and pattern.name not in arguments.patterns:
             continue
-        for way in arguments.ways:
+        for strategy in arguments.ways:
             worst, used, refused = [], [], []
             for seed in range(1, arguments.seeds + 1):
-                asked = LimitsLab(pattern, way, seed).run()
-                worst.append(worst_window_ratio(pattern, asked))
-                refused.append(refused_wrongly_ratio(pattern, asked))
-                gone = sum(item.tokens for item in asked if item.has_gone)
-                used.append(gone / sum(item.tokens for item in asked))
+                requests = LimitsLab(pattern, strategy, seed).run()
+                worst.append(worst_window_ratio(pattern, requests))
+                refused.append(refused_wrongly_ratio(pattern, requests))
+                admitted_tokens = sum(item.tokens for item in requests if item.has_gone)
+                used.append(admitted_tokens / sum(item.tokens for item in requests))
             print(
-                f"{pattern.name:32s} {way:13s}"
+                f"{pattern.name:32s} {strategy:13s}"
                 f" {max(worst):9.3f} {statistics.mean(used):11.3f}"
                 f" {statistics.mean(refused):8.3f}"
             )
--- a/measure/membership.py
+++ b/measure/membership.py
@@ -1,8 +1,8 @@
-"""What hosts cost each other: bytes, messages and processor time by their number.
+"""Cost of membership per host: bytes, messages and CPU time by the number of hosts.
 
-Each run gives every host the same share of a fleet's state, has one host take and
-give summaries for a simulated minute, and times only the work itself: building,
-encoding, decoding and handling. The slopes are fitted over the number of hosts.
+Every host has the same share of the fleet's state. One host sends and receives
+summaries for 20 simulated seconds; only building, encoding, decoding and handling are
+timed. The slopes are fitted over the number of hosts.
 """
 
 import argparse
@@ -46,17 +46,17 @@
 
 @attrs.frozen
 class Shape:
-    """What one summary holds."""
+    """Sizes of one summary."""
 
     workspaces_count: int = 8
     upstreams_count: int = 5
-    #: Prefixes placed since the last summary.
+    #: Number of prefixes placed since the last summary.
     prefixes_count: int = 5
 
 
 @attrs.frozen
 class Cost:
-    """Figures of one host."""
+    """Costs of one host."""
 
     hosts_count: int
     bytes_per_second: float
@@ -64,7 +64,7 @@
     processor_ratio: float
 
 
-def make_summary(shape: Shape, sequence: int, draw: random.Random) -> Summary:
+def make_summary(shape: Shape, sequence: int, rng: random.Random) -> Summary:
     """Return a summary of the given sizes."""
     return Summary(
         sequence=sequence,
@@ -72,7 +72,7 @@
         host_list_version=3,
         is_leaving=False,
         workspaces=[
-            WorkspaceUsage(f"/herbaria/w{index}", draw.randrange(100_000))
+            WorkspaceUsage(f"/herbaria/w{index}", rng.randrange(100_000))
             for index in range(shape.workspaces_count)
         ],
         upstreams=[
@@ -83,8 +83,8 @@
             PlacedPrefix(
                 f"lektor-{index}",
                 "ab12cd34/1",
-                [draw.randbytes(8) for _ in range(count)],
-                [draw.randrange(64, 4000) for _ in range(count)],
+                [rng.randbytes(8) for _ in range(count)],
+                [rng.randrange(64, 4000) for _ in range(count)],
             )
             for index in range(min(5, shape.upstreams_count))
             if (count := shape.prefixes_count // min(5, shape.upstreams_count))
@@ -97,7 +97,7 @@
 
 
 def make_scheduler(shape: Shape) -> Scheduler:
-    """Return a scheduler that knows the upstreams and the tree."""
+    """Return a scheduler with the upstreams and the tree."""
     settings = parse_settings('[host]\nname = "a"\nhall = "h"\n', source="measure")
     scheduler = Scheduler(settings)
     names = [f"lektor-{index}" for index in range(shape.upstreams_count)]
@@ -114,29 +114,29 @@
 
 
 def measure_hosts(hosts_count: int, shape: Shape) -> Cost:
-    """Return what one of so many hosts spends on its peers."""
+    """Return the costs of one host in a fleet of ``hosts_count``."""
     scheduler = make_scheduler(shape)
-    draw = random.Random(hosts_count)
+    rng = random.Random(hosts_count)
     peers = [f"entry-{index}" for index in range(hosts_count - 1)]
     rounds = int(RUN_SECONDS / GOSSIP_SECONDS)
-    # Peers' messages are made beforehand: their making is the peers' cost.
+    # Messages of peers are built in advance; building them is the peers' cost.
     incoming = [
-        [(peer, encode_message(make_summary(shape, at, draw))) for peer in peers]
+        [(peer, encode_message(make_summary(shape, at, rng))) for peer in peers]
         for at in range(rounds)
     ]
     sent_bytes = received_bytes = 0
-    began_seconds = time.process_time()
+    started_seconds = time.process_time()
     for at in range(rounds):
         now_seconds = at * GOSSIP_SECONDS
         for peer, data in incoming[at]:
             summary = decode_message(data[LENGTH_BYTES:], peer=peer)
             scheduler.handle(PeerSummaryReceived(peer, "h", 1, summary), now_seconds)
             received_bytes += len(data)
-        own = make_summary(shape, at, draw)
+        own = make_summary(shape, at, rng)
         scheduler.summary(at, 17, False, now_seconds)
         # The daemon encodes a summary once for all peers.
         sent_bytes += len(encode_message(own)) * len(peers)
-    used_seconds = time.process_time() - began_seconds
+    used_seconds = time.process_time() - started_seconds
     return Cost(
         hosts_count=hosts_count,
         bytes_per_second=(sent_bytes + received_bytes) / RUN_SECONDS,
@@ -145,12 +145,12 @@
     )
 
 
-def main(words: list[str] | None = None) -> None:
-    """Measure several numbers of hosts and fit the slopes."""
+def main(argv: list[str] | None = None) -> None:
+    """Measure fleets of several sizes and fit the slopes."""
     parser = argparse.ArgumentParser(prog="measure membership", description=__doc__)
     parser.add_argument("--hosts", nargs="+", type=int, default=[3, 8, 16, 32])
     parser.add_argument("--out", type=Path, default=Path("out/membership.json"))
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     result: dict[str, object] = {}
     shapes = {
         "today": Shape(),
--- a/measure/placement.py
+++ b/measure/placement.py
@@ -1,4 +1,4 @@
-"""Ways of placement compared on the same arrivals."""
+"""Compare placement strategies on the same arrivals."""
 
 import argparse
 import csv
@@ -20,8 +20,8 @@
     RoundRobin,
 )
 
-from ._runner import STEP_SECONDS, WorldSettings
-from ._simulation import World
+from ._runner import STEP_SECONDS, SimulationSettings
+from ._simulation import Simulation
 from ._workload import SHAPES, Script, WorkloadShape
 
 WARM_SECONDS = 20.0
@@ -29,47 +29,51 @@
 
 @attrs.frozen
 class Strategy:
-    """One way of placement with its settings."""
+    """A placement strategy with its settings."""
 
     name: str
-    make: Callable[[World], Placement | None]
+    make: Callable[[Simulation], Placement | None]
     shares_placements: bool = True
     gossip_seconds: float = 0.25
     miss_price: float = 8.0
 
 
-def learned(world: World) -> None:
-    """Let each scheduler use its own knowledge, as the daemon does."""
+def default_placement(simulation: Simulation) -> None:
+    """Use the scheduler's own cache index for placement, as the daemon does."""
     return
 
 
-def ways(prices: tuple[float, ...] = (1.0, 2.0, 4.0, 8.0)) -> list[Strategy]:
-    """Return all ways, the last three over a range of prices."""
-    found = [
-        Strategy("round robin", lambda world: RoundRobin()),
-        Strategy("least loaded", lambda world: LeastLoaded()),
-        Strategy("computed", lambda world: ComputedHome(1.25)),
+def list_strategies(prices: tuple[float, ...] = (1.0, 2.0, 4.0, 8.0)) -> list[Strategy]:
+    """Return all strategies; the cache-aware ones also over a range of prices."""
+    strategies = [
+        Strategy("round robin", lambda simulation: RoundRobin()),
+        Strategy("least loaded", lambda simulation: LeastLoaded()),
+        Strategy("computed", lambda simulation: ComputedHome(1.25)),
     ]
     for price in (1.0, 4.0):
-        found.append(
-            Strategy("own only", learned, shares_placements=False, miss_price=price)
+        strategies.append(
+            Strategy(
+                "own only", default_placement, shares_placements=False, miss_price=price
+            )
         )
     for price in prices:
-        found.append(Strategy("pooled 0.25 s", learned, miss_price=price))
-    found.append(Strategy("pooled 0.5 s", learned, gossip_seconds=0.5))
-    found.append(Strategy("pooled 0.1 s", learned, gossip_seconds=0.1))
-    found.append(Strategy("pooled 1 s", learned, gossip_seconds=1.0))
-    found.append(Strategy("pooled 3 s", learned, gossip_seconds=3.0))
+        strategies.append(
+            Strategy("pooled 0.25 s", default_placement, miss_price=price)
+        )
+    strategies.append(Strategy("pooled 0.5 s", default_placement, gossip_seconds=0.5))
+    strategies.append(Strategy("pooled 0.1 s", default_placement, gossip_seconds=0.1))
+    strategies.append(Strategy("pooled 1 s", default_placement, gossip_seconds=1.0))
+    strategies.append(Strategy("pooled 3 s", default_placement, gossip_seconds=3.0))
     for price in prices:
-        found.append(
+        strategies.append(
             Strategy(
                 "oracle",
-                lambda world: PricedKnowledge(world.oracle),
+                lambda simulation: PricedKnowledge(simulation.oracle),
                 gossip_seconds=0.05,
                 miss_price=price,
             )
         )
-    return found
+    return strategies
 
 
 @attrs.frozen
@@ -91,8 +95,8 @@
     gossip_bytes_per_second: float
 
 
-def nominal_rate(shape: WorkloadShape, settings: WorldSettings) -> float:
-    """Return the requests a second that saturate the pool at the nominal hit rate."""
+def nominal_rate(shape: WorkloadShape, settings: SimulationSettings) -> float:
+    """Return the requests per second that saturate the pool at the nominal hit rate."""
     prefill_seconds = slot_seconds = 0.0
     for kind in shape.kinds:
         levels = shape.guide_tokens + shape.collection_tokens
@@ -106,32 +110,32 @@
 
 
 def run_one(
-    workload: str, way_number: int, load: float, seed: int, seconds: float
+    workload: str, strategy_number: int, load: float, seed: int, seconds: float
 ) -> Row:
-    """Run one way on one script; return its figures."""
-    way = ways()[way_number]
+    """Simulate one strategy on one script; return its figures."""
+    strategy = list_strategies()[strategy_number]
     shape = SHAPES[workload]
-    settings = WorldSettings(
-        miss_price=way.miss_price,
-        gossip_seconds=way.gossip_seconds,
-        shares_placements=way.shares_placements,
+    settings = SimulationSettings(
+        miss_price=strategy.miss_price,
+        gossip_seconds=strategy.gossip_seconds,
+        shares_placements=strategy.shares_placements,
     )
-    world = World(settings, seed, way.make)
+    simulation = Simulation(settings, seed, strategy.make)
     script = Script(shape, seed, nominal_rate(shape, settings) * load)
     for arrival in script.arrivals(seconds):
-        world.submit(arrival)
-    world.begin()
-    world.clock.run_until(WARM_SECONDS)
-    bytes_before = world.gossip_bytes
-    wasted = count_wasted(world)
-    world.clock.run_until(seconds + settings.deadline_seconds)
-    return summarise(
-        world,
-        count_wasted(world) - wasted,
+        simulation.submit(arrival)
+    simulation.start()
+    simulation.clock.run_until(WARM_SECONDS)
+    bytes_before = simulation.gossip_bytes
+    wasted = count_wasted(simulation)
+    simulation.clock.run_until(seconds + settings.deadline_seconds)
+    return summarize(
+        simulation,
+        count_wasted(simulation) - wasted,
         Row(
             workload=workload,
-            way=way.name,
-            miss_price=way.miss_price,
+            way=strategy.name,
+            miss_price=strategy.miss_price,
             load=load,
             seed=seed,
             requests=0,
@@ -141,33 +145,35 @@
             p50_ms=0.0,
             p99_ms=0.0,
             portal_p99_ms=0.0,
-            gossip_bytes_per_second=(world.gossip_bytes - bytes_before)
+            gossip_bytes_per_second=(simulation.gossip_bytes - bytes_before)
             / (seconds + settings.deadline_seconds - WARM_SECONDS)
             / settings.hosts_count,
         ),
     )
 
 
-def count_wasted(world: World) -> int:
-    """Return the tokens computed so far although another cache held them."""
-    return sum(runner.wasted_tokens for runner in world.runners.values())
+def count_wasted(simulation: Simulation) -> int:
+    """Return the number of tokens computed so far that another runner had cached."""
+    return sum(runner.wasted_tokens for runner in simulation.runners.values())
 
 
-def summarise(world: World, wasted_tokens: int, row: Row) -> Row:
+def summarize(simulation: Simulation, wasted_tokens: int, row: Row) -> Row:
     """Return the row with the figures of the samples after the warm-up.
 
-    Wasted are tokens that were computed although a live cache elsewhere held them,
-    as a share of all prompt tokens.
+    The wasted ratio is the share of prompt tokens that were computed although another
+    runner had them cached.
     """
     samples = [
-        sample for sample in world.samples if sample.arrival.at_seconds >= WARM_SECONDS
+        sample
+        for sample in simulation.samples
+        if sample.arrival.at_seconds >= WARM_SECONDS
     ]
     answered = [sample for sample in samples if sample.first_seconds is not None]
     prompt = sum(sample.arrival.prompt.tokens for sample in answered)
     cached = sum(sample.cached_tokens for sample in answered)
-    waits = [wait_ms(sample) for sample in answered] or [0.0]
+    waits_ms = [first_token_ms(sample) for sample in answered] or [0.0]
     portal = [
-        wait_ms(sample)
+        first_token_ms(sample)
         for sample in answered
         if sample.arrival.kind.priority_class == "portal"
     ] or [0.0]
@@ -177,45 +183,51 @@
         refused=len(samples) - len(answered),
         hit_rate=cached / max(1, prompt),
         wasted_ratio=wasted_tokens / max(1, prompt),
-        p50_ms=float(np.percentile(waits, 50)),
-        p99_ms=float(np.percentile(waits, 99)),
+        p50_ms=float(np.percentile(waits_ms, 50)),
+        p99_ms=float(np.percentile(waits_ms, 99)),
         portal_p99_ms=float(np.percentile(portal, 99)),
     )
 
 
-def wait_ms(sample) -> float:
+def first_token_ms(sample) -> float:
     """Return the time to first token in milliseconds."""
     return (sample.first_seconds - sample.arrival.at_seconds) * 1000.0
 
 
-def main(words: list[str] | None = None) -> None:
-    """Compare the ways and write the figures."""
+def main(argv: list[str] | None = None) -> None:
+    """Compare the strategies and write the figures."""
     parser = argparse.ArgumentParser(prog="measure placement", description=__doc__)
     parser.add_argument("--workload", nargs="+", default=list(SHAPES))
     parser.add_argument("--load", nargs="+", type=float, default=[0.5, 0.8, 0.95, 1.2])
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=80.0)
     parser.add_argument("--processes", type=int, default=7)
-    parser.add_argument("--only", default="", help="ways whose name holds this")
+    parser.add_argument(
+        "--only", default="", help="strategies whose name contains this"
+    )
     parser.add_argument("--out", type=Path, default=Path("out/placement.csv"))
-    arguments = parser.parse_args(words)
-    numbers = [at for at, way in enumerate(ways()) if arguments.only in way.name]
+    arguments = parser.parse_args(argv)
+    numbers = [
+        at
+        for at, strategy in enumerate(list_strategies())
+        if arguments.only in strategy.name
+    ]
     jobs = list(
         itertools.product(
             arguments.workload, numbers, arguments.load, range(1, arguments.seeds + 1)
         )
     )
-    began_seconds = time.monotonic()
+    started_seconds = time.monotonic()
     with ProcessPoolExecutor(arguments.processes) as pool:
         futures = [pool.submit(run_one, *job, arguments.seconds) for job in jobs]
         rows = []
         for future in as_completed(futures):
             rows.append(future.result())
-            spent = time.monotonic() - began_seconds
+            spent = time.monotonic() - started_seconds
             print(f"{len(rows)}/{len(jobs)} {spent:.0f} s {rows[-1].way}", flush=True)
     write_rows(rows, arguments.out)
     print_medians(rows)
-    print(f"{len(rows)} runs in {time.monotonic() - began_seconds:.0f} s")
+    print(f"{len(rows)} runs in {time.monotonic() - started_seconds:.0f} s")
 
 
 def write_rows(rows: list[Row], path: Path) -> None:
@@ -229,7 +241,7 @@
 
 
 def print_medians(rows: list[Row]) -> None:
-    """Print the median over seeds of each way, with the spread of the p99."""
+    """Print the median over seeds of each strategy, with the range of the p99."""
     print(
         f"{'workload':<10}{'load':>5} {'way':<14}{'price':>6}{'hit':>7}{'wasted':>8}"
         f"{'p50':>7}{'p99 ms':>8}{'(min..max)':>16}{'portal':>8}{'refused':>8}"
--- a/measure/relay.py
+++ b/measure/relay.py
@@ -1,7 +1,7 @@
-"""What rampwickd itself costs: added wait, processor time, memory, requests a second.
+"""Benchmark of rampwickd: added latency, CPU time, memory, requests per second.
 
-Starts a platform, runners and one rampwickd as processes and reads the daemon's own
-metrics before and after each load.
+Starts a platform, runners and one rampwickd as processes and reads the daemon's metrics
+before and after each load.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 
 class Setup:
-    """Started processes and how to reach them."""
+    """Started processes and their addresses."""
 
     def __init__(self, stack: ExitStack, step_seconds: float) -> None:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -54,7 +54,7 @@
             "--log",
             str(folder / "log"),
         )
-        found = dict(word.split("=") for word in line.split() if "=" in word)
+        found = dict(program.split("=") for program in line.split() if "=" in program)
         self.entry = f"http://{found['entry']}"
         self.admin = f"http://{found['admin']}"
         hosts = [unstructure(entry) for entry in entries]
@@ -62,20 +62,20 @@
         run_cli(platform, "tree", "create", "/w")
         out = run_cli(platform, "tree", "create", "/w/a", "--new-key")
         self.key = out.rsplit('"bearer_key": "', 1)[1].split('"')[0]
-        self._wait_ready()
+        self._wait_until_ready()
 
-    def _wait_ready(self) -> None:
+    def _wait_until_ready(self) -> None:
         ends_seconds = time.monotonic() + TIMEOUT_SECONDS
         while time.monotonic() < ends_seconds:
             status = httpx.get(f"{self.admin}/status").json()
-            lives = [item for item in status["upstreams"] if item["life"]]
-            if len(lives) == RUNNERS_COUNT and status["revision"] == 2:
+            reporting_runners = [item for item in status["upstreams"] if item["life"]]
+            if len(reporting_runners) == RUNNERS_COUNT and status["revision"] == 2:
                 return
             time.sleep(0.1)
-        raise RuntimeError("rampwickd did not become ready")
+        raise RuntimeError("rampwickd did not become ready in time")
 
     def processor_seconds(self) -> float:
-        """Return the processor time of rampwickd so far."""
+        """Return the CPU time used by rampwickd so far."""
         text = httpx.get(f"{self.admin}/metrics").text
         found = re.search(r"^rampwick_processor_seconds (\S+)", text, re.M)
         assert found is not None
@@ -88,7 +88,7 @@
 
 
 async def send(client, url: str, key: str, number: int, tokens: int, times: list):
-    """Send one streamed request; note the times of first and last piece."""
+    """Send one streamed request and append its time to the first chunk."""
     body = {
         "model": "lektor",
         "prompt": f"number {number} ",
@@ -96,18 +96,18 @@
         "stream": True,
     }
     headers = {**bearer(key), "X-Request-Id": f"direct-{time.monotonic_ns()}"}
-    began_seconds = time.monotonic()
+    started_seconds = time.monotonic()
     first_seconds = None
     async with client.stream(
         "POST", f"{url}/v1/completions", json=body, headers=headers
     ) as response:
         async for _ in response.aiter_raw():
-            first_seconds = first_seconds or time.monotonic() - began_seconds
+            first_seconds = first_seconds or time.monotonic() - started_seconds
     times.append(first_seconds)
 
 
-async def send_at_rate(urls, key, rate: float, count: int, tokens: int) -> list[float]:
-    """Send requests at a steady rate; return the times to first piece."""
+async def send_requests(urls, key, rate: float, count: int, tokens: int) -> list[float]:
+    """Send requests at a constant rate; return the times to the first chunk."""
     times: list[float] = []
     limits = httpx.Limits(max_connections=None, max_keepalive_connections=None)
     async with (
@@ -123,28 +123,28 @@
     return times
 
 
-def measure_wait(setup: Setup, result: dict) -> None:
-    """Compare the time to first piece with and without rampwickd."""
+def measure_latency(setup: Setup, result: dict) -> None:
+    """Compare the time to the first chunk with and without rampwickd."""
     for name, urls in (("direct", setup.runners), ("through", [setup.entry])):
-        anyio.run(send_at_rate, urls, setup.key, 50.0, 100, 4)
-        times = anyio.run(send_at_rate, urls, setup.key, 50.0, 750, 4)
+        anyio.run(send_requests, urls, setup.key, 50.0, 100, 4)
+        times = anyio.run(send_requests, urls, setup.key, 50.0, 750, 4)
         for mark in (50, 99):
             value = float(np.percentile(times, mark)) * 1000
             result[f"first_piece_{name}_p{mark}_ms"] = round(value, 2)
 
 
 def measure_chunks(setup: Setup, result: dict) -> None:
-    """Measure processor time for each relayed piece, and for each request."""
+    """Measure the CPU time per relayed chunk and per request."""
     idle = setup.processor_seconds()
     time.sleep(10.0)
     idle_rate = (setup.processor_seconds() - idle) / 10.0
     result["processor_idle_ratio"] = round(idle_rate, 4)
     costs = []
     for tokens in (4, 200):
-        before, began_seconds = setup.processor_seconds(), time.monotonic()
+        before, started_seconds = setup.processor_seconds(), time.monotonic()
         count = 300 if tokens == 4 else 60
-        anyio.run(send_at_rate, [setup.entry], setup.key, 20.0, count, tokens)
-        idle = idle_rate * (time.monotonic() - began_seconds)
+        anyio.run(send_requests, [setup.entry], setup.key, 20.0, count, tokens)
+        idle = idle_rate * (time.monotonic() - started_seconds)
         costs.append((setup.processor_seconds() - before - idle) / count)
     per_chunk = (costs[1] - costs[0]) / 196
     result["processor_per_piece_us"] = round(per_chunk * 1e6, 1)
@@ -152,7 +152,7 @@
 
 
 def measure_rate(setup: Setup, result: dict) -> None:
-    """Measure how many short requests one process carries in a second."""
+    """Measure the throughput of one process in short requests per second."""
 
     async def run() -> float:
         times: list[float] = []
@@ -166,11 +166,11 @@
                     at = worker * 1000 + number
                     await send(client, setup.entry, setup.key, at, 1, times)
 
-            began_seconds = time.monotonic()
+            started_seconds = time.monotonic()
             async with anyio.create_task_group() as tasks:
                 for worker in range(32):
                     tasks.start_soon(loop, worker)
-            return len(times) / (time.monotonic() - began_seconds)
+            return len(times) / (time.monotonic() - started_seconds)
 
     before = setup.processor_seconds()
     rate = anyio.run(run)
@@ -180,7 +180,7 @@
 
 
 def measure_memory(setup: Setup, result: dict) -> None:
-    """Measure memory with a thousand open streams."""
+    """Measure the memory with a thousand open streams."""
     process_id = find_process("rampwick_router")
     before = setup.memory_bytes(process_id)
     peak = 0
@@ -202,7 +202,7 @@
                 await anyio.sleep(0.01)
             await anyio.sleep(2.0)
             peak = setup.memory_bytes(process_id)
-            result["open_streams"] = len(tasks_open(setup))
+            result["open_streams"] = len(open_requests(setup))
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
@@ -210,36 +210,36 @@
     result["memory_with_streams_mb"] = round(peak / 1e6, 1)
 
 
-def tasks_open(setup: Setup) -> range:
-    """Return as many items as rampwickd has open requests."""
+def open_requests(setup: Setup) -> range:
+    """Return a range whose length is the number of open requests of rampwickd."""
     status = httpx.get(f"{setup.admin}/status", timeout=TIMEOUT_SECONDS).json()
     return range(status["open_count"])
 
 
-def find_process(word: str) -> int:
-    """Return the id of this program's own child with a word in its command."""
+def find_process(program: str) -> int:
+    """Return the id of a process with the program among its command-line arguments."""
     for path in Path("/proc").glob("[0-9]*/cmdline"):
-        words = path.read_bytes().split(b"\0")
-        if word.encode() in words:
+        argv = path.read_bytes().split(b"\0")
+        if program.encode() in argv:
             return int(path.parent.name)
-    raise RuntimeError(f"no process {word}")
+    raise RuntimeError(f"no process {program}")
 
 
-def main(words: list[str] | None = None) -> None:
+def main(argv: list[str] | None = None) -> None:
     """Run all measurements and print the figures as JSON."""
     parser = argparse.ArgumentParser(prog="measure relay", description=__doc__)
     parser.add_argument("--out", type=Path, default=Path("out/relay.json"))
     parser.add_argument("--skip-memory", action="store_true")
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     result: dict[str, float] = {}
     with ExitStack() as stack:
         setup = Setup(stack, step_seconds=0.02)
-        measure_wait(setup, result)
+        measure_latency(setup, result)
         measure_chunks(setup, result)
         measure_rate(setup, result)
     if not arguments.skip_memory:
         with ExitStack() as stack:
-            # Slow tokens: what is measured is memory, not the relay.
+            # Slow tokens keep the streams open, so that only memory is measured.
             measure_memory(Setup(stack, step_seconds=5.0), result)
     arguments.out.parent.mkdir(parents=True, exist_ok=True)
     arguments.out.write_text(json.dumps(result, indent=1) + "\n")
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes for docs/CAPACITY.md: state and time that grow with the fleet's sizes."""
+"""Slopes for docs/CAPACITY.md: memory, size and CPU time by the sizes of the fleet."""
 
 import argparse
 import json
@@ -40,16 +40,16 @@
     return float(np.polyfit(sizes, values, 1)[0])
 
 
-def knowledge_bytes(entries: int) -> float:
-    """Return the memory of so many known prefixes."""
-    draw = random.Random(1)
+def known_prefix_bytes(entries: int) -> float:
+    """Return the memory used by a number of known prefixes."""
+    rng = random.Random(1)
     tracemalloc.start()
     knowledge = CacheKnowledge(10**7)
     life = Life("life", 1)
     knowledge.observe_life("r", life, 10**12)
     for _ in range(entries // 20):
         points = tuple(
-            Checkpoint(draw.randbytes(8), depth * 64) for depth in range(1, 21)
+            Checkpoint(rng.randbytes(8), depth * 64) for depth in range(1, 21)
         )
         knowledge.note_prompt("r", life, PrefixChain(points, 1280))
     used, _ = tracemalloc.get_traced_memory()
@@ -58,7 +58,7 @@
 
 
 def request_seconds(runners: int, workspaces: int = 8) -> float:
-    """Return the scheduler's time for one request among so many runners."""
+    """Return the scheduler's CPU time per request by the number of runners."""
     shape = Shape(workspaces_count=workspaces, upstreams_count=runners)
     scheduler = make_scheduler(shape)
     chains = [
@@ -70,16 +70,16 @@
         )
         for number in range(20)
     ]
-    began_seconds = time.process_time()
+    started_seconds = time.process_time()
     for number in range(REQUESTS_COUNT):
         serve_one(scheduler, f"r{number}", chains[number % 20], number * 0.01)
-    return (time.process_time() - began_seconds) / REQUESTS_COUNT
+    return (time.process_time() - started_seconds) / REQUESTS_COUNT
 
 
 def serve_one(
     scheduler: Scheduler, request_id: str, chain: PrefixChain, at_seconds: float
 ) -> None:
-    """Take one request through the scheduler."""
+    """Pass one request through the scheduler."""
     arrival = RequestArrived(
         request_id=request_id,
         workspace=Workspace("/herbaria/w0", (1.0, 1.0), ()),
@@ -98,17 +98,17 @@
 
 
 def chain_seconds(tokens: int) -> float:
-    """Return the time to hash a prompt of so many tokens."""
+    """Return the CPU time to hash a prompt of a number of tokens."""
     text = b"x" * (tokens * 4)
     scope = Scope("/w", "m")
-    began_seconds = time.process_time()
+    started_seconds = time.process_time()
     for _ in range(200):
         build_chain(scope, text, block_bytes=256, bytes_per_token=4.0)
-    return (time.process_time() - began_seconds) / 200
+    return (time.process_time() - started_seconds) / 200
 
 
 def make_tree(nodes: int) -> Tree:
-    """Return a tree of so many workspaces."""
+    """Return a tree with a number of workspaces."""
     paths = [f"/group-{number % 20}/workspace-{number}" for number in range(nodes)]
     groups = {f"/group-{number}": Node() for number in range(20)}
     hashes = {path: f"{number:064x}" for number, path in enumerate(paths)}
@@ -125,37 +125,37 @@
 
 
 def tree_bytes(nodes: int) -> float:
-    """Return the size of the tree's snapshot."""
+    """Return the size of a tree's snapshot."""
     return float(len(encode_record(make_tree(nodes))))
 
 
 def tree_seconds(nodes: int) -> float:
-    """Return the time to validate and resolve a tree."""
+    """Return the CPU time to validate and resolve a tree."""
     tree = make_tree(nodes)
-    began_seconds = time.process_time()
+    started_seconds = time.process_time()
     for _ in range(5):
         TreeView(tree)
-    return (time.process_time() - began_seconds) / 5
+    return (time.process_time() - started_seconds) / 5
 
 
 def shard_bytes(claims: int) -> float:
-    """Return the size of a shard of so many live claims."""
+    """Return the size of a shard with a number of live claims."""
     shard = ClaimShard([Claim(f"{at:032x}", f"{at:016x}", 1e9) for at in range(claims)])
     return float(len(encode_record(shard)))
 
 
 def shard_seconds(claims: int) -> float:
-    """Return the time to decide one claim against so many."""
+    """Return the CPU time to decide one claim in a shard of a number of claims."""
     shard = ClaimShard([Claim(f"{at:032x}", f"{at:016x}", 1e9) for at in range(claims)])
     wanted = [Claim("f" * 32, "a" * 16, 1e9)]
-    began_seconds = time.process_time()
+    started_seconds = time.process_time()
     for _ in range(10):
         decide_claims(shard, wanted, 0.0)
-    return (time.process_time() - began_seconds) / 10
+    return (time.process_time() - started_seconds) / 10
 
 
 SLOPES: dict[str, tuple[Callable[[int], float], list[int]]] = {
-    "bytes for each known prefix": (knowledge_bytes, [2_000, 8_000, 20_000]),
+    "bytes for each known prefix": (known_prefix_bytes, [2_000, 8_000, 20_000]),
     "seconds for a request, each runner more": (request_seconds, [5, 15, 30, 60]),
     "seconds to hash, each token": (chain_seconds, [1_000, 4_000, 12_000]),
     "bytes of tree, each workspace": (tree_bytes, [50, 200, 400]),
@@ -165,11 +165,11 @@
 }
 
 
-def main(words: list[str] | None = None) -> None:
+def main(argv: list[str] | None = None) -> None:
     """Measure and fit every slope."""
     parser = argparse.ArgumentParser(prog="measure slopes", description=__doc__)
     parser.add_argument("--out", type=Path, default=Path("out/slopes.json"))
-    arguments = parser.parse_args(words)
+    arguments = parser.parse_args(argv)
     result = {}
     for name, (measure, sizes) in SLOPES.items():
         values = [measure(size) for size in sizes]
