--- a/packages/rampwick-cli/src/rampwick_cli/_node_values.py
+++ b/packages/rampwick-cli/src/rampwick_cli/_node_values.py
@@ -12,17 +12,17 @@
 _FIELDS = attrs.fields_dict(Node)
 
 
-def update_node(node: Node, words: Sequence[str], unset: Sequence[str]) -> Node:
+def update_node(node: Node, arguments: Sequence[str], unset: Sequence[str]) -> Node:
     """Return a copy of the node with values set and the ``unset`` ones removed."""
     data = unstructure(node)
     for name in unset:
         if name not in _FIELDS:
             raise DataError(f"{name}: is unknown", step=STEP)
         data.pop(name, None)
-    for word in words:
-        name, sign, text = word.partition("=")
-        if not sign:
-            raise DataError(f"{word!r} is not key=value", step=STEP)
+    for argument in arguments:
+        name, separator, text = argument.partition("=")
+        if not separator:
+            raise DataError(f"{argument!r} is not key=value", step=STEP)
         data[name] = _parse(name, text)
     return structure(data, Node, step=STEP)
 
--- a/packages/rampwick-standin/src/rampwick_standin/_service.py
+++ b/packages/rampwick-standin/src/rampwick_standin/_service.py
@@ -53,5 +53,9 @@
             self.lost_answers_count -= 1
             return StreamingResponse(_interrupted_body())
         status = int(request.query_params.get("status", "200"))
-        answer = {"service": self.name, "path": request.url.path, "bytes": len(body)}
-        return JSONResponse(answer, status_code=status)
+        response_body = {
+            "service": self.name,
+            "path": request.url.path,
+            "bytes": len(body),
+        }
+        return JSONResponse(response_body, status_code=status)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -100,12 +100,12 @@
                     "ask", "--model", "lektor", "--json", *entry, "what is this?"
                 )
                 self.assertEqual(0, completed[0], completed)
-                answer = json.loads(completed[1])
-                self.assertEqual("lektor-1", answer["upstream"])
-                explained = await run("explain", answer["request"], "--json", *admin)
+                response = json.loads(completed[1])
+                self.assertEqual("lektor-1", response["upstream"])
+                explained = await run("explain", response["request"], "--json", *admin)
                 (decision,) = json.loads(explained[1])
                 self.assertEqual("lektor-1", decision["upstream"])
-                table = await run("explain", answer["request"], *admin)
+                table = await run("explain", response["request"], *admin)
                 self.assertIn("weighed", table[1])
                 refused = await run(
                     "ask", "--model", "lektor", *entry[:2], "--key", "wrong", "what?"
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -16,12 +16,12 @@
                 async with bench.run_host() as host:
                     await until(lambda: host.is_open_to("lektor-1"))
                     await until(lambda: host.daemon.follower.revision == 1)
-                    whole = await host.complete("a label to read", max_tokens=5)
-                    self.assertEqual(200, whole.status_code, whole.text)
+                    unstreamed = await host.complete("a label to read", max_tokens=5)
+                    self.assertEqual(200, unstreamed.status_code, unstreamed.text)
                     expected = "".join(
                         answer_token(b"a label to read", at) for at in range(5)
                     )
-                    self.assertEqual(expected, whole.json()["choices"][0]["text"])
+                    self.assertEqual(expected, unstreamed.json()["choices"][0]["text"])
                     streamed = await host.complete("a label to read", stream=True)
                     self.assertIn("data: [DONE]", streamed.text)
 
@@ -31,8 +31,8 @@
         async def scenario():
             async with run_bench() as bench, bench.run_host() as host:
                 await until(lambda: host.daemon.follower.revision == 1)
-                answer = await host.complete(key=KEY + "x")
-                self.assertEqual(401, answer.status_code)
-                self.assertEqual("no", answer.json()["error"]["was_run"])
+                response = await host.complete(key=KEY + "x")
+                self.assertEqual(401, response.status_code)
+                self.assertEqual("no", response.json()["error"]["was_run"])
 
         anyio.run(scenario)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -163,10 +163,10 @@
         line = processes.start(
             name, "-m", "rampwick_router", str(path), "--log", str(folder / name)
         )
-        found = dict(word.split("=") for word in line.split() if "=" in word)
-        host_entries.append(HostEntry(name, "entry", hall, found["peer"]))
-        entries.append(f"http://{found['entry']}")
-        admin = f"http://{found['admin']}"
+        addresses = dict(word.split("=") for word in line.split() if "=" in word)
+        host_entries.append(HostEntry(name, "entry", hall, addresses["peer"]))
+        entries.append(f"http://{addresses['entry']}")
+        admin = f"http://{addresses['admin']}"
     httpx.put(
         f"{platform}/v1/hosts", json=[unstructure(entry) for entry in host_entries]
     ).raise_for_status()
@@ -179,8 +179,11 @@
     ends_seconds = time.monotonic() + START_SECONDS
     while time.monotonic() < ends_seconds:
         status = httpx.get(f"{admin}/status").json()
-        lives = [item for item in status["upstreams"] if item["life"]]
-        if len(lives) == RUNNERS_COUNT and len(status["peers"]) == HOSTS_COUNT - 1:
+        reporting_runners = [item for item in status["upstreams"] if item["life"]]
+        if (
+            len(reporting_runners) == RUNNERS_COUNT
+            and len(status["peers"]) == HOSTS_COUNT - 1
+        ):
             return
         time.sleep(0.1)
     raise RuntimeError("hosts did not discover all runners and peers in time")
@@ -246,8 +249,8 @@
         with anyio.fail_after(START_SECONDS):
             status = 401
             while status == 401:
-                answer = await client.get(f"{entry}/v1/models", headers=bearer(key))
-                status = answer.status_code
+                response = await client.get(f"{entry}/v1/models", headers=bearer(key))
+                status = response.status_code
                 await anyio.sleep(0.05)
 
 
