--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -1,4 +1,4 @@
-"""Run measurements: ``python -m measure [NAME …]``; without a name, all of them."""
+"""Run a measurement: ``python -m measure NAME …``; without a name, all of them."""
 
 import sys
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -48,7 +48,7 @@
 def find_unknown_tests(
     known: list[KnownFailure], collected: dict[str, object]
 ) -> list[str]:
-    """Return the listed tests that don't exist in the collected files or on disk."""
+    """Return the listed tests whose file lacks them or doesn't exist."""
     files = {node_id.partition("::")[0] for node_id in collected}
     return [
         failure.test
