--- a/tests/test_restored_claims.py
+++ b/tests/test_restored_claims.py
@@ -50,7 +50,7 @@
     def test_lost_claim_is_rewritten_and_blocks_another_host(self):
         async def scenario(store, clock, one, other):
             await other.claim("/w", "early")
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             await one.claim("/w", "lost")
             store.stand_in.restore()
             for host in (other, one):
@@ -91,7 +91,7 @@
     def test_claim_during_the_restore_is_released(self):
         async def scenario(store, clock, one, other):
             await one.claim("/w", "early")
-            store.stand_in.keep_copy()
+            store.stand_in.save_copy()
             store.stand_in.restore()
             self.assertEqual("claim_unavailable", await self.claim_refused(one, "key"))
             self.assertEqual("claim_unavailable", await self.claim_refused(one, "key"))
