--- a/measure/blame.py
+++ b/measure/blame.py
@@ -7,7 +7,7 @@
 import statistics
 from collections.abc import Sequence
 
-from ._blame_lab import PATTERNS, WAYS, BlameLab
+from ._attribution_lab import PATTERNS, WAYS, BlameLab
 
 
 def main(words: Sequence[str]) -> None:
