--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -70,9 +70,9 @@
         self._sums: dict[tuple[int, int], tuple[Summary, float]] = {}
         #: When each hall's relay passed on an early word, and how many there were.
         self._early_at: dict[int, float] = {}
-        self.early_count = 0
+        self.immediate_updates_count = 0
         self._burst_detector = [BurstDetector() for _ in range(pattern.halls_count)]
-        self.passed_on_count = 0
+        self.relayed_updates_count = 0
 
     def _new(self, name: str, now_seconds: float) -> Way:
         return self._make(self._pattern, name, now_seconds)
@@ -144,7 +144,7 @@
 
     def _tell_early(self, host: _Host) -> None:
         if self.clock.now_seconds - host.told_at_seconds >= EARLY_GAP_SECONDS:
-            self.early_count += 1
+            self.immediate_updates_count += 1
             self._say(host)
             self.clock.after(HOP_SECONDS, self._relay_early, host.hall)
 
@@ -156,7 +156,7 @@
         self._early_at[hall] = now_seconds
         if not self._burst_detector[hall].has_grown(sum_limits(self._hall(hall))):
             return
-        self.passed_on_count += 1
+        self.relayed_updates_count += 1
         self._say_hall(hall)
         self._say_others(hall)
         for other in range(self._pattern.halls_count):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -386,7 +386,7 @@
         pattern = attrs.evolve(hot, hosts_count=40)
         lab = LimitsLab(pattern, "early-words", 1)
         requests = lab.run()
-        forwarded_count = lab.passed_on_count / pattern.halls_count
-        self.assertGreater(lab.early_count, 0)
+        forwarded_count = lab.relayed_updates_count / pattern.halls_count
+        self.assertGreater(lab.immediate_updates_count, 0)
         self.assertLess(forwarded_count, pattern.length_seconds)
         self.assertLessEqual(worst_window_ratio(pattern, requests), 1.0)
