--- a/measure/_attribution_lab.py
+++ b/measure/_attribution_lab.py
@@ -1,9 +1,9 @@
-"""The blame lab: hosts, upstreams that end under requests, in stepped time.
+"""Simulation of crash attribution in stepped time.
 
-Only the question of who is to blame is played: requests arrive at hosts, go to
-upstreams that are up, and end with them or are answered. Hosts tell each other what
-they saw after a delay. Callers ask once more after a failure; a try takes two upstreams
-at the most.
+Only attribution is simulated: requests arrive at hosts, are sent to upstreams that are
+up, and either fail with a crash of their upstream or are answered. Hosts broadcast
+crashes and answers to each other with a delay. Callers retry once after a failure; each
+try makes at most two attempts.
 """
 
 import itertools
@@ -25,98 +25,107 @@
 
 from ._runner import Clock
 
-#: Time until an upstream that ended is replaced.
-RETURN_SECONDS = 4.0
-#: Time from the start of a deadly request's run to its upstream's end.
-DEADLY_SECONDS = 0.12
+#: Time from an upstream's crash to its restart.
+RESTART_SECONDS = 4.0
+#: Time from the start of a deadly request to the crash of its upstream.
+CRASH_DELAY_SECONDS = 0.12
 MEAN_RUN_SECONDS = 0.35
-#: A caller's pause before it asks once more.
-CALLER_PAUSE_SECONDS = 0.3
-#: Time between two looks for room by a request that waits.
-LOOK_SECONDS = 0.1
-#: Time after which a request that finds no upstream is refused.
+#: Delay before a caller retries a failed request.
+CALLER_RETRY_DELAY_SECONDS = 0.3
+#: Interval at which a waiting request tries again to find an upstream.
+PLACEMENT_INTERVAL_SECONDS = 0.1
+#: Time after which a request without an upstream fails.
 MAX_WAIT_SECONDS = 2.0
 MAX_ATTEMPTS = 2
 
 
 @attrs.frozen
-class BlamePattern:
-    """Sizes and troubles of a run."""
+class AttributionPattern:
+    """Fleet sizes, load and faults of a run."""
 
     name: str
     hosts_count: int
     upstreams_count: int
     requests_per_second: float
     deadly_count: int = 2
-    #: Times a second that each deadly request comes, callers' retries apart.
+    #: Rate at which each deadly request arrives, without retries by callers.
     deadly_per_second: float = 1.5
-    #: Mean time between two ordinary ends of one upstream.
-    ordinary_seconds: float = 30.0
-    #: Time until the other hosts hear what one saw.
-    told_seconds: float = 0.03
+    #: Mean time between crashes of one upstream that no request causes.
+    mean_uptime_seconds: float = 30.0
+    #: Delay until a host's broadcast reaches the other hosts.
+    broadcast_delay_seconds: float = 0.03
     length_seconds: float = 40.0
 
 
 PATTERNS = (
-    BlamePattern("8 hosts, 5 upstreams", 8, 5, 32.0),
-    BlamePattern("8 hosts, 5 upstreams, 6 deadly at once", 8, 5, 32.0, deadly_count=6),
-    BlamePattern("8 hosts, 5 upstreams, often ill", 8, 5, 32.0, ordinary_seconds=6.0),
-    BlamePattern("90 hosts, 45 upstreams", 90, 45, 360.0, told_seconds=0.12),
-    BlamePattern("90 hosts, often ill", 90, 45, 360.0, 6, 1.5, 10.0, 0.12),
+    AttributionPattern("8 hosts, 5 upstreams", 8, 5, 32.0),
+    AttributionPattern(
+        "8 hosts, 5 upstreams, 6 deadly at once", 8, 5, 32.0, deadly_count=6
+    ),
+    AttributionPattern(
+        "8 hosts, 5 upstreams, often ill", 8, 5, 32.0, mean_uptime_seconds=6.0
+    ),
+    AttributionPattern(
+        "90 hosts, 45 upstreams", 90, 45, 360.0, broadcast_delay_seconds=0.12
+    ),
+    AttributionPattern("90 hosts, often ill", 90, 45, 360.0, 6, 1.5, 10.0, 0.12),
 )
 
 
-class NeverBlames:
-    """Nobody is stopped."""
+class NoAttribution:
+    """Never quarantines a request."""
 
     def is_responsible(
         self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
-        """Return whether a request is to be stopped."""
+        """Return whether a request is to be quarantined."""
         return False
 
 
-class CountedEnds:
-    """Whoever was aboard three ends in a row is stopped."""
+class CrashCountRule:
+    """Quarantines a request after three crashes in a row under it."""
 
     def is_responsible(
         self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
-        """Return whether a request is to be stopped."""
+        """Return whether a request is to be quarantined."""
         return len(suspect.crashes) >= 3
 
 
-class MostEndsOfFour:
-    """The same as the policy's own rule, one end later."""
+class MostCrashesOfFour:
+    """Quarantines the request with the most crashes, from its fourth crash on.
+
+    The policy's own rule needs one crash less.
+    """
 
     def is_responsible(
         self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
     ) -> bool:
-        """Return whether a request is to be stopped."""
+        """Return whether a request is to be quarantined."""
         count = len(suspect.crashes)
         return count >= 4 and all(len(other.crashes) < count for other in others)
 
 
 @attrs.frozen
-class BlameWay:
-    """A rule, and whether suspects are kept apart from each other."""
+class AttributionStrategy:
+    """A rule, and whether suspects are isolated from each other."""
 
     rule: AttributionRule
-    is_apart: bool
+    is_isolated: bool
 
 
-WAYS = {
-    "none": BlameWay(NeverBlames(), is_apart=False),
-    "count": BlameWay(CountedEnds(), is_apart=False),
-    "most": BlameWay(MostCrashes(), is_apart=False),
-    "most, apart": BlameWay(MostCrashes(), is_apart=True),
-    "most of four, apart": BlameWay(MostEndsOfFour(), is_apart=True),
+STRATEGIES = {
+    "none": AttributionStrategy(NoAttribution(), is_isolated=False),
+    "count": AttributionStrategy(CrashCountRule(), is_isolated=False),
+    "most": AttributionStrategy(MostCrashes(), is_isolated=False),
+    "most, apart": AttributionStrategy(MostCrashes(), is_isolated=True),
+    "most of four, apart": AttributionStrategy(MostCrashesOfFour(), is_isolated=True),
 }
 
 
 @attrs.define(eq=False)
-class Asked:
-    """A request over all tries of its caller."""
+class SimulatedRequest:
+    """A request, with the retries of its caller."""
 
     fingerprint: bytes
     is_deadly: bool
@@ -129,196 +138,230 @@
 @attrs.define(eq=False)
 class _Upstream:
     name: str
-    life: int = 1
+    incarnation: int = 1
     is_up: bool = True
-    aboard: dict[Asked, "_Host"] = attrs.field(factory=dict)
+    running: dict[SimulatedRequest, "_Host"] = attrs.field(factory=dict)
 
     @property
-    def life_name(self) -> IncarnationKey:
-        return IncarnationKey(self.name, str(self.life))
+    def incarnation_key(self) -> IncarnationKey:
+        return IncarnationKey(self.name, str(self.incarnation))
 
 
 @attrs.define(eq=False)
 class _Host:
     name: str
-    book: CrashTracker
-    #: Suspects that this host has at upstreams.
-    apart: dict[str, bytes] = attrs.field(factory=dict)
+    tracker: CrashTracker
+    #: Fingerprint of the isolated suspect that this host runs at each upstream.
+    isolated: dict[str, bytes] = attrs.field(factory=dict)
 
 
 @attrs.define(repr=False)
-class BlameResult(ReprMixin):
-    """What came of a run."""
+class AttributionResult(ReprMixin):
+    """Results of a run."""
 
-    #: Ends under each deadly request.
-    ends: dict[bytes, int] = attrs.field(factory=dict)
+    #: Crashes caused by each deadly request.
+    crashes: dict[bytes, int] = attrs.field(factory=dict)
     innocents_count: int = 0
-    #: Innocent requests refused as if they were to blame, and those lost otherwise.
+    #: Innocent requests refused by quarantine, and those that failed otherwise.
     refused_count: int = 0
     lost_count: int = 0
-    #: What suspects that are innocent waited to be kept apart.
+    #: Waits of innocent suspects for an upstream without another suspect.
     waits_seconds: list[float] = attrs.field(factory=list)
 
 
-class BlameLab:
-    """One run of a pattern with one way."""
+class AttributionLab:
+    """One run of a pattern with one strategy."""
 
-    def __init__(self, pattern: BlamePattern, way: str, seed: int) -> None:
+    def __init__(self, pattern: AttributionPattern, strategy: str, seed: int) -> None:
         self._pattern = pattern
-        self._way = WAYS[way]
+        self._strategy = STRATEGIES[strategy]
         self._draw = random.Random(seed)
         self._clock = Clock()
-        self._names = itertools.count()
+        self._numbers = itertools.count()
         self._hosts = [
-            _Host(f"h{index}", CrashTracker(self._way.rule))
+            _Host(f"h{index}", CrashTracker(self._strategy.rule))
             for index in range(pattern.hosts_count)
         ]
         self._upstreams = [
             _Upstream(f"u{index}") for index in range(pattern.upstreams_count)
         ]
-        self.result = BlameResult()
+        self.result = AttributionResult()
 
-    def run(self) -> BlameResult:
-        """Play the pattern."""
+    def run(self) -> AttributionResult:
+        """Simulate the pattern."""
         pattern = self._pattern
         at_seconds = 0.0
         while at_seconds < pattern.length_seconds:
             at_seconds += self._draw.expovariate(pattern.requests_per_second)
-            self._clock.after(at_seconds, self._arrive, Asked(self._fresh(), False))
+            self._clock.after(
+                at_seconds,
+                self._arrive,
+                SimulatedRequest(self._next_fingerprint(), False),
+            )
             self.result.innocents_count += 1
         for _ in range(pattern.deadly_count):
-            self._plan_deadly()
+            self._schedule_deadly_request()
         for upstream in self._upstreams:
-            self._plan_ordinary_end(upstream)
+            self._schedule_spontaneous_crash(upstream)
         self._clock.run_until(pattern.length_seconds + 10.0)
         return self.result
 
-    def _fresh(self) -> bytes:
-        return next(self._names).to_bytes(16, "big")
+    def _next_fingerprint(self) -> bytes:
+        return next(self._numbers).to_bytes(16, "big")
 
-    def _plan_deadly(self) -> None:
-        fingerprint = self._fresh()
-        self.result.ends[fingerprint] = 0
+    def _schedule_deadly_request(self) -> None:
+        fingerprint = self._next_fingerprint()
+        self.result.crashes[fingerprint] = 0
         at_seconds = 2.0
         while at_seconds < self._pattern.length_seconds:
             at_seconds += self._draw.expovariate(self._pattern.deadly_per_second)
-            self._clock.after(at_seconds, self._arrive, Asked(fingerprint, True))
+            self._clock.after(
+                at_seconds, self._arrive, SimulatedRequest(fingerprint, True)
+            )
 
-    def _plan_ordinary_end(self, upstream: _Upstream) -> None:
-        pause_seconds = self._draw.expovariate(1.0 / self._pattern.ordinary_seconds)
-        self._clock.after(pause_seconds, self._end_ordinarily, upstream)
+    def _schedule_spontaneous_crash(self, upstream: _Upstream) -> None:
+        uptime_seconds = self._draw.expovariate(1.0 / self._pattern.mean_uptime_seconds)
+        self._clock.after(uptime_seconds, self._crash_spontaneously, upstream)
 
-    def _end_ordinarily(self, upstream: _Upstream) -> None:
+    def _crash_spontaneously(self, upstream: _Upstream) -> None:
         if upstream.is_up:
-            self._end(upstream)
-        self._plan_ordinary_end(upstream)
+            self._crash(upstream)
+        self._schedule_spontaneous_crash(upstream)
 
     # Requests.
 
-    def _arrive(self, asked: Asked) -> None:
-        asked.tries_count += 1
-        asked.attempts_count = 0
-        asked.waiting_since_seconds = self._clock.now_seconds
-        self._place(asked, self._draw.choice(self._hosts))
+    def _arrive(self, request: SimulatedRequest) -> None:
+        request.tries_count += 1
+        request.attempts_count = 0
+        request.waiting_since_seconds = self._clock.now_seconds
+        self._place(request, self._draw.choice(self._hosts))
 
-    def _place(self, asked: Asked, host: _Host) -> None:
+    def _place(self, request: SimulatedRequest, host: _Host) -> None:
         now_seconds = self._clock.now_seconds
-        host.book.attribute_crashes(now_seconds)
-        quarantine_state = host.book.quarantine_state(asked.fingerprint)
+        host.tracker.attribute_crashes(now_seconds)
+        quarantine_state = host.tracker.quarantine_state(request.fingerprint)
         if quarantine_state is QuarantineState.STOPPED:
-            self.result.refused_count += not asked.is_deadly
+            self.result.refused_count += not request.is_deadly
             return
-        is_apart = quarantine_state is QuarantineState.APART
-        upstream = self._choose(asked, host, is_apart and self._way.is_apart)
+        is_isolated = quarantine_state is QuarantineState.APART
+        upstream = self._choose(
+            request, host, is_isolated and self._strategy.is_isolated
+        )
         if upstream is None:
-            waited_seconds = now_seconds - asked.waiting_since_seconds
+            waited_seconds = now_seconds - request.waiting_since_seconds
             if waited_seconds > MAX_WAIT_SECONDS:
-                self._fail(asked)
+                self._fail(request)
             else:
-                self._clock.after(LOOK_SECONDS, self._place, asked, host)
+                self._clock.after(
+                    PLACEMENT_INTERVAL_SECONDS, self._place, request, host
+                )
             return
-        if is_apart:
-            host.apart[upstream.name] = asked.fingerprint
-            if not asked.is_deadly:
-                waited_seconds = now_seconds - asked.waiting_since_seconds
+        if is_isolated:
+            host.isolated[upstream.name] = request.fingerprint
+            if not request.is_deadly:
+                waited_seconds = now_seconds - request.waiting_since_seconds
                 self.result.waits_seconds.append(waited_seconds)
-        asked.attempts_count += 1
-        upstream.aboard[asked] = host
-        self._begin(asked, upstream)
+        request.attempts_count += 1
+        upstream.running[request] = host
+        self._start(request, upstream)
 
-    def _choose(self, asked: Asked, host: _Host, is_apart: bool) -> _Upstream | None:
+    def _choose(
+        self, request: SimulatedRequest, host: _Host, is_isolated: bool
+    ) -> _Upstream | None:
         up = {item.name: item for item in self._upstreams if item.is_up}
         if not up:
             return None
-        if not is_apart:
+        if not is_isolated:
             return self._draw.choice(list(up.values()))
-        if not host.book.has_complete_reports(
-            asked.fingerprint, self._clock.now_seconds
+        if not host.tracker.has_complete_reports(
+            request.fingerprint, self._clock.now_seconds
         ):
             return None
-        for name in rank(asked.fingerprint, up):
-            if host.apart.get(name, asked.fingerprint) == asked.fingerprint:
+        for name in rank(request.fingerprint, up):
+            if host.isolated.get(name, request.fingerprint) == request.fingerprint:
                 return up[name]
         return None
 
-    def _begin(self, asked: Asked, upstream: _Upstream) -> None:
-        life = upstream.life
-        if asked.is_deadly:
-            self._clock.after(DEADLY_SECONDS, self._end_by, asked, upstream, life)
+    def _start(self, request: SimulatedRequest, upstream: _Upstream) -> None:
+        incarnation = upstream.incarnation
+        if request.is_deadly:
+            self._clock.after(
+                CRASH_DELAY_SECONDS,
+                self._crash_by_request,
+                request,
+                upstream,
+                incarnation,
+            )
         else:
             run_seconds = self._draw.expovariate(1.0 / MEAN_RUN_SECONDS)
-            self._clock.after(run_seconds, self._answer, asked, upstream, life)
-
-    def _answer(self, asked: Asked, upstream: _Upstream, life: int) -> None:
-        if upstream.life != life or not upstream.is_up:
+            self._clock.after(
+                run_seconds, self._complete, request, upstream, incarnation
+            )
+
+    def _complete(
+        self, request: SimulatedRequest, upstream: _Upstream, incarnation: int
+    ) -> None:
+        if upstream.incarnation != incarnation or not upstream.is_up:
             return
-        host = upstream.aboard.pop(asked)
-        self._release(asked, host, upstream)
-        if host.book.clear(asked.fingerprint, self._clock.now_seconds):
-            self._tell(host, "clear", asked.fingerprint, self._clock.now_seconds)
-
-    def _release(self, asked: Asked, host: _Host, upstream: _Upstream) -> None:
-        if host.apart.get(upstream.name) == asked.fingerprint:
-            del host.apart[upstream.name]
-
-    # Ends.
-
-    def _end_by(self, asked: Asked, upstream: _Upstream, life: int) -> None:
-        if upstream.life == life and upstream.is_up:
-            self.result.ends[asked.fingerprint] += 1
-            self._end(upstream)
-
-    def _end(self, upstream: _Upstream) -> None:
+        host = upstream.running.pop(request)
+        self._release(request, host, upstream)
+        if host.tracker.clear(request.fingerprint, self._clock.now_seconds):
+            self._broadcast(host, "clear", request.fingerprint, self._clock.now_seconds)
+
+    def _release(
+        self, request: SimulatedRequest, host: _Host, upstream: _Upstream
+    ) -> None:
+        if host.isolated.get(upstream.name) == request.fingerprint:
+            del host.isolated[upstream.name]
+
+    # Crashes.
+
+    def _crash_by_request(
+        self, request: SimulatedRequest, upstream: _Upstream, incarnation: int
+    ) -> None:
+        if upstream.incarnation == incarnation and upstream.is_up:
+            self.result.crashes[request.fingerprint] += 1
+            self._crash(upstream)
+
+    def _crash(self, upstream: _Upstream) -> None:
         now_seconds = self._clock.now_seconds
-        life, aboard = upstream.life_name, upstream.aboard
-        upstream.aboard, upstream.is_up = {}, False
-        self._clock.after(RETURN_SECONDS, self._return, upstream)
-        for asked, host in aboard.items():
-            terms = (life, asked.fingerprint, "/w", now_seconds)
-            host.book.note_crash(*terms, now_seconds)
-            self._tell(host, "note_crash", *terms, now_seconds)
-            self._release(asked, host, upstream)
-        for asked, host in aboard.items():
-            if asked.attempts_count < MAX_ATTEMPTS:
-                asked.waiting_since_seconds = now_seconds
-                self._place(asked, host)
+        incarnation_key, running = upstream.incarnation_key, upstream.running
+        upstream.running, upstream.is_up = {}, False
+        self._clock.after(RESTART_SECONDS, self._restart, upstream)
+        for request, host in running.items():
+            arguments = (incarnation_key, request.fingerprint, "/w", now_seconds)
+            host.tracker.note_crash(*arguments, now_seconds)
+            self._broadcast(host, "note_crash", *arguments, now_seconds)
+            self._release(request, host, upstream)
+        for request, host in running.items():
+            if request.attempts_count < MAX_ATTEMPTS:
+                request.waiting_since_seconds = now_seconds
+                self._place(request, host)
             else:
-                self._fail(asked)
+                self._fail(request)
 
-    def _return(self, upstream: _Upstream) -> None:
-        upstream.life += 1
+    def _restart(self, upstream: _Upstream) -> None:
+        upstream.incarnation += 1
         upstream.is_up = True
 
-    def _fail(self, asked: Asked) -> None:
-        if asked.tries_count < MAX_ATTEMPTS:
-            self._clock.after(CALLER_PAUSE_SECONDS, self._arrive, asked)
+    def _fail(self, request: SimulatedRequest) -> None:
+        if request.tries_count < MAX_ATTEMPTS:
+            self._clock.after(CALLER_RETRY_DELAY_SECONDS, self._arrive, request)
         else:
-            self.result.lost_count += not asked.is_deadly
-
-    def _tell(self, teller: _Host, name: str, *terms: object) -> None:
-        self._clock.after(self._pattern.told_seconds, self._hear, teller, name, terms)
-
-    def _hear(self, teller: _Host, name: str, terms: tuple[object, ...]) -> None:
+            self.result.lost_count += not request.is_deadly
+
+    def _broadcast(self, sender: _Host, method: str, *arguments: object) -> None:
+        self._clock.after(
+            self._pattern.broadcast_delay_seconds,
+            self._receive,
+            sender,
+            method,
+            arguments,
+        )
+
+    def _receive(
+        self, sender: _Host, method: str, arguments: tuple[object, ...]
+    ) -> None:
         for host in self._hosts:
-            if host is not teller:
-                getattr(host.book, name)(*terms)
+            if host is not sender:
+                getattr(host.tracker, method)(*arguments)
