--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,7 +1,7 @@
-"""Loads at their worst, replayed in stepped time through several hosts' schedulers.
+"""Overload patterns, replayed in stepped time through several hosts' schedulers.
 
-Each pattern is played with what answers it, and once with that left out, so that a
-mechanism that no longer works is noticed.
+Some patterns are also run without the mechanism that handles them. This detects a
+mechanism that no longer has an effect.
 """
 
 from collections import Counter
@@ -21,42 +21,43 @@
 
 class LoadTest(TestCase):
     def assertAllAnswered(self, samples, refused_ratio=0.0):
-        """Check that nobody is left without an answer, and few are refused."""
+        """Check that no request stays open and that few are refused."""
         outcomes = Counter(sample.outcome for sample in samples)
         self.assertEqual(0, outcomes["open"])
         self.assertLessEqual(outcomes["refused"], refused_ratio * len(samples))
 
     def test_a_burst_is_spread_over_the_runners(self):
-        # Hosts that hear of each other's long prompts only at the interval send theirs
-        # to the same idle runner: 0.97 of all in time fell to 0.89 (two seeds).
+        # With periodic summaries only, hosts send their long prompts to the same idle
+        # runner: the ratio in time fell from 0.97 to 0.89 (two seeds).
         samples = play("burst")
         self.assertAllAnswered(samples)
         self.assertGreater(in_time_ratio(samples), 0.94)
         self.assertLess(in_time_ratio(play("burst", "early-word")), 0.94)
 
-    def test_in_a_flood_those_go_first_who_can_be_in_time(self):
-        # By arrival nearly all wait behind those that are late: 0.84 fell to 0.47.
+    def test_under_overload_requests_that_can_meet_their_target_are_sent_first(self):
+        # In order of arrival, nearly all requests wait behind late ones: the ratio in
+        # time fell from 0.84 to 0.47.
         samples = play("flood")
-        # Some could not begin before their deadlines.
+        # Some requests can not start before their deadlines.
         self.assertAllAnswered(samples, refused_ratio=0.01)
         self.assertGreater(in_time_ratio(samples), 0.75)
         self.assertLess(in_time_ratio(play("flood", "order")), 0.60)
 
-    def test_in_a_flood_the_urgent_kind_comes_first_and_the_other_is_served(self):
+    def test_under_overload_urgent_requests_have_priority_and_others_are_served(self):
         samples = play("flood")
         long, short = in_time_ratio(samples, LONG), in_time_ratio(samples, SHORT)
         self.assertGreater(short, long - 0.05)
         self.assertGreater(long, 0.65)
-        # Some could not begin before their deadlines.
+        # Some requests can not start before their deadlines.
         self.assertAllAnswered(samples, refused_ratio=0.01)
 
-    def test_all_hosts_back_at_once_share_the_runners(self):
+    def test_hosts_that_restart_simultaneously_spread_load_over_the_runners(self):
         samples = play("back")
         self.assertAllAnswered(samples)
         self.assertGreater(in_time_ratio(samples), 0.78)
         self.assertLess(in_time_ratio(play("back", "early-word")), 0.78)
 
-    def test_a_hot_part_is_read_by_few_and_served_by_all(self):
+    def test_a_hot_prefix_is_prefilled_by_few_runners_and_served_by_all(self):
         samples = play("hot")
         self.assertAllAnswered(samples)
         self.assertGreater(in_time_ratio(samples), 0.97)
@@ -70,10 +71,10 @@
 
 
 class LimitedEnginesTest(TestCase):
-    """Engines in need say what they take; callers are served by what is left.
+    """Overloaded engines declare a request rate, and hosts enforce it.
 
-    All five name 3 requests a second, half of what comes: what can't be in time is
-    refused at once instead of waiting, and hardly a turn is lost.
+    If all five declare 3 requests per second, half of the demand, requests that can not
+    meet their target are refused immediately, and almost all of the rate is used.
     """
 
     def play(self, name):
@@ -92,7 +93,7 @@
         samples = [item for item in samples if item.call.at_seconds > known_seconds]
         return pattern, samples, taken
 
-    def test_no_engine_gets_more_than_it_says_and_little_is_lost(self):
+    def test_the_declared_rate_is_not_exceeded_and_mostly_used(self):
         for name in ("limited", "limited-all"):
             pattern, _, taken = self.play(name)
             rate = pattern.limited_per_second
@@ -101,7 +102,7 @@
                 self.assertLessEqual(most_in_window(times), allowed_count(rate))
                 self.assertGreaterEqual(len(times), 0.8 * rate * span_seconds)
 
-    def test_what_can_not_be_in_time_is_refused_at_once(self):
+    def test_requests_that_can_not_meet_their_target_are_refused_immediately(self):
         _, samples, _ = self.play("limited-all")
         refused = [item for item in samples if item.refused]
         self.assertEqual({"upstreams_at_rate"}, {item.refused for item in refused})
@@ -110,6 +111,6 @@
         at_once = sum(item.held_seconds == 0.0 for item in refused)
         self.assertGreater(at_once, 0.5 * len(refused))
 
-    def test_others_make_up_for_two_of_five(self):
+    def test_three_engines_serve_the_load_that_two_limited_ones_refuse(self):
         _, samples, _ = self.play("limited")
         self.assertEqual([], [item for item in samples if item.refused])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -287,7 +287,7 @@
             for _ in range(2):
                 async with bench.run_host() as host:
                     await host.until_ready("lektor-1")
-                    await host.stream("same name, other life")
+                    await host.stream("same name, other incarnation")
             return [stream.attempt_id for stream in runner.engine.started]
 
         first, second = self.run_scenario(scenario)
