--- a/measure/_limits_lab.py
+++ b/measure/_limits_lab.py
@@ -1,8 +1,9 @@
-"""The limits lab: many hosts under one limit in tokens, in stepped time.
+"""Simulation of many hosts that share one token limit, in stepped time.
 
-Only the limit is played: requests arrive at hosts, each decides at once, and hosts hear
-of each other as in a fleet with relays: a host tells its hall's relay, the relay tells
-its own hosts and, half as often, the other halls.
+Only the limit is simulated: requests arrive at hosts, and each host admits or refuses
+them. Summaries travel as in a fleet with relays: a host sends its summary to the relay
+of its hall, and the relay sends sums to its own hosts and, half as often, to the other
+halls.
 """
 
 import math
@@ -23,80 +24,89 @@
 from ._limit_ways import WAYS, Way
 from ._runner import Clock
 
-TELL_SECONDS = 0.25
-HALL_TELL_SECONDS = 0.5
+SUMMARY_INTERVAL_SECONDS = 0.25
+HALL_SUMMARY_INTERVAL_SECONDS = 0.5
 HOP_SECONDS = 0.002
-#: Least time between two words that come before their time.
-EARLY_GAP_SECONDS = 0.1
-#: Time for which a peer that fell silent is still counted.
-DEAD_SECONDS = 3.0
-#: The same for a hall whose relay says nothing.
-LATE_HALL_SECONDS = 1.25
+#: Minimum interval between immediate updates.
+IMMEDIATE_UPDATE_INTERVAL_SECONDS = 0.1
+#: Time for which an unresponsive peer is still counted.
+DEAD_AFTER_SECONDS = 3.0
+#: The same for a hall whose relay is unresponsive.
+HALL_TIMEOUT_SECONDS = 1.25
 
 
 @attrs.define(repr=False)
 class _Host(ReprMixin):
     name: str
     hall: int
-    way: Way
-    told: Summary | None = None
-    told_at_seconds: float = 0.0
-    is_off: bool = False
+    strategy: Way
+    published: Summary | None = None
+    published_at_seconds: float = 0.0
+    is_down: bool = False
 
 
 @attrs.frozen(repr=False)
-class Asked(ReprMixin):
-    """One request and what came of it."""
+class RequestSample(ReprMixin):
+    """A request, and whether it was admitted."""
 
     at_seconds: float
     tokens: int
-    has_gone: bool
+    was_admitted: bool
 
 
 class LimitsLab:
-    """One run of a pattern with one way."""
+    """One run of a pattern with one strategy."""
 
-    def __init__(self, pattern: LimitPattern, way: str, seed: int) -> None:
+    def __init__(self, pattern: LimitPattern, strategy: str, seed: int) -> None:
         self._pattern = pattern
-        self._make = WAYS[way]
+        self._make_strategy = WAYS[strategy]
         self._draw = random.Random(seed)
         self.clock = Clock()
-        self.asked: list[Asked] = []
+        self.requests: list[RequestSample] = []
         self.hosts = [
-            _Host(f"h{index}", index % pattern.halls_count, self._new(f"h{index}", 0.0))
+            _Host(
+                f"h{index}",
+                index % pattern.halls_count,
+                self._new_strategy(f"h{index}", 0.0),
+            )
             for index in range(pattern.hosts_count)
         ]
-        #: Halls' sums by the hall that heard them, then by the hall they are of.
+        #: Sums of halls, with the time of receipt, by receiving and by sending hall.
         self._sums: dict[tuple[int, int], tuple[Summary, float]] = {}
-        #: When each hall's relay passed on an early word, and how many there were.
-        self._early_at: dict[int, float] = {}
+        #: Time of the last immediate update that each hall's relay received from its
+        #: hosts and considered, and the count of all that hosts published.
+        self._immediate_update_at: dict[int, float] = {}
         self.immediate_updates_count = 0
-        self._burst_detector = [BurstDetector() for _ in range(pattern.halls_count)]
+        self._burst_detectors = [BurstDetector() for _ in range(pattern.halls_count)]
         self.relayed_updates_count = 0
 
-    def _new(self, name: str, now_seconds: float) -> Way:
-        return self._make(self._pattern, name, now_seconds)
+    def _new_strategy(self, name: str, now_seconds: float) -> Way:
+        return self._make_strategy(self._pattern, name, now_seconds)
 
-    def run(self) -> list[Asked]:
-        """Play the pattern."""
+    def run(self) -> list[RequestSample]:
+        """Simulate the pattern."""
         pattern = self._pattern
         for host in self.hosts:
-            phase = self._draw.random() * TELL_SECONDS
-            self.clock.after(phase, self._tell, host)
+            phase = self._draw.random() * SUMMARY_INTERVAL_SECONDS
+            self.clock.after(phase, self._publish_periodically, host)
         for hall in range(pattern.halls_count):
-            self.clock.after(self._draw.random() * TELL_SECONDS, self._tell_hall, hall)
-            phase = self._draw.random() * HALL_TELL_SECONDS
-            self.clock.after(phase, self._tell_others, hall)
+            self.clock.after(
+                self._draw.random() * SUMMARY_INTERVAL_SECONDS,
+                self._relay_to_hall_periodically,
+                hall,
+            )
+            phase = self._draw.random() * HALL_SUMMARY_INTERVAL_SECONDS
+            self.clock.after(phase, self._relay_to_other_halls_periodically, hall)
         for at_seconds, tokens in self._arrivals():
             self.clock.after(at_seconds, self._arrive, tokens)
         if pattern.lowered_ratio != 1.0:
-            self._plan_change(pattern.hot_from_seconds, pattern.lowered_ratio)
+            self._schedule_limit_change(pattern.hot_from_seconds, pattern.lowered_ratio)
         if pattern.again_at_seconds < math.inf:
-            self._plan_change(pattern.again_at_seconds, pattern.again_ratio)
+            self._schedule_limit_change(pattern.again_at_seconds, pattern.again_ratio)
         if pattern.killed_at_seconds < math.inf:
-            self.clock.after(pattern.killed_at_seconds, self._kill)
+            self.clock.after(pattern.killed_at_seconds, self._crash_hosts)
         self.clock.run_until(pattern.length_seconds)
-        return self.asked
+        return self.requests
 
     def _arrivals(self) -> Iterator[tuple[float, int]]:
         """Yield times and tokens: many short requests, some long ones."""
@@ -105,7 +115,7 @@
         mean_tokens = 4000.0
         while at_seconds < pattern.length_seconds:
             rate = pattern.tokens_per_second * pattern.usual_ratio
-            rate *= _surge_ratio(pattern, at_seconds)
+            rate *= _demand_ratio(pattern, at_seconds)
             at_seconds += self._draw.expovariate(rate / mean_tokens)
             is_long = self._draw.random() < 0.36
             mean = 9200.0 if is_long else 1075.0
@@ -113,158 +123,174 @@
 
     def _arrive(self, tokens: int) -> None:
         now_seconds = self.clock.now_seconds
-        up = [host for host in self.hosts if not host.is_off]
+        up = [host for host in self.hosts if not host.is_down]
         if not up:
-            # Callers whose hosts are off try until those are back.
-            back_seconds = self._pattern.killed_at_seconds
-            back_seconds += self._pattern.killed_seconds + 0.3
-            self.clock.after(back_seconds - now_seconds, self._arrive, tokens)
+            # Callers retry until a host is up again.
+            restarted_at_seconds = self._pattern.killed_at_seconds
+            restarted_at_seconds += self._pattern.killed_seconds + 0.3
+            self.clock.after(restarted_at_seconds - now_seconds, self._arrive, tokens)
             return
-        host = self._draw.choice(self._surge_hosts(up))
-        cut_for_seconds = now_seconds - self._pattern.cut_at_seconds
-        if host.hall == 0 and cut_for_seconds > self._pattern.cut_serves_seconds:
+        host = self._draw.choice(self._receiving_hosts(up))
+        partitioned_seconds = now_seconds - self._pattern.cut_at_seconds
+        if host.hall == 0 and partitioned_seconds > self._pattern.cut_serves_seconds:
             return
-        hold_seconds = host.way.hold_seconds(tokens, now_seconds)
+        hold_seconds = host.strategy.hold_seconds(tokens, now_seconds)
         was_held = hold_seconds > 0.0
         self.clock.after(hold_seconds, self._decide, host, tokens, was_held)
 
     def _decide(self, host: _Host, tokens: int, was_held: bool) -> None:
         now_seconds = self.clock.now_seconds
-        if not host.is_off:
-            has_gone = host.way.ask(tokens, was_held, now_seconds)
-            self.asked.append(Asked(now_seconds, tokens, has_gone))
-            if host.way.has_surged(now_seconds):
-                self._tell_early(host)
-
-    # Hosts tell each other.
-
-    def _is_cut(self, hall: int, other: int) -> bool:
-        is_apart = (hall == 0) != (other == 0)
-        return is_apart and self.clock.now_seconds >= self._pattern.cut_at_seconds
-
-    def _tell_early(self, host: _Host) -> None:
-        if self.clock.now_seconds - host.told_at_seconds >= EARLY_GAP_SECONDS:
+        if not host.is_down:
+            was_admitted = host.strategy.ask(tokens, was_held, now_seconds)
+            self.requests.append(RequestSample(now_seconds, tokens, was_admitted))
+            if host.strategy.has_surged(now_seconds):
+                self._publish_immediately(host)
+
+    # Updates between hosts.
+
+    def _is_partitioned(self, hall: int, other: int) -> bool:
+        crosses_partition = (hall == 0) != (other == 0)
+        return (
+            crosses_partition and self.clock.now_seconds >= self._pattern.cut_at_seconds
+        )
+
+    def _publish_immediately(self, host: _Host) -> None:
+        if (
+            self.clock.now_seconds - host.published_at_seconds
+            >= IMMEDIATE_UPDATE_INTERVAL_SECONDS
+        ):
             self.immediate_updates_count += 1
-            self._say(host)
-            self.clock.after(HOP_SECONDS, self._relay_early, host.hall)
+            self._publish(host)
+            self.clock.after(HOP_SECONDS, self._relay_immediate_update, host.hall)
 
-    def _relay_early(self, hall: int) -> None:
-        """Pass on what a hall's hosts said early, to them and to the other halls."""
+    def _relay_immediate_update(self, hall: int) -> None:
+        """Forward an immediate update to the hosts of a hall and to the other halls."""
         now_seconds = self.clock.now_seconds
-        if now_seconds - self._early_at.get(hall, -math.inf) < EARLY_GAP_SECONDS:
+        if (
+            now_seconds - self._immediate_update_at.get(hall, -math.inf)
+            < IMMEDIATE_UPDATE_INTERVAL_SECONDS
+        ):
             return
-        self._early_at[hall] = now_seconds
-        if not self._burst_detector[hall].has_grown(sum_limits(self._hall(hall))):
+        self._immediate_update_at[hall] = now_seconds
+        if not self._burst_detectors[hall].has_grown(
+            sum_limits(self._host_summaries(hall))
+        ):
             return
         self.relayed_updates_count += 1
-        self._say_hall(hall)
-        self._say_others(hall)
+        self._relay_to_hall(hall)
+        self._relay_to_other_halls(hall)
         for other in range(self._pattern.halls_count):
-            if other != hall and not self._is_cut(hall, other):
-                self.clock.after(HOP_SECONDS, self._say_hall, other)
+            if other != hall and not self._is_partitioned(hall, other):
+                self.clock.after(HOP_SECONDS, self._relay_to_hall, other)
 
-    def _tell(self, host: _Host) -> None:
-        self.clock.after(TELL_SECONDS, self._tell, host)
-        self._say(host)
+    def _publish_periodically(self, host: _Host) -> None:
+        self.clock.after(SUMMARY_INTERVAL_SECONDS, self._publish_periodically, host)
+        self._publish(host)
 
-    def _say(self, host: _Host) -> None:
-        if not host.is_off:
+    def _publish(self, host: _Host) -> None:
+        if not host.is_down:
             now_seconds = self.clock.now_seconds
-            host.told = host.way.summary(now_seconds)
-            host.told_at_seconds = now_seconds
-            host.way.note_time(self._heard_count(host.hall), now_seconds)
+            host.published = host.strategy.summary(now_seconds)
+            host.published_at_seconds = now_seconds
+            host.strategy.note_time(self._live_hosts_count(host.hall), now_seconds)
 
-    def _heard_count(self, hall: int) -> int:
-        heard = [*self._hall(hall), *self._others(hall)]
-        return sum(summary.hosts_count for summary in heard)
+    def _live_hosts_count(self, hall: int) -> int:
+        summaries = [*self._host_summaries(hall), *self._other_hall_summaries(hall)]
+        return sum(summary.hosts_count for summary in summaries)
 
-    def _others(self, hall: int) -> list[Summary]:
-        """Return the other halls' sums that a hall's relay has."""
-        oldest = self.clock.now_seconds - LATE_HALL_SECONDS
+    def _other_hall_summaries(self, hall: int) -> list[Summary]:
+        """Return the sums of other halls that a hall's relay has received."""
+        oldest = self.clock.now_seconds - HALL_TIMEOUT_SECONDS
         return [
             summary
             for (by, of), (summary, at_seconds) in self._sums.items()
             if by == hall and of != hall and at_seconds > oldest
         ]
 
-    def _hall(self, hall: int) -> list[Summary]:
-        """Return the words that a hall's relay has of its hosts."""
-        oldest = self.clock.now_seconds - DEAD_SECONDS
+    def _host_summaries(self, hall: int) -> list[Summary]:
+        """Return the summaries that a hall's relay has of its hosts."""
+        oldest = self.clock.now_seconds - DEAD_AFTER_SECONDS
         return [
-            host.told
+            host.published
             for host in self.hosts
-            if host.hall == hall and host.told and host.told_at_seconds > oldest
+            if host.hall == hall
+            and host.published
+            and host.published_at_seconds > oldest
         ]
 
-    def _tell_hall(self, hall: int) -> None:
-        self.clock.after(TELL_SECONDS, self._tell_hall, hall)
-        self._say_hall(hall)
+    def _relay_to_hall_periodically(self, hall: int) -> None:
+        self.clock.after(
+            SUMMARY_INTERVAL_SECONDS, self._relay_to_hall_periodically, hall
+        )
+        self._relay_to_hall(hall)
 
-    def _say_hall(self, hall: int) -> None:
+    def _relay_to_hall(self, hall: int) -> None:
         now_seconds = self.clock.now_seconds
-        heard = [*self._hall(hall), *self._others(hall)]
-        total = SummaryAggregator().merge(heard, 1)
+        summaries = [*self._host_summaries(hall), *self._other_hall_summaries(hall)]
+        total = SummaryAggregator().merge(summaries, 1)
         for host in self.hosts:
-            if host.hall == hall and not host.is_off and host.told is not None:
-                age_seconds = now_seconds - host.told_at_seconds
-                word = subtract_summary(total, host.told)
-                host.way.hear("fleet", word, age_seconds, now_seconds)
-
-    def _tell_others(self, hall: int) -> None:
-        self.clock.after(HALL_TELL_SECONDS, self._tell_others, hall)
-        self._say_others(hall)
-
-    def _say_others(self, hall: int) -> None:
-        if not any(host.hall == hall and not host.is_off for host in self.hosts):
+            if host.hall == hall and not host.is_down and host.published is not None:
+                age_seconds = now_seconds - host.published_at_seconds
+                summary = subtract_summary(total, host.published)
+                host.strategy.hear("fleet", summary, age_seconds, now_seconds)
+
+    def _relay_to_other_halls_periodically(self, hall: int) -> None:
+        self.clock.after(
+            HALL_SUMMARY_INTERVAL_SECONDS, self._relay_to_other_halls_periodically, hall
+        )
+        self._relay_to_other_halls(hall)
+
+    def _relay_to_other_halls(self, hall: int) -> None:
+        if not any(host.hall == hall and not host.is_down for host in self.hosts):
             return
-        summary = SummaryAggregator().merge(self._hall(hall), 1)
-        self._burst_detector[hall].note_published(summary.limits)
+        summary = SummaryAggregator().merge(self._host_summaries(hall), 1)
+        self._burst_detectors[hall].note_published(summary.limits)
         for other in range(self._pattern.halls_count):
-            if other != hall and not self._is_cut(hall, other):
+            if other != hall and not self._is_partitioned(hall, other):
                 self._sums[other, hall] = (summary, self.clock.now_seconds)
 
-    # What happens.
+    # Faults and changes.
 
-    def _plan_change(self, at_seconds: float, ratio: float) -> None:
+    def _schedule_limit_change(self, at_seconds: float, ratio: float) -> None:
         late_count = round(len(self.hosts) * self._pattern.late_hosts_ratio)
         late, early = self.hosts[:late_count], self.hosts[late_count:]
-        self.clock.after(at_seconds, self._change, early, ratio)
+        self.clock.after(at_seconds, self._change_limit, early, ratio)
         late_at_seconds = at_seconds + self._pattern.late_seconds
-        self.clock.after(late_at_seconds, self._change, late, ratio)
+        self.clock.after(late_at_seconds, self._change_limit, late, ratio)
 
-    def _change(self, hosts: list[_Host], ratio: float) -> None:
+    def _change_limit(self, hosts: list[_Host], ratio: float) -> None:
         for host in hosts:
-            host.way.change(ratio, self.clock.now_seconds)
+            host.strategy.change(ratio, self.clock.now_seconds)
 
-    def _surge_hosts(self, up: list[_Host]) -> list[_Host]:
-        """Return the hosts at one of which the next request arrives."""
+    def _receiving_hosts(self, up: list[_Host]) -> list[_Host]:
+        """Return the hosts of which one receives the next request."""
         pattern = self._pattern
-        surge_ratio = _surge_ratio(pattern, self.clock.now_seconds)
-        if not pattern.surge_hosts_count or surge_ratio <= 1.0:
+        demand_ratio = _demand_ratio(pattern, self.clock.now_seconds)
+        if not pattern.surge_hosts_count or demand_ratio <= 1.0:
             return up
-        if self._draw.random() < 1.0 / surge_ratio:
+        if self._draw.random() < 1.0 / demand_ratio:
             return up
-        # Those of one hall first.
+        # The hosts of one hall come first.
         by_hall = sorted(up, key=lambda host: host.hall)
         return by_hall[: pattern.surge_hosts_count]
 
-    def _kill(self) -> None:
+    def _crash_hosts(self) -> None:
         count = round(len(self.hosts) * self._pattern.killed_ratio)
         for host in self.hosts[:count]:
-            host.is_off = True
-            host.told = None
-            wait = self._pattern.killed_seconds + 0.3 * self._draw.random()
-            self.clock.after(wait, self._start, host)
+            host.is_down = True
+            host.published = None
+            down_seconds = self._pattern.killed_seconds + 0.3 * self._draw.random()
+            self.clock.after(down_seconds, self._restart_host, host)
 
-    def _start(self, host: _Host) -> None:
-        host.is_off = False
-        host.way = self._new(host.name, self.clock.now_seconds)
-        # Who else there is comes with the first links.
-        host.way.note_members(self._pattern.hosts_count, self.clock.now_seconds)
+    def _restart_host(self, host: _Host) -> None:
+        host.is_down = False
+        host.strategy = self._new_strategy(host.name, self.clock.now_seconds)
+        # The host receives the list of hosts when its first links open.
+        host.strategy.note_members(self._pattern.hosts_count, self.clock.now_seconds)
 
 
-def _surge_ratio(pattern: LimitPattern, at_seconds: float) -> float:
-    """Return the multiple of the usual demand at a time."""
+def _demand_ratio(pattern: LimitPattern, at_seconds: float) -> float:
+    """Return the ratio of the demand at a time to the usual demand."""
     if pattern.hot_from_seconds <= at_seconds < pattern.hot_until_seconds:
         return pattern.hot_ratio
     if pattern.surge_from_seconds <= at_seconds < pattern.surge_until_seconds:
@@ -273,7 +299,7 @@
 
 
 def _limit_changes(pattern: LimitPattern) -> list[tuple[float, float]]:
-    """Return when the limit became which part of what it was, in their order."""
+    """Return the changes of the limit in order: time, and ratio to the original."""
     changes = [(0.0, 1.0)]
     if pattern.lowered_ratio != 1.0:
         changes.append((pattern.hot_from_seconds, pattern.lowered_ratio))
@@ -285,9 +311,9 @@
 def _binding_ratio(
     pattern: LimitPattern, window_seconds: float, at_seconds: float
 ) -> float:
-    """Return the part of the limit that binds a window that ends at a time.
+    """Return the ratio of the limit that applies to a window that ends at a time.
 
-    A lower one binds from one window after the last host has learned of it.
+    A lower ratio applies from one window after the last host received it.
     """
     changes = _limit_changes(pattern)
     grace_seconds = window_seconds + pattern.late_seconds
@@ -300,47 +326,53 @@
 
 
 def worst_window_ratio(
-    pattern: LimitPattern, asked: list[Asked], window_seconds: float = 8.0
+    pattern: LimitPattern, requests: list[RequestSample], window_seconds: float = 8.0
 ) -> float:
-    """Return the most that was sent within a window, as a part of what a rule allows.
+    """Return the highest ratio of admitted to allowed tokens in any window.
 
-    A lower limit binds from one window after the change.
+    A lower limit applies from one window after the last host received it.
     """
     limit = pattern.tokens_per_second * window_seconds + pattern.burst_tokens
-    gone = [item for item in asked if item.has_gone]
+    admitted = [item for item in requests if item.was_admitted]
     worst = 0.0
     total = 0.0
     first = 0
-    for item in gone:
+    for item in admitted:
         total += item.tokens
-        while gone[first].at_seconds < item.at_seconds - window_seconds:
-            total -= gone[first].tokens
+        while admitted[first].at_seconds < item.at_seconds - window_seconds:
+            total -= admitted[first].tokens
             first += 1
-        most = limit * _binding_ratio(pattern, window_seconds, item.at_seconds)
-        most = most * (1.0 + pattern.over_ratio) + pattern.slack_tokens
-        worst = max(worst, total / most)
+        allowed_tokens = limit * _binding_ratio(
+            pattern, window_seconds, item.at_seconds
+        )
+        allowed_tokens = (
+            allowed_tokens * (1.0 + pattern.over_ratio) + pattern.slack_tokens
+        )
+        worst = max(worst, total / allowed_tokens)
     return worst
 
 
-def refused_wrongly_ratio(pattern: LimitPattern, asked: list[Asked]) -> float:
-    """Return the part of the tokens within the limit that was refused.
+def refused_wrongly_ratio(
+    pattern: LimitPattern, requests: list[RequestSample]
+) -> float:
+    """Return the ratio of tokens within the limit that were refused.
 
-    What is within it is told by one bucket that sees every request at once.
+    A single token bucket over all requests determines which are within the limit.
     """
     level = pattern.burst_tokens
     at_seconds = 0.0
     within = refused = 0.0
     changes = _limit_changes(pattern)
-    for item in asked:
+    for item in requests:
         ratio = [part for at, part in changes if at <= item.at_seconds][-1]
         rate = pattern.tokens_per_second * ratio
-        most = pattern.burst_tokens * ratio
-        level = min(most, level + rate * (item.at_seconds - at_seconds))
+        capacity_tokens = pattern.burst_tokens * ratio
+        level = min(capacity_tokens, level + rate * (item.at_seconds - at_seconds))
         at_seconds = item.at_seconds
         if level >= item.tokens:
             level -= item.tokens
             within += item.tokens
-        if not item.has_gone:
+        if not item.was_admitted:
             refused += item.tokens
-    beyond = sum(item.tokens for item in asked) - within
+    beyond = sum(item.tokens for item in requests) - within
     return max(0.0, refused - beyond) / max(1.0, within)
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -1,9 +1,9 @@
-"""The rate lab: hosts before upstreams that name a rate, in stepped time.
+"""Simulation of request rates that upstreams declare, in stepped time.
 
-Only the question of who may send is played: requests arrive at hosts, each has an
-upstream that it would go to, goes to another one where that takes none now, and is
-refused where none does. A host learns a rate from the answers of what it sent, and
-tells the others, who hear it after a delay.
+Only rate limiting is simulated: each request arrives at a host and is sent to its first
+choice of upstream. If the host may not send to it at present, the next upstream is
+tried, and the request is refused if none is left. A host receives a rate in responses
+and broadcasts it to the other hosts with a delay.
 """
 
 import math
@@ -41,13 +41,13 @@
 )
 from ._runner import Clock
 
-#: Time from a rate's first naming from which on it is judged, and the time for which a
-#: host must have known it.
-CONTACT_SECONDS = 3.0
+#: A window is checked from GRACE_SECONDS after the upstream first declared a rate. A
+#: host counts as informed from KNOWN_SECONDS after it received the rate.
+GRACE_SECONDS = 3.0
 KNOWN_SECONDS = 0.5
 MEAN_ANSWER_SECONDS = 0.2
-#: Time between two words where hosts tell what they sent.
-WORD_SECONDS = 0.25
+#: Interval at which hosts broadcast their usage, with the strategy "sums".
+USAGE_INTERVAL_SECONDS = 0.25
 
 
 @attrs.define(eq=False)
@@ -57,157 +57,166 @@
     rates: RequestRates
     gate: Gate
     rate_limiter: UpstreamRateLimiter | None = None
-    known_since: dict[str, float] = attrs.field(factory=dict)
-    #: Part of the fleet that it hears.
-    heard_ratio: float = 1.0
+    rate_known_since: dict[str, float] = attrs.field(factory=dict)
+    #: Ratio of hosts that it is connected to.
+    live_ratio: float = 1.0
 
 
 @attrs.define(eq=False)
 class _Window:
-    """Requests of the last seconds, each with the rate at its time."""
+    """Requests within the window, each with the rate when it was sent."""
 
     sent: deque[tuple[float, float]] = attrs.field(factory=deque)
 
     def add(self, now_seconds: float, rate: float) -> float:
-        """Take a request; return the window's count as a part of what is allowed."""
+        """Add a request; return the ratio of sent to allowed requests."""
         self.sent.append((now_seconds, rate))
         while self.sent[0][0] <= now_seconds - WINDOW_SECONDS:
             self.sent.popleft()
-        # The largest rate within the window counts, since the sum began under it.
+        # The highest rate in the window applies: requests may have been sent under it.
         largest = max(known for _, known in self.sent)
         return len(self.sent) / (OVER_RATIO * largest * WINDOW_SECONDS + SLACK_COUNT)
 
 
 @attrs.define(eq=False)
-class _Named:
-    """One upstream with what was sent to it."""
+class _RatedUpstream:
+    """An upstream, its rates over time and the requests sent to it."""
 
     upstream: Upstream
     rates: tuple[tuple[float, float | None], ...] = ()
-    #: What came while it named a rate: from hosts that it had told, and from all.
-    told_sent: "_Window" = attrs.field(factory=lambda: _Window())
+    #: Requests sent while it declared a rate: by hosts that had received the rate from
+    #: it, and by all hosts.
+    informed_sent: "_Window" = attrs.field(factory=lambda: _Window())
     all_sent: "_Window" = attrs.field(factory=lambda: _Window())
     sent_count: int = 0
     worst_ratio: float = 0.0
     all_worst_ratio: float = 0.0
 
     def rate(self, now_seconds: float) -> float | None:
-        """Return the rate that it names."""
+        """Return the rate that it declares."""
         known = [rate for at, rate in self.rates if at <= now_seconds]
         return known[-1] if known else None
 
 
 @attrs.define(repr=False)
 class RateResult(ReprMixin):
-    """What came of a run."""
+    """Results of a run."""
 
     arrived_count: int = 0
     refused_count: int = 0
-    #: Worst window of any upstream, as a part of what is allowed: by hosts that it had
-    #: told itself, and by all.
+    #: Highest ratio of sent to allowed requests in a window of any upstream: by hosts
+    #: that had received the rate from it, and by all hosts.
     worst_ratio: float = 0.0
     all_worst_ratio: float = 0.0
-    #: What was sent to limited upstreams, as a part of what they took.
+    #: Ratio of requests sent to limited upstreams to the sum of their rates.
     used_ratio: float = 0.0
     messages_count: int = 0
 
 
 class RateLab:
-    """One run of a pattern with one way."""
+    """One run of a pattern with one strategy."""
 
-    def __init__(self, pattern: RatePattern, way: str, seed: int) -> None:
+    def __init__(self, pattern: RatePattern, strategy: str, seed: int) -> None:
         self._pattern = pattern
-        self._way = way
+        self._strategy = strategy
         self._draw = random.Random(seed)
         self._clock = Clock()
-        self._is_cut = False
-        self._named = [
+        self._is_partitioned = False
+        self._upstreams = [
             self._make_upstream(index) for index in range(pattern.upstreams_count)
         ]
         self._hosts = [self._make_host(index) for index in range(pattern.hosts_count)]
         self.result = RateResult()
 
-    def _make_upstream(self, index: int) -> _Named:
+    def _make_upstream(self, index: int) -> _RatedUpstream:
         entry = HostEntry(f"u{index}", "service", "h0", f"u{index}:1")
         rates = self._pattern.rates if index < self._pattern.limited_count else ()
-        return _Named(Upstream(entry, Health(0.1, 1.0)), rates)
+        return _RatedUpstream(Upstream(entry, Health(0.1, 1.0)), rates)
 
     def _make_host(self, index: int) -> _Host:
         rates = RequestRates(StateChangeTracker())
         host = _Host(
             f"e{index}", f"h{index % self._pattern.halls_count}", rates, OpenGate()
         )
-        WAYS[self._way](host, self)
+        WAYS[self._strategy](host, self)
         return host
 
     def run(self) -> RateResult:
-        """Play the pattern."""
+        """Simulate the pattern."""
         pattern = self._pattern
-        self._look_around()
+        self._update_live_peers()
         at_seconds = 0.0
         while at_seconds < pattern.length_seconds:
             at_seconds += self._draw.expovariate(pattern.requests_per_second)
             self._clock.after(at_seconds, self._arrive)
         if pattern.cut_seconds:
-            for at_seconds, is_cut in zip(
+            for at_seconds, is_partitioned in zip(
                 pattern.cut_seconds, (True, False), strict=True
             ):
-                self._clock.after(at_seconds, self._cut, is_cut)
+                self._clock.after(at_seconds, self._set_partitioned, is_partitioned)
         if pattern.restart_seconds is not None:
             self._clock.after(pattern.restart_seconds, self._restart)
-        if self._way == "sums":
-            self._clock.after(WORD_SECONDS, self._tell_words)
+        if self._strategy == "sums":
+            self._clock.after(USAGE_INTERVAL_SECONDS, self._broadcast_usage)
         self._clock.run_until(pattern.length_seconds)
-        self.result.worst_ratio = max(item.worst_ratio for item in self._named)
-        self.result.all_worst_ratio = max(item.all_worst_ratio for item in self._named)
+        self.result.worst_ratio = max(target.worst_ratio for target in self._upstreams)
+        self.result.all_worst_ratio = max(
+            target.all_worst_ratio for target in self._upstreams
+        )
         self.result.used_ratio = self._used_ratio()
         return self.result
 
     def _used_ratio(self) -> float:
-        limited = [item for item in self._named if item.rates]
+        limited = [target for target in self._upstreams if target.rates]
         steps = [at / 10.0 for at in range(int(self._pattern.length_seconds * 10))]
-        taken = sum((item.rate(at) or 0.0) / 10.0 for item in limited for at in steps)
-        return sum(item.sent_count for item in limited) / taken
+        taken = sum(
+            (target.rate(at) or 0.0) / 10.0 for target in limited for at in steps
+        )
+        return sum(target.sent_count for target in limited) / taken
 
-    # What hosts hear of each other.
+    # Connections between hosts.
 
-    def _is_apart(self, host: _Host) -> bool:
-        return self._is_cut and host.hall == "h0"
+    def _is_isolated(self, host: _Host) -> bool:
+        return self._is_partitioned and host.hall == "h0"
 
-    def _hears(self, host: _Host, other: _Host) -> bool:
-        return self._is_apart(host) == self._is_apart(other)
+    def _is_connected(self, host: _Host, other: _Host) -> bool:
+        return self._is_isolated(host) == self._is_isolated(other)
 
-    def _look_around(self) -> None:
+    def _update_live_peers(self) -> None:
         for host in self._hosts:
-            heard = [other for other in self._hosts if self._hears(host, other)]
-            mates = frozenset(
+            connected = [
+                other for other in self._hosts if self._is_connected(host, other)
+            ]
+            hall_peers = frozenset(
                 other.name
-                for other in heard
+                for other in connected
                 if other.hall == host.hall and other != host
             )
-            halls = frozenset(other.hall for other in heard)
-            host.heard_ratio = len(heard) / len(self._hosts)
+            halls = frozenset(other.hall for other in connected)
+            host.live_ratio = len(connected) / len(self._hosts)
             if host.rate_limiter is not None:
-                near = LivePeers(mates, mates, halls)
-                host.rate_limiter.local_view = LocalView(host.name, host.hall, near)
+                live_peers = LivePeers(hall_peers, hall_peers, halls)
+                host.rate_limiter.local_view = LocalView(
+                    host.name, host.hall, live_peers
+                )
 
-    def _cut(self, is_cut: bool) -> None:
-        self._is_cut = is_cut
-        # It takes a while until silence counts.
-        self._clock.after(1.25, self._look_around)
+    def _set_partitioned(self, is_partitioned: bool) -> None:
+        self._is_partitioned = is_partitioned
+        # Hosts notice the change only after the timeout for unresponsive peers.
+        self._clock.after(1.25, self._update_live_peers)
 
     def _restart(self) -> None:
         for index in range(0, len(self._hosts), 2):
             self._hosts[index] = self._make_host(index)
-        self._look_around()
-        self._clock.after(self._pattern.told_seconds * 2, self._greet)
+        self._update_live_peers()
+        self._clock.after(self._pattern.told_seconds * 2, self._send_initial_state)
 
-    def _greet(self) -> None:
-        for item in self._named:
+    def _send_initial_state(self) -> None:
+        for target in self._upstreams:
             for host in self._hosts[1::2]:
-                word = host.rates.observation(item.upstream.name)
-                if word is not None:
-                    self._hear(host, item.upstream.name, word)
+                observation = host.rates.observation(target.upstream.name)
+                if observation is not None:
+                    self._receive(host, target.upstream.name, observation)
                     break
 
     # Requests.
@@ -217,116 +226,124 @@
         host = self._draw.choice(self._hosts)
         self.result.arrived_count += 1
         is_hot = self._draw.random() < self._pattern.hot_ratio
-        order = self._draw.sample(self._named, len(self._named))
+        order = self._draw.sample(self._upstreams, len(self._upstreams))
         if is_hot:
-            order.insert(0, self._named[0])
-        for item in order:
-            if host.gate.may_send(item.upstream, now_seconds):
-                self._send(host, item)
+            order.insert(0, self._upstreams[0])
+        for target in order:
+            if host.gate.may_send(target.upstream, now_seconds):
+                self._send(host, target)
                 return
         self.result.refused_count += 1
 
-    def _send(self, host: _Host, item: _Named) -> None:
+    def _send(self, host: _Host, target: _RatedUpstream) -> None:
         now_seconds = self._clock.now_seconds
-        rate = item.rate(now_seconds)
+        rate = target.rate(now_seconds)
         if rate is not None:
-            item.sent_count += 1
-            self._judge(host, item, rate)
+            target.sent_count += 1
+            self._record_sent(host, target, rate)
         answer_seconds = self._draw.expovariate(1.0 / MEAN_ANSWER_SECONDS)
-        self._clock.after(answer_seconds, self._answer, host, item, now_seconds)
+        self._clock.after(answer_seconds, self._answer, host, target, now_seconds)
 
-    def _judge(self, host: _Host, item: _Named, rate: float) -> None:
+    def _record_sent(self, host: _Host, target: _RatedUpstream, rate: float) -> None:
         now_seconds = self._clock.now_seconds
-        is_old = now_seconds >= item.rates[0][0] + CONTACT_SECONDS
-        over_ratio = item.all_sent.add(now_seconds, rate)
-        if is_old:
-            item.all_worst_ratio = max(item.all_worst_ratio, over_ratio)
-        known_at = host.known_since.get(item.upstream.name, math.inf)
-        if now_seconds < known_at + KNOWN_SECONDS:
+        is_past_grace = now_seconds >= target.rates[0][0] + GRACE_SECONDS
+        over_ratio = target.all_sent.add(now_seconds, rate)
+        if is_past_grace:
+            target.all_worst_ratio = max(target.all_worst_ratio, over_ratio)
+        known_at_seconds = host.rate_known_since.get(target.upstream.name, math.inf)
+        if now_seconds < known_at_seconds + KNOWN_SECONDS:
             return
-        over_ratio = item.told_sent.add(now_seconds, rate)
-        if is_old:
-            item.worst_ratio = max(item.worst_ratio, over_ratio)
+        over_ratio = target.informed_sent.add(now_seconds, rate)
+        if is_past_grace:
+            target.worst_ratio = max(target.worst_ratio, over_ratio)
 
-    def _answer(self, host: _Host, item: _Named, asked_at_seconds: float) -> None:
+    def _answer(
+        self, host: _Host, target: _RatedUpstream, sent_at_seconds: float
+    ) -> None:
         now_seconds = self._clock.now_seconds
-        name, rate = item.upstream.name, item.rate(now_seconds)
+        name, rate = target.upstream.name, target.rate(now_seconds)
         if rate is not None:
-            host.known_since.setdefault(name, now_seconds)
-        word = RateObservation("", rate, asked_at_seconds, now_seconds)
-        if host.rates.take(name, word, "its answer says so"):
-            self._clock.after(self._pattern.told_seconds, self._hear, host, name, word)
+            host.rate_known_since.setdefault(name, now_seconds)
+        observation = RateObservation("", rate, sent_at_seconds, now_seconds)
+        if host.rates.take(name, observation, "reported in the response"):
+            self._clock.after(
+                self._pattern.told_seconds, self._receive, host, name, observation
+            )
 
-    def _hear(self, teller: _Host, name: str, word: RateObservation) -> None:
+    def _receive(self, sender: _Host, name: str, observation: RateObservation) -> None:
         for host in self._hosts:
-            if host is not teller and self._hears(teller, host):
+            if host is not sender and self._is_connected(sender, host):
                 self.result.messages_count += 1
-                host.rates.take(name, word, "a peer says so")
+                host.rates.take(name, observation, "reported by a peer")
 
-    def _tell_words(self) -> None:
+    def _broadcast_usage(self) -> None:
         now_seconds = self._clock.now_seconds
         for name in {name for host in self._hosts for name in _limits(host)}:
-            said = {
+            usages = {
                 host.name: limit.usage(now_seconds)
                 for host in self._hosts
                 if (limit := _limits(host).get(name)) is not None
             }
             self._clock.after(
-                self._pattern.told_seconds, self._hear_words, name, said, now_seconds
+                self._pattern.told_seconds,
+                self._receive_usage,
+                name,
+                usages,
+                now_seconds,
             )
-        self._clock.after(WORD_SECONDS, self._tell_words)
+        self._clock.after(USAGE_INTERVAL_SECONDS, self._broadcast_usage)
 
-    def _hear_words(
-        self, name: str, said: dict[str, object], at_seconds: float
+    def _receive_usage(
+        self, name: str, usages: dict[str, object], at_seconds: float
     ) -> None:
         for host in self._hosts:
             limit = _limits(host).get(name)
             if limit is None:
                 continue
-            for teller, usage in said.items():
-                if teller != host.name and usage is not None:
+            for sender, usage in usages.items():
+                if sender != host.name and usage is not None:
                     self.result.messages_count += 1
-                    limit.receive_usage(teller, usage, at_seconds)  # type: ignore[arg-type]
+                    limit.receive_usage(sender, usage, at_seconds)  # type: ignore[arg-type]
 
 
 def _limits(host: _Host) -> dict[str, FleetLimit]:
     return host.gate.limits if isinstance(host.gate, SumsGate) else {}
 
 
-def _with_turns(
-    make_rule: Callable[[int], SenderCountPolicy],
+def _with_rate_limiter(
+    make_policy: Callable[[int], SenderCountPolicy],
 ) -> Callable[[_Host, RateLab], None]:
-    def equip(host: _Host, lab: RateLab) -> None:
+    def configure(host: _Host, lab: RateLab) -> None:
         count = lab._pattern.hosts_count
         host.rate_limiter = UpstreamRateLimiter(
             host.rates,
             LocalView(host.name, host.hall),
-            lambda now_seconds: host.heard_ratio,
-            make_rule(count),
+            lambda now_seconds: host.live_ratio,
+            make_policy(count),
         )
         host.gate = TurnGate(host.rate_limiter)
 
-    return equip
+    return configure
 
 
-def _with_whole(host: _Host, lab: RateLab) -> None:
+def _with_full_rate(host: _Host, lab: RateLab) -> None:
     host.gate = WholeGate(host.rates)
 
 
-def _with_sums(host: _Host, lab: RateLab) -> None:
+def _with_usage_sums(host: _Host, lab: RateLab) -> None:
     host.gate = SumsGate(host.rates, lab._draw)
 
 
-def _with_nothing(host: _Host, lab: RateLab) -> None:
+def _without_limit(host: _Host, lab: RateLab) -> None:
     host.gate = OpenGate()
 
 
-#: What each host is given to decide with.
+#: Configures the gate of a host, by strategy.
 WAYS: dict[str, Callable[[_Host, RateLab], None]] = {
-    "unread": _with_nothing,
-    "each the whole": _with_whole,
-    "equal parts": _with_turns(EachHost),
-    "sums": _with_sums,
-    "one sender": _with_turns(lambda count: OneSender()),
-    "few senders": _with_turns(lambda count: SendersByRate()),
+    "unread": _without_limit,
+    "each the whole": _with_full_rate,
+    "equal parts": _with_rate_limiter(EachHost),
+    "sums": _with_usage_sums,
+    "one sender": _with_rate_limiter(lambda count: OneSender()),
+    "few senders": _with_rate_limiter(lambda count: SendersByRate()),
 }
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -1,4 +1,6 @@
-"""Ways to keep a limit in tokens over a fleet, compared on the same arrivals.
+"""Compare strategies that enforce a token limit over a fleet.
+
+All strategies run on the same arrivals.
 
 ``python -m measure limits [PATTERN …] [--ways WAY …] [--seeds N]``
 """
@@ -13,7 +15,7 @@
 
 
 def main(words: Sequence[str]) -> None:
-    """Print a table: one line for each pattern and way."""
+    """Print a table with one line for each pattern and strategy."""
     names = [pattern.name for pattern in PATTERNS]
     parser = argparse.ArgumentParser(prog="python -m measure limits")
     parser.add_argument("patterns", nargs="*", choices=[*names, []], default=[])
@@ -24,16 +26,18 @@
     for pattern in PATTERNS:
         if arguments.patterns and pattern.name not in arguments.patterns:
             continue
-        for way in arguments.ways:
+        for strategy in arguments.ways:
             worst, used, refused = [], [], []
             for seed in range(1, arguments.seeds + 1):
-                asked = LimitsLab(pattern, way, seed).run()
-                worst.append(worst_window_ratio(pattern, asked))
-                refused.append(refused_wrongly_ratio(pattern, asked))
-                gone = sum(item.tokens for item in asked if item.has_gone)
-                used.append(gone / sum(item.tokens for item in asked))
+                requests = LimitsLab(pattern, strategy, seed).run()
+                worst.append(worst_window_ratio(pattern, requests))
+                refused.append(refused_wrongly_ratio(pattern, requests))
+                admitted_tokens = sum(
+                    item.tokens for item in requests if item.was_admitted
+                )
+                used.append(admitted_tokens / sum(item.tokens for item in requests))
             print(
-                f"{pattern.name:32s} {way:13s}"
+                f"{pattern.name:32s} {strategy:13s}"
                 f" {max(worst):9.3f} {statistics.mean(used):11.3f}"
                 f" {statistics.mean(refused):8.3f}"
             )
