--- a/measure/_limit_ways.py
+++ b/measure/_limit_ways.py
@@ -141,7 +141,7 @@
 
     def has_surged(self, now_seconds: float) -> bool:
         """Return whether peers are to hear at once of what the host is asked."""
-        return self.book.has_surged(self._workspace, now_seconds)
+        return self.book.has_burst(self._workspace, now_seconds)
 
 
 class Parts(FleetSums):
--- a/measure/_rate_lab.py
+++ b/measure/_rate_lab.py
@@ -254,14 +254,14 @@
         if rate is not None:
             host.known_since.setdefault(name, now_seconds)
         word = RateObservation("", rate, asked_at_seconds, now_seconds)
-        if host.rates.take(name, word, "its answer says so"):
+        if host.rates.record(name, word, "its answer says so"):
             self._clock.after(self._pattern.told_seconds, self._hear, host, name, word)
 
     def _hear(self, teller: _Host, name: str, word: RateObservation) -> None:
         for host in self._hosts:
             if host is not teller and self._hears(teller, host):
                 self.result.messages_count += 1
-                host.rates.take(name, word, "a peer says so")
+                host.rates.record(name, word, "a peer says so")
 
     def _tell_words(self) -> None:
         now_seconds = self._clock.now_seconds
--- a/measure/restores.py
+++ b/measure/restores.py
@@ -109,8 +109,8 @@
             join_version(store.era, store.written),
             join_version(store.era, store.revision),
         )
-        offer = self._restored.place(read, self.follower.head, now_seconds)
-        if offer.due_at_seconds > now_seconds:
+        offer = self._restored.make_offer(read, self.follower.head, now_seconds)
+        if offer.applies_at_seconds > now_seconds:
             return
         self.follower.offer_tree(offer.tree, "platform")
         if store.tree.revision == self.follower.revision:
--- a/packages/rampwick-platform/src/rampwick_platform/_lease_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_lease_store.py
@@ -28,7 +28,7 @@
         """
         if not watcher.version or era_of(watcher.version) < self._api.era:
             await self.read(watcher, read_clock)
-        if not watcher.may_take(read_clock()):
+        if not watcher.may_acquire(read_clock()):
             return False
         if await self._write(watcher, read_clock):
             return True
--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -82,7 +82,7 @@
     refused_count: int = 0
 
     @property
-    def ends_count(self) -> int:
+    def crashes_count(self) -> int:
         """Number of upstreams that crashed while running it."""
         return max(len(self.crashes), self.reported_crashes_count)
 
@@ -158,7 +158,7 @@
     def quarantine_state(self, fingerprint: bytes) -> QuarantineState:
         """Return how a request is restricted."""
         suspect = self._requests.get(fingerprint)
-        if suspect is None or suspect.ends_count < ISOLATION_CRASHES_COUNT:
+        if suspect is None or suspect.crashes_count < ISOLATION_CRASHES_COUNT:
             return QuarantineState.NONE
         if suspect.quarantined_at_seconds is not None:
             return QuarantineState.STOPPED
@@ -167,7 +167,7 @@
     def has_complete_reports(self, fingerprint: bytes, now_seconds: float) -> bool:
         """Return whether the reports on a request's last crash have arrived by now."""
         suspect = self._requests.get(fingerprint)
-        if suspect is None or suspect.ends_count < ISOLATION_CRASHES_COUNT:
+        if suspect is None or suspect.crashes_count < ISOLATION_CRASHES_COUNT:
             return True
         last = suspect.last_crash
         return (
@@ -250,7 +250,7 @@
         self,
         fingerprint: bytes,
         workspace_path: str,
-        ends_count: int,
+        crashes_count: int,
         at_seconds: float,
         now_seconds: float,
     ) -> bool:
@@ -261,7 +261,7 @@
         if suspect.quarantined_at_seconds is not None:
             return False
         suspect.quarantined_at_seconds = at_seconds
-        suspect.reported_crashes_count = ends_count
+        suspect.reported_crashes_count = crashes_count
         suspect.seen_at_seconds = now_seconds
         return True
 
--- a/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_expired_entries.py
@@ -39,7 +39,7 @@
             return None
         return self._store_returned_at_seconds + ENTRY_GRACE_SECONDS
 
-    def take(
+    def apply(
         self,
         entries: Iterable[HostEntry],
         version: int,
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -183,7 +183,7 @@
         """Drop the report of a peer; another peer now reports on its behalf."""
         self._reports.forget(peer)
 
-    def has_surged(self, parameters: LimitParameters, now_seconds: float) -> bool:
+    def has_burst(self, parameters: LimitParameters, now_seconds: float) -> bool:
         """Return whether the demand at this host calls for an immediate update.
 
         While a limit has enough headroom, the periodic summary is sufficient.
@@ -319,7 +319,7 @@
         self._sent.subtract(tokens, from_seconds)
         self._sent.add(tokens, now_seconds)
 
-    def count_again(self, tokens: float, now_seconds: float) -> None:
+    def charge_again(self, tokens: float, now_seconds: float) -> None:
         """Charge another attempt of a request."""
         self._sent.add(tokens, now_seconds)
 
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -72,7 +72,7 @@
         record = LeaseRecord(holder, "", self.duration_seconds)
         self.observe(record, version, now_seconds)
 
-    def may_take(self, now_seconds: float) -> bool:
+    def may_acquire(self, now_seconds: float) -> bool:
         """Return whether this host may attempt a conditional write of the lease."""
         if self.record is None:
             return now_seconds >= self._free_at_seconds
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -146,7 +146,7 @@
             if limit is None:
                 continue
             if is_retry:
-                limit.count_again(item.tokens, now_seconds)
+                limit.charge_again(item.tokens, now_seconds)
             else:
                 limit.move(item.tokens, item.at_seconds, now_seconds)
             charged.append(attrs.evolve(item, at_seconds=now_seconds))
@@ -166,14 +166,14 @@
         usages = (limit.usage(now_seconds) for limit in self._limits.values())
         return [usage for usage in usages if usage is not None]
 
-    def has_surged(self, workspace: Workspace, now_seconds: float) -> bool:
+    def has_burst(self, workspace: Workspace, now_seconds: float) -> bool:
         """Return whether the demand of a workspace calls for an immediate update."""
         if not workspace.limits:
             return False
         parameters = self._parameters(now_seconds)
         limits = (self._limits.get(limit.path) for limit in workspace.limits)
         return any(
-            limit.has_surged(parameters, now_seconds)
+            limit.has_burst(parameters, now_seconds)
             for limit in limits
             if limit is not None
         )
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -206,7 +206,7 @@
         self.limits.note_time(self.peers.hosts_count(now_seconds), now_seconds)
         self.rates.sweep(now_seconds)
         for path, is_binding in self.limits.binding_states(now_seconds):
-            if not is_binding and not self.state_changes.knows("limit", path):
+            if not is_binding and not self.state_changes.has_state("limit", path):
                 continue
             limit_state = "binding" if is_binding else "open"
             state = self.limits.state(path, now_seconds)
@@ -288,11 +288,11 @@
 
     def _on_targets(self, event: ev.TargetsReceived, now_seconds: float) -> None:
         targets = self.upstreams.targets
-        targets.learn(event.named, now_seconds)
+        targets.merge_ages(event.named, now_seconds)
         if event.read_at_seconds is None:
             targets.apply(event.targets, now_seconds)
         else:
-            targets.read(
+            targets.apply_reading(
                 event.targets,
                 event.read_at_seconds,
                 now_seconds,
@@ -313,7 +313,7 @@
             event.sent_at_seconds,
             now_seconds,
         )
-        self.rates.record_answer(event.upstream, observation, now_seconds)
+        self.rates.record_response(event.upstream, observation, now_seconds)
 
     def _on_rate_limits_received(
         self, event: ev.RateLimitUpdateReceived, now_seconds: float
--- a/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_relay_listener.py
@@ -74,7 +74,7 @@
         )
         return now_seconds - since_seconds > RELAY_TIMEOUT_SECONDS
 
-    def take(
+    def receive(
         self,
         relay: str,
         fleet: FleetSummary,
--- a/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
@@ -69,7 +69,7 @@
 
     fingerprint: bytes
     workspace_path: str
-    ends_count: int
+    crashes_count: int
     at_seconds: float
 
 
@@ -141,7 +141,7 @@
                 _QuarantineFact(
                     suspect.fingerprint,
                     suspect.workspace_path,
-                    suspect.ends_count,
+                    suspect.crashes_count,
                     now_seconds,
                 )
             )
@@ -285,7 +285,7 @@
                     _QuarantineFact(
                         suspect.fingerprint,
                         suspect.workspace_path,
-                        suspect.ends_count,
+                        suspect.crashes_count,
                         suspect.quarantined_at_seconds,
                     )
                 )
@@ -326,7 +326,7 @@
 def _describe_crashes(suspect: SuspectRequest) -> str:
     names = ", ".join(incarnation_key.upstream for incarnation_key in suspect.crashes)
     return (
-        f"{suspect.ends_count} upstreams crashed while running it, workspace "
+        f"{suspect.crashes_count} upstreams crashed while running it, workspace "
         f"{suspect.workspace_path}" + (f": {names}" if names else "")
     )
 
@@ -349,7 +349,10 @@
         elif isinstance(fact, _QuarantineFact):
             update.stopped.append(
                 StoppedRequest(
-                    fact.fingerprint, fact.workspace_path, age_seconds, fact.ends_count
+                    fact.fingerprint,
+                    fact.workspace_path,
+                    age_seconds,
+                    fact.crashes_count,
                 )
             )
         else:
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -65,7 +65,7 @@
     def __len__(self) -> int:
         return len(self._observations)
 
-    def knows(self, upstream: str) -> bool:
+    def has_observation(self, upstream: str) -> bool:
         """Return whether the upstream has announced a rate, even if it has ended."""
         return upstream in self._observations
 
@@ -82,11 +82,11 @@
             return None
         return observed.requests_per_second
 
-    def record_answer(
+    def record_response(
         self, upstream: str, observed: RateObservation, now_seconds: float
     ) -> None:
         """Record a rate from an answer to this host and publish it if it is new."""
-        has_changed = self.take(upstream, observed, "stated in its answer")
+        has_changed = self.record(upstream, observed, "stated in its answer")
         if self._observations.get(upstream) is not observed:
             return
         confirmed_at_seconds = self._confirmed_at.get(upstream, -math.inf)
@@ -104,7 +104,7 @@
                 now_seconds - reported.heard_age_seconds,
             )
             source = f"a peer got an answer {reported.heard_age_seconds:.3f} s ago"
-            self.take(reported.upstream, observed, source)
+            self.record(reported.upstream, observed, source)
             if self._observations.get(reported.upstream) is observed:
                 self._confirmed_at[reported.upstream] = now_seconds
 
@@ -144,7 +144,7 @@
         ]
         return RateLimitUpdate(rates) if rates else None
 
-    def take(self, upstream: str, observed: RateObservation, source: str) -> bool:
+    def record(self, upstream: str, observed: RateObservation, source: str) -> bool:
         """Record an observation; return whether the rate has changed."""
         known = self._observations.get(upstream)
         if known is not None and known.incarnation != observed.incarnation:
--- a/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_restored_trees.py
@@ -32,7 +32,7 @@
     """A tree with its store era, and the time from which it may be applied."""
 
     tree: Tree
-    due_at_seconds: float
+    applies_at_seconds: float
 
 
 @attrs.define(repr=False)
@@ -48,7 +48,7 @@
     #: The last pair found to be equal; a cache, since comparing full trees is slow.
     _equal: tuple[int, Tree] | None = None
 
-    def place(self, read: ReadTree, known: Tree, now_seconds: float) -> TreeOffer:
+    def make_offer(self, read: ReadTree, known: Tree, now_seconds: float) -> TreeOffer:
         """Return a read tree with its era, and the time from which it applies.
 
         ``known`` is the newest tree that this host has.
@@ -60,12 +60,12 @@
         if read.tree.revision > known.revision or self._is_equal(read, known):
             era = None if is_copied else self._era
             return TreeOffer(attrs.evolve(read.tree, store_era=era), now_seconds)
-        due_at_seconds = self._version_since_seconds + REWRITE_HOLD_SECONDS
+        applies_at_seconds = self._version_since_seconds + REWRITE_HOLD_SECONDS
         if is_copied:
-            due_at_seconds = self._began_at_seconds + COPY_HOLD_SECONDS
+            applies_at_seconds = self._began_at_seconds + COPY_HOLD_SECONDS
         return TreeOffer(
             attrs.evolve(read.tree, store_era=self._era),
-            max(now_seconds, due_at_seconds),
+            max(now_seconds, applies_at_seconds),
         )
 
     def _record_read(self, read: ReadTree, now_seconds: float) -> None:
--- a/packages/rampwick-policy/src/rampwick_policy/_roles.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_roles.py
@@ -80,9 +80,9 @@
         """Return a member by its name."""
         return self._members.get(name)
 
-    def learn(self, members: Iterable[Member]) -> list[Member]:
+    def merge(self, members: Iterable[Member]) -> list[Member]:
         """Merge member records; return those that are new or changed."""
-        learned = []
+        changed = []
         for member in members:
             known = self._members.get(member.name)
             if member.name == self.own.name or member == known:
@@ -90,10 +90,10 @@
             if known is not None and member.incarnation < known.incarnation:
                 continue
             self._members[member.name] = member
-            learned.append(member)
-        if learned:
+            changed.append(member)
+        if changed:
             self._forget_roles()
-        return learned
+        return changed
 
     def keep_only(self, names: Collection[str]) -> None:
         """Drop the members that are missing from an authoritative list."""
--- a/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
@@ -33,7 +33,7 @@
         self._states[kind, name] = state
         self._pending.append(StateChange(kind, name, before, state, reason))
 
-    def knows(self, kind: str, name: str) -> bool:
+    def has_state(self, kind: str, name: str) -> bool:
         """Return whether a state is recorded for an object."""
         return (kind, name) in self._states
 
--- a/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
@@ -28,7 +28,7 @@
 
     _placed: list[PlacedPrefix] = attrs.field(factory=list)
 
-    def take(self, summary: Summary) -> None:
+    def add(self, summary: Summary) -> None:
         """Collect the placements in the summary of one host."""
         self._placed += summary.placed
         del self._placed[:-MAX_PLACED]
--- a/packages/rampwick-policy/src/rampwick_policy/_targets.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_targets.py
@@ -48,7 +48,7 @@
                 self._note_estimated(target, now_seconds)
         self._note_unchanged(now_seconds - MAX_READING_AGE_SECONDS)
 
-    def read(
+    def apply_reading(
         self,
         targets: Iterable[WeightsTarget],
         read_at_seconds: float,
@@ -87,7 +87,7 @@
     def _note_unchanged(self, at_seconds: float) -> None:
         self.unchanged_until_seconds = max(self.unchanged_until_seconds, at_seconds)
 
-    def learn(self, named: Iterable[NamedWeights], now_seconds: float) -> None:
+    def merge_ages(self, named: Iterable[NamedWeights], now_seconds: float) -> None:
         """Merge target times observed by a peer; the earliest time applies."""
         for item in named:
             model, version = item.model, item.weights_version
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -299,7 +299,7 @@
         upstream.role = report.role
         return is_new
 
-    def is_leaving(self, upstream: Upstream, now_seconds: float) -> bool:
+    def is_draining(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether an upstream is shutting down, by its entry or its answers."""
         if upstream.is_shutting_down or upstream.entry.state == LEAVING_STATE:
             return True
@@ -342,7 +342,7 @@
         self, upstream: Upstream, now_seconds: float
     ) -> IneligibleReason | None:
         """Return why an upstream gets no new requests, or None if it is eligible."""
-        if self.is_leaving(upstream, now_seconds):
+        if self.is_draining(upstream, now_seconds):
             return IneligibleReason.LEAVING
         if now_seconds < upstream.paused_until_seconds:
             return IneligibleReason.PAUSED
@@ -374,13 +374,13 @@
         upstream = self._upstreams.get(name)
         return (
             upstream is not None
-            and not self.is_leaving(upstream, now_seconds)
+            and not self.is_draining(upstream, now_seconds)
             and not upstream.is_loading(now_seconds)
         )
 
     def may_recover_soon(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether an ineligible upstream may become eligible shortly."""
-        if self.is_leaving(upstream, now_seconds):
+        if self.is_draining(upstream, now_seconds):
             return False
         if now_seconds < upstream.unconfirmed_until_seconds:
             return False
@@ -393,7 +393,7 @@
 
     def describe(self, upstream: Upstream, now_seconds: float) -> str:
         """Return a short description of an upstream's state, for logs."""
-        if self.is_leaving(upstream, now_seconds):
+        if self.is_draining(upstream, now_seconds):
             return "leaving"
         if now_seconds < upstream.paused_until_seconds:
             return "paused"
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -254,7 +254,7 @@
             "fingerprint": suspect.fingerprint.hex(),
             "workspace": suspect.workspace_path,
             "state": tracker.quarantine_state(suspect.fingerprint).name.lower(),
-            "ends_count": suspect.ends_count,
+            "ends_count": suspect.crashes_count,
             "upstreams": [key.upstream for key in suspect.crashes],
             "refused_count": suspect.refused_count,
             "seen_seconds_ago": round(now_seconds - suspect.seen_at_seconds, 1),
--- a/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
+++ b/packages/rampwick-router/src/rampwick_router/_scheduler_task.py
@@ -109,7 +109,7 @@
 
     def has_request_rate(self, upstream: str) -> bool:
         """Return whether an upstream has reported a request rate limit recently."""
-        return self.rates.knows(upstream)
+        return self.rates.has_observation(upstream)
 
     def withdrawal(self, upstream: str, incarnation: str) -> IneligibleReason | None:
         """Return why a dispatched request must not be sent; None if it may be."""
@@ -202,7 +202,7 @@
     def _handle(self, event: Event, now_seconds: float) -> None:
         for action in self._scheduler.handle(event, now_seconds):
             self._execute(action, now_seconds)
-        if isinstance(event, RequestArrived) and self._scheduler.limits.has_surged(
+        if isinstance(event, RequestArrived) and self._scheduler.limits.has_burst(
             event.workspace, now_seconds
         ):
             self.on_burst()
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -108,11 +108,11 @@
         task.note_problem("")
         read = ReadTree(stored.tree, stored.store_version, stored.store_version)
         now_seconds = self._read_clock()
-        offer = self._restored.place(read, follower.head, now_seconds)
-        was_held, self._is_held = self._is_held, offer.due_at_seconds > now_seconds
+        offer = self._restored.make_offer(read, follower.head, now_seconds)
+        was_held, self._is_held = self._is_held, offer.applies_at_seconds > now_seconds
         if self._is_held:
             if not was_held:
-                _log_held(stored.tree, follower, offer.due_at_seconds - now_seconds)
+                _log_held(stored.tree, follower, offer.applies_at_seconds - now_seconds)
             return
         if was_held:
             _log_restored(stored.tree)
@@ -277,16 +277,16 @@
         now_seconds = self._read_clock()
         follower = self._task.follower
         read = ReadTree(tree, state.version, state.store_version)
-        offer = self._restored.place(read, follower.head, now_seconds)
-        if offer.due_at_seconds <= now_seconds:
+        offer = self._restored.make_offer(read, follower.head, now_seconds)
+        if offer.applies_at_seconds <= now_seconds:
             if self._is_held:
                 _log_restored(tree)
             self._due_at_seconds = math.inf
             return follower.offer_tree(offer.tree, "platform")
-        if offer.due_at_seconds != self._due_at_seconds:
-            self._due_at_seconds = offer.due_at_seconds
+        if offer.applies_at_seconds != self._due_at_seconds:
+            self._due_at_seconds = offer.applies_at_seconds
             self._has_due.set()
-            _log_held(tree, follower, offer.due_at_seconds - now_seconds)
+            _log_held(tree, follower, offer.applies_at_seconds - now_seconds)
         return False
 
 
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -133,7 +133,7 @@
                 log.problem(
                     "invalid upstream entry", entry=stored.key, error=str(error)
                 )
-        self._guard.take(
+        self._guard.apply(
             entries,
             state.version,
             state.is_after_failure,
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
@@ -82,7 +82,7 @@
         is_due = now_seconds >= self._renew_at_seconds
         if not self._may_try(is_candidate, now_seconds):
             return
-        if is_due and self.lease.may_take(now_seconds):
+        if is_due and self.lease.may_acquire(now_seconds):
             async with self._renewing:
                 # The lease may have been released while this task waited for the lock.
                 if self._may_try(is_candidate, self._read_clock()):
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -335,7 +335,7 @@
         for upstream in scheduler.upstreams
         if upstream.is_runner
         and upstream.last_generation is not None
-        and not scheduler.upstreams.is_leaving(upstream, now_seconds)
+        and not scheduler.upstreams.is_draining(upstream, now_seconds)
         and scheduler.pool.is_in_service(upstream)
     ]
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -171,9 +171,9 @@
         self._links.schedule_reconcile()
 
     def _list_wanted(self) -> list[Member]:
-        self.table.learn(listed_members(self._hosts.host_list))
+        self.table.merge(listed_members(self._hosts.host_list))
         if self.directory is not None:
-            self.table.learn(self.directory.members())
+            self.table.merge(self.directory.members())
         return self.table.wanted_links(self._read_clock())
 
     def _list_seeds(self) -> Iterable[str]:
@@ -201,7 +201,7 @@
         self._add_members([link.peer], link)
 
     def _add_members(self, members: Iterable[Member], link: Link) -> None:
-        added = self.table.learn(members)
+        added = self.table.merge(members)
         if added:
             if self._is_starting:
                 # Later only members seen alive count: some known members have left.
@@ -294,7 +294,7 @@
             return
         now_seconds = self._read_clock()
         relays = self.table.relays(own.hall, now_seconds)
-        report = self._listener.take(peer.name, update, relays, now_seconds)
+        report = self._listener.receive(peer.name, update, relays, now_seconds)
         if report is None:
             return
         self._sync.request_missing(link, update.summary)
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -60,12 +60,12 @@
 
     def add_host(self, summary: Summary) -> None:
         """Add the summary of a host of this hall."""
-        self._hall_aggregator.take(summary)
-        self._fleet_aggregator.take(summary)
+        self._hall_aggregator.add(summary)
+        self._fleet_aggregator.add(summary)
 
     def add_hall(self, summary: Summary) -> None:
         """Add the summary of another hall."""
-        self._fleet_aggregator.take(summary)
+        self._fleet_aggregator.add(summary)
 
     def publish_own(self, *, has_surged: bool = False) -> None:
         """Send this host's summary to every peer that needs it.
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -93,7 +93,7 @@
         ]
         own = next(member for member in members if member.name == own_name)
         table = MemberTable(own)
-        table.learn(members)
+        table.merge(members)
         links = RecordingLinks([member for member in members if member != own])
         self.posted = []
         names = {member.name for member in members} - {own_name}
--- a/tests/test_first_moments.py
+++ b/tests/test_first_moments.py
@@ -45,7 +45,7 @@
 
     def roles(self, member, clock):
         roles = Roles(member, EmptyFleet(), lambda: clock.now)
-        roles.table.learn(MEMBERS)
+        roles.table.merge(MEMBERS)
         return roles
 
     def readers(self, after_seconds):
--- a/tests/test_kind_watcher.py
+++ b/tests/test_kind_watcher.py
@@ -213,19 +213,19 @@
 
     def test_an_entry_removed_during_normal_operation_is_removed_at_once(self):
         guard = ExpiredEntryGuard()
-        guard.take([entry("a"), entry("b")], 5, False, 10.0)
-        guard.take([entry("a")], 6, False, 11.0)
+        guard.apply([entry("a"), entry("b")], 5, False, 10.0)
+        guard.apply([entry("a")], 6, False, 11.0)
         self.assertEqual(["a"], self.names(guard, 11.0))
         self.assertIsNone(guard.grace_end_seconds)
 
     def test_entries_that_expired_during_an_outage_are_retained_until_they_return(self):
         guard = ExpiredEntryGuard()
-        guard.take([entry("a"), entry("b"), entry("c")], 5, False, 10.0)
-        guard.take([], 20, True, 15.0)
+        guard.apply([entry("a"), entry("b"), entry("c")], 5, False, 10.0)
+        guard.apply([], 20, True, 15.0)
         self.assertEqual(["a", "b", "c"], self.names(guard, 15.0))
-        guard.take([entry("a")], 21, False, 15.5)
+        guard.apply([entry("a")], 21, False, 15.5)
         self.assertEqual(["a", "b", "c"], self.names(guard, 15.5))
-        guard.take([entry("a"), entry("b")], 22, False, 16.0)
+        guard.apply([entry("a"), entry("b")], 22, False, 16.0)
         held = guard.host_list(16.0)
         self.assertEqual(16.8, guard.grace_end_seconds)
         # Still missing at the end: removed, and the list gets a new version.
@@ -243,46 +243,46 @@
         without the runner and version 126 with it.
         """
         guard = ExpiredEntryGuard()
-        guard.take([entry("a"), entry("b")], 5, False, 10.0)
+        guard.apply([entry("a"), entry("b")], 5, False, 10.0)
         newest = HostList(17, [entry("a"), entry("c")])
-        guard.take([entry("a"), entry("c")], 9, True, 15.0, newest)
+        guard.apply([entry("a"), entry("c")], 9, True, 15.0, newest)
         self.assertEqual(["a", "c"], self.names(guard, 15.0))
         # Entries that expire from now on are retained as usual.
-        guard.take([entry("a")], 10, False, 15.2, guard.host_list(15.2))
+        guard.apply([entry("a")], 10, False, 15.2, guard.host_list(15.2))
         self.assertEqual(["a", "c"], self.names(guard, 15.3))
 
     def test_entries_missing_in_a_restored_copy_are_retained_until_they_return(self):
         """The watch fails with missing history, which does not count as an outage."""
         guard = ExpiredEntryGuard()
-        guard.take([entry("a"), entry("b"), entry("c", "leaving")], 50, False, 10.0)
-        guard.take([entry("a")], join_version(1, 20), False, 15.0)
+        guard.apply([entry("a"), entry("b"), entry("c", "leaving")], 50, False, 10.0)
+        guard.apply([entry("a")], join_version(1, 20), False, 15.0)
         self.assertEqual(["a", "b"], self.names(guard, 15.0))
         self.assertGreater(guard.host_list(15.0).version, 2 * 50 + 1)
-        guard.take([entry("a")], join_version(1, 21), False, 15.5)
+        guard.apply([entry("a")], join_version(1, 21), False, 15.5)
         self.assertEqual(["a", "b"], self.names(guard, 16.7))
         self.assertEqual(["a"], self.names(guard, 16.8))
 
     def test_a_second_restore_within_seconds_is_detected(self):
         guard = ExpiredEntryGuard()
-        guard.take([entry("a"), entry("b")], 50, False, 10.0)
-        guard.take([entry("a")], join_version(1, 20), False, 15.0)
-        guard.take([], join_version(4, 20), False, 16.0)
+        guard.apply([entry("a"), entry("b")], 50, False, 10.0)
+        guard.apply([entry("a")], join_version(1, 20), False, 15.0)
+        guard.apply([], join_version(4, 20), False, 16.0)
         self.assertEqual(["a", "b"], self.names(guard, 17.7))
 
     def test_a_late_reader_retains_the_entries_that_others_retain(self):
         guard = ExpiredEntryGuard()
-        guard.take([entry("a"), entry("b")], 50, False, 10.0)
+        guard.apply([entry("a"), entry("b")], 50, False, 10.0)
         others = HostList(join_version(1, 2 * 20), [entry("a"), entry("b"), entry("c")])
-        guard.take([entry("a")], join_version(1, 21), False, 15.0, others)
+        guard.apply([entry("a")], join_version(1, 21), False, 15.0, others)
         self.assertEqual(["a", "b", "c"], self.names(guard, 15.0))
 
     def test_a_host_that_starts_after_a_restore_retains_no_entries(self):
         guard = ExpiredEntryGuard()
-        guard.take([entry("a")], join_version(2, 20), False, 15.0)
+        guard.apply([entry("a")], join_version(2, 20), False, 15.0)
         self.assertIsNone(guard.grace_end_seconds)
 
     def test_entries_that_were_leaving_are_not_retained(self):
         guard = ExpiredEntryGuard()
-        guard.take([entry("a", "leaving"), entry("b")], 5, False, 10.0)
-        guard.take([], 20, True, 15.0)
+        guard.apply([entry("a", "leaving"), entry("b")], 5, False, 10.0)
+        guard.apply([], 20, True, 15.0)
         self.assertEqual(["b"], self.names(guard, 15.0))
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -182,7 +182,7 @@
 def make_limiter(local_view, rate, at=0.0, alive_ratio=1.0):
     """Return the rate limiter of a host that has the rate of one upstream."""
     rates = RequestRates(StateChangeTracker())
-    rates.take("u", RateObservation("", rate, at, at), "test")
+    rates.record("u", RateObservation("", rate, at, at), "test")
     return UpstreamRateLimiter(rates, local_view, lambda now_seconds: alive_ratio)
 
 
@@ -284,15 +284,15 @@
         upstream = make_upstream()
         self.assertFalse(limiter.may_send(upstream, 0.0))
         self.assertTrue(limiter.may_send(upstream, 1.0))
-        limiter.rates.take("u", RateObservation("", 0.5, 0.95, 1.0), "test")
+        limiter.rates.record("u", RateObservation("", 0.5, 0.95, 1.0), "test")
         for _ in range(int(BURST_COUNT)):
             self.assertTrue(limiter.may_send(upstream, 1.0))
             limiter.note_sent(upstream, 1.0)
         self.assertFalse(limiter.may_send(upstream, 2.9))
-        limiter.rates.take("u", RateObservation("", 10.0, 2.0, 2.9), "test")
+        limiter.rates.record("u", RateObservation("", 10.0, 2.0, 2.9), "test")
         self.assertFalse(limiter.may_send(upstream, 2.9))
         self.assertTrue(limiter.may_send(upstream, 3.0))
-        limiter.rates.take("u", RateObservation("", None, 2.95, 3.0), "test")
+        limiter.rates.record("u", RateObservation("", None, 2.95, 3.0), "test")
         limiter.note_sent(upstream, 3.0)
         self.assertTrue(limiter.may_send(upstream, 3.0))
 
@@ -309,7 +309,7 @@
 
     def answer(self, rate, at, sent_at=None):
         sent_at = at if sent_at is None else sent_at
-        self.one.record_answer("u", RateObservation("1", rate, sent_at, at), at)
+        self.one.record_response("u", RateObservation("1", rate, sent_at, at), at)
 
     def test_a_rate_is_published_at_once_and_retransmitted(self):
         self.answer(1.8, 1.0)
@@ -429,7 +429,7 @@
         live = LivePeers(frozenset({"e9"}), frozenset({"e9"}), frozenset({"trnava"}))
         session.do(0.0, PeersChanged(live, is_leaving=True))
         rates = RequestRates(StateChangeTracker())
-        rates.take("lektor-1", RateObservation("one", 1.0, 0.0, 0.0), "test")
+        rates.record("lektor-1", RateObservation("one", 1.0, 0.0, 0.0), "test")
         session.do(0.0, RateLimitUpdateReceived(rates.initial_state(0.0)))
         (refusal,) = session.arrive(0.1, "r0", latency_target_seconds=2.0)
         self.assertEqual("upstreams_at_rate", refusal.reason)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -104,7 +104,7 @@
         tables = []
         for member in members:
             table = MemberTable(member)
-            table.learn(members)
+            table.merge(members)
             tables.append(table)
         table = next(item for item in tables if not item.is_reader(live))
         host = Host()
@@ -155,7 +155,7 @@
             host = Host()
             table = MemberTable(member)
             if knows_others:
-                table.learn(members)
+                table.merge(members)
             role = ReaderRole(
                 table,
                 set,
@@ -225,7 +225,7 @@
         ranked = {}
         for member in members:
             table = MemberTable(member)
-            table.learn(members)
+            table.merge(members)
             ranked[table.rank({member.name for member in members})] = member
         return [ranked[rank] for rank in sorted(ranked)]
 
@@ -236,7 +236,7 @@
 
         async def main():
             daemon = make_daemon(third)
-            daemon._gossip.table.learn(members)
+            daemon._gossip.table.merge(members)
             for rank, member in enumerate(members):
                 if member != third:
                     summary = Summary(1, 1, 1, rank < leaving_count, [], [], [])
@@ -364,19 +364,19 @@
 
     def test_a_change_between_two_reads_is_observed(self):
         weights = self.weights()
-        weights.read([self.OLD], 100.0, 100.0)
-        weights.read([self.NEW], 103.0, 103.1)
+        weights.apply_reading([self.OLD], 100.0, 100.0)
+        weights.apply_reading([self.NEW], 103.0, 103.1)
         self.assertEqual((1.0, True), self.state(weights, 104.1))
 
     def test_a_change_after_a_pause_is_assumed_within_the_pause(self):
         weights = self.weights()
-        weights.read([self.OLD], 100.0, 100.0)
-        weights.read([self.NEW], 109.0, 109.0)
+        weights.apply_reading([self.OLD], 100.0, 100.0)
+        weights.apply_reading([self.NEW], 109.0, 109.0)
         self.assertEqual((9.0, False), self.state(weights, 109.0))
 
     def test_a_report_without_a_time_is_no_observation(self):
         weights = self.weights()
-        weights.read([self.OLD], 100.0, 100.0)
+        weights.apply_reading([self.OLD], 100.0, 100.0)
         weights.apply([self.NEW], 101.0)
         self.assertEqual((1.0, False), self.state(weights, 101.0))
 
@@ -388,9 +388,9 @@
 
     def test_a_read_long_ago_is_not_the_time_of_a_change(self):
         weights = self.weights()
-        weights.read([self.OLD], 100.0, 100.0)
+        weights.apply_reading([self.OLD], 100.0, 100.0)
         weights.apply([self.OLD], 160.0)
-        weights.read([self.NEW], 160.7, 160.7, is_after_failure=True)
+        weights.apply_reading([self.NEW], 160.7, 160.7, is_after_failure=True)
         self.assertEqual((4.7, False), self.state(weights, 160.7))
 
 
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -79,18 +79,18 @@
         super().setUp()
         self.listener = RelayListener(OWN)
 
-    def take(self, relay, message, at):
-        return self.listener.take(relay, message, RELAYS, at)
+    def receive(self, relay, message, at):
+        return self.listener.receive(relay, message, RELAYS, at)
 
     def test_own_load_is_not_counted_as_load_of_peers(self):
         self.listener.note_published(summary(1, running=3), 10.0)
-        report = self.take("first", fleet_summary(summary(5, running=8)), 10.2)
+        report = self.receive("first", fleet_summary(summary(5, running=8)), 10.2)
         self.assertEqual(5, report.summary.upstreams[0].running_count)
 
     def test_the_subtracted_summary_is_the_one_that_the_relay_received(self):
         self.listener.note_published(summary(1, running=3), 10.0)
         self.listener.note_published(summary(2, running=7), 10.2)
-        report = self.take(
+        report = self.receive(
             "first", fleet_summary(summary(5, running=8), own_sequence=1), 10.3
         )
         self.assertEqual(5, report.summary.upstreams[0].running_count)
@@ -99,32 +99,32 @@
         self.listener.note_published(summary(1), 10.0)
         self.listener.note_published(summary(2), 10.2)
         message = fleet_summary(summary(5), own_sequence=1)
-        self.assertEqual(10.0, self.take("first", message, 10.3).own_sent_at_seconds)
+        self.assertEqual(10.0, self.receive("first", message, 10.3).own_sent_at_seconds)
 
     def test_without_an_own_summary_in_the_sum_ages_are_ignored(self):
         message = fleet_summary(summary(5), names=("peer",))
-        self.assertIsNone(self.take("first", message, 10.3).own_sent_at_seconds)
+        self.assertIsNone(self.receive("first", message, 10.3).own_sent_at_seconds)
         other_incarnation = attrs.evolve(OWN, incarnation=6)
         listener = RelayListener(other_incarnation)
         listener.note_published(summary(1), 10.0)
-        report = listener.take("first", fleet_summary(summary(5)), RELAYS, 10.3)
+        report = listener.receive("first", fleet_summary(summary(5)), RELAYS, 10.3)
         self.assertIsNone(report.own_sent_at_seconds)
 
     def test_only_one_of_two_relays_is_active(self):
-        self.assertIsNotNone(self.take("first", fleet_summary(summary(1)), 10.0))
-        self.assertIsNone(self.take("second", fleet_summary(summary(1)), 10.1))
+        self.assertIsNotNone(self.receive("first", fleet_summary(summary(1)), 10.0))
+        self.assertIsNone(self.receive("second", fleet_summary(summary(1)), 10.1))
         # The second relay becomes active once the first is unresponsive.
-        self.assertIsNotNone(self.take("second", fleet_summary(summary(2)), 11.2))
+        self.assertIsNotNone(self.receive("second", fleet_summary(summary(2)), 11.2))
         # The first relay is active again with its next message.
-        self.assertIsNotNone(self.take("first", fleet_summary(summary(9)), 11.3))
+        self.assertIsNotNone(self.receive("first", fleet_summary(summary(9)), 11.3))
 
     def test_accepted_summaries_have_increasing_sequences(self):
-        one = self.take("first", fleet_summary(summary(9)), 10.0)
-        two = self.take("second", fleet_summary(summary(1)), 11.2)
+        one = self.receive("first", fleet_summary(summary(9)), 10.0)
+        two = self.receive("second", fleet_summary(summary(1)), 11.2)
         self.assertGreater(two.summary.sequence, one.summary.sequence)
 
     def test_listed_hosts_count_as_alive_for_a_while(self):
-        self.take("first", fleet_summary(summary(1), leaving=("peer",)), 10.0)
+        self.receive("first", fleet_summary(summary(1), leaving=("peer",)), 10.0)
         live_peers = self.listener.live_peers(11.0)
         self.assertEqual({"peer"}, live_peers.alive)
         self.assertEqual(frozenset(), live_peers.not_draining)
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -19,8 +19,8 @@
         self.state_changes = StateChangeTracker()
         self.rates = RequestRates(self.state_changes)
 
-    def take(self, rate, sent, received, incarnation="1"):
-        return self.rates.take(
+    def record(self, rate, sent, received, incarnation="1"):
+        return self.rates.record(
             "u", RateObservation(incarnation, rate, sent, received), "test"
         )
 
@@ -28,52 +28,52 @@
         return self.rates.rate("u", incarnation, now)
 
     def test_a_rate_applies_until_a_later_answer_has_none(self):
-        self.assertTrue(self.take(1.8, 0.9, 1.0))
+        self.assertTrue(self.record(1.8, 0.9, 1.0))
         self.assertEqual(1.8, self.rate(1.0))
-        self.assertTrue(self.take(None, 1.1, 1.2))
+        self.assertTrue(self.record(None, 1.1, 1.2))
         self.assertIs(None, self.rate(1.2))
 
     def test_an_answer_to_an_earlier_request_does_not_end_a_rate(self):
-        self.take(1.8, 0.9, 1.0)
-        self.assertFalse(self.take(None, 0.5, 1.3))
+        self.record(1.8, 0.9, 1.0)
+        self.assertFalse(self.record(None, 0.5, 1.3))
         self.assertEqual(1.8, self.rate(1.3))
 
     def test_a_late_older_answer_does_not_restore_an_ended_rate(self):
-        self.take(1.8, 0.9, 1.0)
-        self.take(None, 1.1, 1.2)
-        self.assertFalse(self.take(1.8, 0.2, 1.5))
+        self.record(1.8, 0.9, 1.0)
+        self.record(None, 1.1, 1.2)
+        self.assertFalse(self.record(1.8, 0.2, 1.5))
         self.assertIs(None, self.rate(1.5))
-        self.assertTrue(self.take(0.4, 1.3, 1.6))
+        self.assertTrue(self.record(0.4, 1.3, 1.6))
         self.assertEqual(0.4, self.rate(1.6))
 
     def test_of_two_rates_the_one_that_arrived_last_applies(self):
-        self.take(1.8, 0.9, 1.0)
-        self.assertTrue(self.take(0.5, 0.1, 1.1))
-        self.assertFalse(self.take(1.8, 0.9, 1.0))
+        self.record(1.8, 0.9, 1.0)
+        self.assertTrue(self.record(0.5, 0.1, 1.1))
+        self.assertFalse(self.record(1.8, 0.9, 1.0))
         self.assertEqual(0.5, self.rate(1.1))
 
     def test_another_incarnation_has_no_rate(self):
-        self.take(1.8, 0.9, 1.0)
+        self.record(1.8, 0.9, 1.0)
         self.assertIs(None, self.rate(1.0, incarnation="2"))
-        self.assertFalse(self.take(None, 0.1, 1.1, incarnation="2"))
-        self.assertTrue(self.take(3.0, 0.1, 1.2, incarnation="2"))
+        self.assertFalse(self.record(None, 0.1, 1.1, incarnation="2"))
+        self.assertTrue(self.record(3.0, 0.1, 1.2, incarnation="2"))
 
     def test_an_unconfirmed_rate_expires(self):
-        self.take(1.8, 0.9, 1.0)
+        self.record(1.8, 0.9, 1.0)
         self.assertEqual(1.8, self.rate(1.0 + STALE_SECONDS))
         self.assertIs(None, self.rate(1.1 + STALE_SECONDS))
 
     def test_an_expired_rate_is_dropped(self):
-        self.take(1.8, 0.9, 1.0)
+        self.record(1.8, 0.9, 1.0)
         self.rates.sweep(1.0 + 2.0 * STALE_SECONDS)
-        self.assertTrue(self.rates.knows("u"))
+        self.assertTrue(self.rates.has_observation("u"))
         self.rates.sweep(1.1 + 2.0 * STALE_SECONDS)
-        self.assertFalse(self.rates.knows("u"))
+        self.assertFalse(self.rates.has_observation("u"))
         self.assertEqual(0, len(self.rates))
 
     def test_start_change_and_end_of_a_rate_are_state_changes(self):
         for rate, at in ((1.8, 1.0), (1.8, 2.0), (0.5, 3.0), (None, 4.0)):
-            self.take(rate, at, at)
+            self.record(rate, at, at)
         self.assertEqual(
             [
                 "limited to 1.8 requests per second",
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -124,7 +124,7 @@
             if version == 2:
                 announce_shutdown(session, 1.5, "a", incarnation="")
         upstream = session.scheduler.upstreams.get("a")
-        self.assertTrue(session.scheduler.upstreams.is_leaving(upstream, 4.0))
+        self.assertTrue(session.scheduler.upstreams.is_draining(upstream, 4.0))
 
     def test_next_incarnation_gets_requests(self):
         session = Session(runners=1, slots=8)
@@ -141,7 +141,7 @@
         session.do(1.1, LeavingUpdateReceived(update))
         session.report(2.0, "lektor-1", incarnation="one", slots=8)
         upstreams = session.scheduler.upstreams
-        self.assertTrue(upstreams.is_leaving(upstreams.get("lektor-1"), 2.0))
+        self.assertTrue(upstreams.is_draining(upstreams.get("lektor-1"), 2.0))
 
     def test_closed_connections_of_a_draining_upstream_are_no_crash(self):
         session = Session(runners=1, slots=8)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -44,7 +44,7 @@
 
 def table_of(own, members):
     table = MemberTable(own)
-    table.learn(members)
+    table.merge(members)
     return table
 
 
@@ -148,14 +148,14 @@
         old, other = fleet(halls=1, per_hall=2)
         table = MemberTable(other)
         new = attrs.evolve(old, incarnation=2, address="10.9.9.9:1")
-        self.assertEqual([new], table.learn([new]))
-        self.assertEqual([], table.learn([old]))
+        self.assertEqual([new], table.merge([new]))
+        self.assertEqual([], table.merge([old]))
         self.assertEqual(new, table.get(old.name))
 
     def test_a_host_ignores_reports_about_itself(self):
         own, _ = fleet(halls=1, per_hall=2)
         table = MemberTable(own)
-        self.assertEqual([], table.learn([attrs.evolve(own, incarnation=9)]))
+        self.assertEqual([], table.merge([attrs.evolve(own, incarnation=9)]))
         self.assertEqual(own, table.get(own.name))
 
 
@@ -198,7 +198,7 @@
         aggregator = SummaryAggregator()
         placed = [PlacedPrefix("r", "one/1", [b"12345678"], [5])]
         for number in range(1000):
-            aggregator.take(summary(number, placed=placed))
+            aggregator.add(summary(number, placed=placed))
         first = aggregator.merge([], 1)
         self.assertLessEqual(len(first.placed), 512)
         self.assertEqual([], aggregator.merge([], 2).placed)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -272,15 +272,15 @@
         lease.observe_announcement("one", 5, 10.2)
         # The same version again is no renewal.
         lease.observe_announcement("one", 5, 12.0)
-        self.assertFalse(lease.may_take(13.9))
-        self.assertTrue(lease.may_take(14.0))
+        self.assertFalse(lease.may_acquire(13.9))
+        self.assertTrue(lease.may_acquire(14.0))
         # The last order of the first holder arrives at 10.0 + 0.8 at the latest.
         self.assertGreaterEqual(14.0 - 10.8, 3.0)
 
     def test_a_released_lease_is_free_after_its_recorded_duration(self):
         lease = LeaseWatcher("two", 3.8, 0.8)
         lease.observe(LeaseRecord("", "", 0.0), 6, 10.0)
-        self.assertTrue(lease.may_take(10.0))
+        self.assertTrue(lease.may_acquire(10.0))
         lease.observe(LeaseRecord("", "", 2.4), 7, 11.0)
-        self.assertFalse(lease.may_take(13.3))
-        self.assertTrue(lease.may_take(13.4))
+        self.assertFalse(lease.may_acquire(13.3))
+        self.assertTrue(lease.may_acquire(13.4))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -181,7 +181,7 @@
         changes = CacheChanges("r/1", (b"x" * 8, b"y" * 8), (2500, 3700))
         scheduler.post(CacheReported("r", (changes,)))
         table = MemberTable(Member("e", "h", "e:1"))
-        table.learn(Member(f"k{n}", "h", f"k{n}:1") for n in range(hosts_count - 1))
+        table.merge(Member(f"k{n}", "h", f"k{n}:1") for n in range(hosts_count - 1))
         outbox = CacheOutbox(table, None, scheduler, set)
         outbox.list_read_caches = lambda: names
         return outbox
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -51,10 +51,10 @@
         self.assertEqual(0, self.count_new_requests())
 
     def test_table_that_ignores_the_state_is_detected(self):
-        def is_leaving(self, upstream, now_seconds):
+        def is_draining(self, upstream, now_seconds):
             return False
 
-        with mock.patch.object(UpstreamTable, "is_leaving", is_leaving):
+        with mock.patch.object(UpstreamTable, "is_draining", is_draining):
             self.assertNotEqual(0, self.count_new_requests())
 
     def test_host_without_platform_receives_the_state_from_a_peer(self):
--- a/tests/test_upstream_restarts.py
+++ b/tests/test_upstream_restarts.py
@@ -150,8 +150,8 @@
 
     def test_restart_during_an_outage_leaves_no_expired_entry(self):
         guard = ExpiredEntryGuard()
-        guard.take([self.old], 1, False, 1.0)
-        guard.take([self.new], 5, True, 9.0)
+        guard.apply([self.old], 1, False, 1.0)
+        guard.apply([self.new], 5, True, 9.0)
         self.assertEqual([self.new], guard.host_list(9.0).hosts)
 
 
