--- a/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_dispatcher.py
@@ -209,12 +209,12 @@
             return DeadlineUnreachable(item)
         if not is_late and answer_start_seconds > latest_answer_start_seconds(item):
             return None
-        terms = (arrival.service, choice, views, fairness_key)
+        arguments = (arrival.service, choice, views, fairness_key)
         if is_late:
             queue_ratio = late_queue_ratio(item, now_seconds)
-            may_dispatch = capacity.may_dispatch_late(*terms, queue_ratio)
+            may_dispatch = capacity.may_dispatch_late(*arguments, queue_ratio)
         else:
-            may_dispatch = capacity.may_dispatch(*terms)
+            may_dispatch = capacity.may_dispatch(*arguments)
         if not may_dispatch:
             return None
         if item.needs_budget:
@@ -250,7 +250,9 @@
         attempt_id = f"{item.request_id}.{item.lifecycle.attempts_count + 1}"
         self._queue.remove(item)
         is_rerun = item.lifecycle.run_state >= RunState.MAYBE_RUN
-        item.counted = self._pool.limits.note_sent(item.counted, is_rerun, now_seconds)
+        item.limit_charges = self._pool.limits.note_sent(
+            item.limit_charges, is_rerun, now_seconds
+        )
         item.lifecycle.start(attempt_id)
         item.needs_budget = False
         item.upstream = upstream.name
@@ -303,8 +305,8 @@
         tokens = choice.imported_tokens or speculative_import_tokens(
             item.arrival.chain, choice.cached_tokens
         )
-        move = CacheTransfer(choice.import_source.name, choice.upstream, tokens)
-        self._pool.cache_transfers.begin(attempt_id, move)
+        transfer = CacheTransfer(choice.import_source.name, choice.upstream, tokens)
+        self._pool.cache_transfers.begin(attempt_id, transfer)
 
 
 def _measures_prefill_speed(choice: Choice) -> bool:
--- a/packages/rampwick-policy/src/rampwick_policy/_evidence.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_evidence.py
@@ -14,7 +14,7 @@
     quarantine_state: str,
     pool: Pool,
     waiting_count: int,
-    saved_retries: float,
+    retry_balance: float,
     now_seconds: float,
 ) -> str:
     """Return a refused request's wait, its attempts and the states of its upstreams."""
@@ -25,7 +25,7 @@
         f"waited {waited_seconds:.3f} s, {left_seconds:.3f} s left; "
         f"{lifecycle.attempts_count} attempts, {lifecycle.runs_count} may have run; "
         f"{waiting_count} queued on this host; "
-        f"retry budget {saved_retries:.1f}; "
+        f"retry budget {retry_balance:.1f}; "
         f"upstreams: {_describe_upstreams(item, pool, now_seconds)}"
         + (f"; {quarantine_state}" if quarantine_state else "")
     )
--- a/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_fleet_limit.py
@@ -74,7 +74,7 @@
     over_ratio: float
     slack_tokens: float
     #: Share of the limit that the hosts which reach each other may use.
-    part_ratio: float = 1.0
+    share_ratio: float = 1.0
     #: Part of the window for which no live host has usage data.
     unknown_seconds: float = 0.0
 
@@ -251,9 +251,11 @@
     def _make_forecast(
         self, parameters: LimitParameters, now_seconds: float
     ) -> _Forecast:
-        demand_elsewhere = self._reports.asked_tokens
+        demand_elsewhere = self._reports.demand_per_second
         demand = self._demand_per_second(now_seconds) + demand_elsewhere
-        expiring = self._expiring_per_second(now_seconds) + self._reports.leaving_tokens
+        expiring = (
+            self._expiring_per_second(now_seconds) + self._reports.expiring_per_second
+        )
         target, ceiling = self._bounds(demand, parameters)
         used = self.used_tokens(parameters, now_seconds)
         if self._allowance is not None:
@@ -261,7 +263,7 @@
             used = max(min(used, target), used - exempt)
         headroom = target - used
         if parameters.unknown_seconds:
-            expiring += self._refill * parameters.part_ratio
+            expiring += self._refill * parameters.share_ratio
             headroom = self._headroom_with_unknown(headroom, used, parameters)
         expected_elsewhere = max(0.0, demand_elsewhere - expiring) * CONVERGENCE_SECONDS
         return _Forecast(
@@ -285,8 +287,8 @@
         known_seconds = parameters.window_seconds - parameters.unknown_seconds
         fresh = self._refill * (known_seconds + START_BURST_SECONDS)
         return max(
-            headroom - sent * parameters.part_ratio,
-            fresh * parameters.part_ratio - used,
+            headroom - sent * parameters.share_ratio,
+            fresh * parameters.share_ratio - used,
         )
 
     def _bounds(
@@ -300,7 +302,7 @@
             limit + (ceiling - limit) * MAX_TARGET_RATIO,
         )
         target = max(limit, target)
-        return target * parameters.part_ratio, ceiling * parameters.part_ratio
+        return target * parameters.share_ratio, ceiling * parameters.share_ratio
 
     def is_binding(self, now_seconds: float) -> bool:
         """Return whether the limit has recently caused a refusal."""
@@ -309,7 +311,7 @@
     def used_tokens(self, parameters: LimitParameters, now_seconds: float) -> float:
         """Return the estimated tokens that all hosts have sent within the window."""
         # Unreachable hosts use the remaining share of the limit.
-        only_fresh = parameters.part_ratio < 1.0
+        only_fresh = parameters.share_ratio < 1.0
         return self._sent.total(now_seconds) + self._reports.sent_tokens(
             self.admit_ratio, only_fresh, now_seconds
         )
--- a/packages/rampwick-policy/src/rampwick_policy/_intake.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_intake.py
@@ -28,7 +28,7 @@
 
     reason: str
     #: Path whose limit is reached, if the reason is a limit.
-    peer: str = ""
+    limit_path: str = ""
     #: Time until there is capacity again, if the reason determines it.
     retry_after_seconds: float | None = None
 
@@ -88,10 +88,10 @@
             return Rejection(
                 postponed.reason, retry_after_seconds=postponed.retry_after_seconds
             )
-        counted = self._limits.admit(event, now_seconds)
-        if isinstance(counted, OverLimit):
-            return Rejection(OVER_LIMIT, counted.path, counted.retry_after_seconds)
-        item.counted = counted
+        charges = self._limits.admit(event, now_seconds)
+        if isinstance(charges, OverLimit):
+            return Rejection(OVER_LIMIT, charges.path, charges.retry_after_seconds)
+        item.limit_charges = charges
         limit_path = self._admission.reached_limit(event.workspace)
         if limit_path:
             return Rejection(QUEUE_FULL, limit_path)
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_reports.py
@@ -12,9 +12,9 @@
 EXTRAPOLATION_SECONDS = 1.0
 ALIVE_SECONDS = 3.0
 
-#: Drop in the sum that a peer reports, beyond what expired, that is attributed to hosts
-#: that crashed; requests that they sent still count. A smaller drop is a host that is
-#: missing from one report only.
+#: Minimum unexplained drop in the sum that a peer reports, as a share of the sum, that
+#: is attributed to crashed hosts; the requests that they sent still count. A smaller
+#: drop is attributed to a host that is only missing from one report.
 LOST_RATIO = 0.1
 
 
@@ -87,12 +87,12 @@
                 del self._reports[peer]
 
     @property
-    def asked_tokens(self) -> float:
+    def demand_per_second(self) -> float:
         """Demand at the peers, in tokens per second."""
         return sum(report.usage.asked_tokens for report in self._reports.values())
 
     @property
-    def leaving_tokens(self) -> float:
+    def expiring_per_second(self) -> float:
         """Tokens per second that expire from the windows of the peers."""
         return sum(report.usage.leaving_tokens for report in self._reports.values())
 
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -207,8 +207,8 @@
     def note_members(self, count: int, now_seconds: float) -> None:
         """Record the number of known hosts, whether alive or not.
 
-        A host that has just started and has no peers yet must not take itself for the
-        whole fleet.
+        A host that has just started and has no peers yet must not consider itself
+        the whole fleet.
         """
         if count > self._max_hosts_count:
             self._max_hosts_count = count
@@ -243,7 +243,7 @@
             allowed_tokens(limit.limit, parameters.window_seconds),
             limit.used_tokens(parameters, now_seconds),
             limit.admit_ratio,
-            parameters.part_ratio,
+            parameters.share_ratio,
             limit.is_binding(now_seconds),
         )
 
@@ -254,7 +254,7 @@
             for path, limit in sorted(self._limits.items())
         ]
 
-    def part_ratio(self, now_seconds: float) -> float:
+    def share_ratio(self, now_seconds: float) -> float:
         """Return the share of each limit that the live hosts may use."""
         ratio = self._hosts_count / self._max_hosts_count
         missing_seconds = now_seconds - self._max_hosts_at_seconds
@@ -269,13 +269,13 @@
             settings.window_seconds,
             settings.over_ratio,
             settings.slack_tokens,
-            self.part_ratio(now_seconds),
+            self.share_ratio(now_seconds),
             max(0.0, settings.window_seconds - known_seconds),
         )
 
 
 def _charged_tokens(limit: LimitedNode, event: ev.RequestArrived) -> float:
-    """Return the charge of a request: the count its caller names, not its real cost."""
+    """Return the charge of a request: its declared size, whatever its actual cost."""
     if limit.counts_requests:
         return 1.0
     if event.declared_tokens is not None:
--- a/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_open_requests.py
@@ -148,5 +148,5 @@
     def _refund(self, item: QueuedRequest) -> None:
         """Refund the limit charges of a request that certainly did not run."""
         if item.lifecycle.run_state <= RunState.REFUSED:
-            self._pool.limits.refund(item.counted)
-            item.counted = []
+            self._pool.limits.refund(item.limit_charges)
+            item.limit_charges = []
--- a/packages/rampwick-policy/src/rampwick_policy/_placement.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_placement.py
@@ -127,7 +127,7 @@
     """
 
     def __init__(self, cache_index: CacheLookup, import_price: float = 0.0) -> None:
-        self._prefix_cache_index = cache_index
+        self._cache_index = cache_index
         self._import_price = import_price
 
     def choose(
@@ -159,7 +159,7 @@
         sources: Sequence[ImportSource],
     ) -> Choice:
         cached = min(
-            self._prefix_cache_index.cached_tokens(runner.name, chain),
+            self._cache_index.cached_tokens(runner.name, chain),
             chain.total_tokens,
         )
         source = best_source(
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -78,7 +78,7 @@
         self.rate_limiter = UpstreamRateLimiter(
             self.rates,
             LocalView(settings.host.name, settings.host.hall),
-            self.limits.part_ratio,
+            self.limits.share_ratio,
         )
         self.caches = CacheTracker(
             settings.placement.known_prefixes_count, self.upstreams, self.peers
@@ -91,9 +91,9 @@
             ev.ProbeFailed: self._on_probe_failed,
             ev.HostListRead: self._on_host_list,
             ev.PeerSummaryReceived: self._on_peer_summary,
-            ev.PeerRemoved: self._on_peer_gone,
+            ev.PeerRemoved: self._on_peer_removed,
             ev.WeightsReported: self._on_weights,
-            ev.WeightsLoadOrdered: self._on_load,
+            ev.WeightsLoadOrdered: self._on_load_ordered,
             ev.TargetsReceived: self._on_targets,
             ev.CacheReported: self.caches.apply_changes,
             ev.RateLimitReported: self._on_rate_limit_reported,
@@ -196,9 +196,9 @@
     def expire_peers(self, now_seconds: float) -> None:
         """Drop peers that have been unresponsive for too long."""
         for view in self.peers.expire(now_seconds):
-            silent_seconds = now_seconds - view.last_seen_seconds
+            unresponsive_seconds = now_seconds - view.last_seen_seconds
             self.state_changes.forget(
-                "peer", view.name, f"no message for {silent_seconds:.1f} s"
+                "peer", view.name, f"no message for {unresponsive_seconds:.1f} s"
             )
 
     def update_limit_states(self, now_seconds: float) -> None:
@@ -276,7 +276,9 @@
                 upstream, "its weights version was reported", now_seconds
             )
 
-    def _on_load(self, event: ev.WeightsLoadOrdered, now_seconds: float) -> None:
+    def _on_load_ordered(
+        self, event: ev.WeightsLoadOrdered, now_seconds: float
+    ) -> None:
         upstream = self.upstreams.get(event.upstream)
         if upstream is None or event.weights_version < upstream.load_version:
             return
@@ -340,7 +342,7 @@
             upstream = self.upstreams.get(incarnation.upstream)
             if upstream is not None:
                 self._record_state(
-                    upstream, "announced in an answer to a peer", now_seconds
+                    upstream, "announced in a response to a peer", now_seconds
                 )
 
     def _pause(
@@ -374,7 +376,7 @@
             is_leaving=event.is_leaving,
         )
 
-    def _on_peer_gone(self, event: ev.PeerRemoved, now_seconds: float) -> None:
+    def _on_peer_removed(self, event: ev.PeerRemoved, now_seconds: float) -> None:
         self.peers.drop(event.name)
         self.ledger.replace_peer_usage(event.name, (), now_seconds)
         self.limits.forget(event.name)
--- a/packages/rampwick-policy/src/rampwick_policy/_queue.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_queue.py
@@ -34,7 +34,7 @@
     sent_at_seconds: float = 0.0
     charged_tokens: float = 0.0
     #: Charges against the token limits.
-    counted: list[LimitCharge] = attrs.field(factory=list)
+    limit_charges: list[LimitCharge] = attrs.field(factory=list)
     #: Since when and why no upstream can be used for it; unset while one can.
     blocked_since_seconds: float | None = None
     blocked_reason: str = ""
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -205,7 +205,7 @@
                     item,
                     rejection.reason,
                     now_seconds,
-                    rejection.peer,
+                    rejection.limit_path,
                     rejection.retry_after_seconds,
                 )
             ]
@@ -319,7 +319,7 @@
                 actions += self._on_failed(failed, now_seconds)
         return actions
 
-    # Upstreams, peers and time.
+    # Upstreams and peers.
 
     def _on_pool_event(self, event: PoolEvent, now_seconds: float) -> list[ev.Action]:
         self.pool.handle(event, now_seconds)
@@ -336,7 +336,7 @@
             )
         return []
 
-    # Requests under which upstreams crash.
+    # Crash updates, changes of the tree and time.
 
     def _on_crashes_received(
         self, event: ev.CrashUpdateReceived, now_seconds: float
@@ -371,12 +371,14 @@
         self.quarantine.tracker.sweep(now_seconds)
         actions: list[ev.Action] = []
         for item in self._requests:
-            actions += self._abort_if_due(item, now_seconds)
+            actions += self._abort_if_overdue(item, now_seconds)
         if self._forecasts.is_needed:
             actions += self._requests.refuse_unsendable(self._forecasts, now_seconds)
         return actions
 
-    def _abort_if_due(self, item: QueuedRequest, now_seconds: float) -> list[ev.Action]:
+    def _abort_if_overdue(
+        self, item: QueuedRequest, now_seconds: float
+    ) -> list[ev.Action]:
         reason = self._refusals.find_reason(item, now_seconds)
         return self._requests.abort(item, reason, now_seconds) if reason else []
 
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -300,13 +300,13 @@
         return is_new
 
     def is_draining(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether an upstream is shutting down, by its entry or its answers."""
+        """Return whether an upstream is shutting down, by its entry or a response."""
         if upstream.is_shutting_down or upstream.entry.state == LEAVING_STATE:
             return True
         return now_seconds < upstream.draining_until_seconds
 
     def note_shutdown(self, incarnation: Incarnation, now_seconds: float) -> None:
-        """Record a shutdown that was announced in an answer to this host."""
+        """Record a shutdown that was announced in a response to this host."""
         self.shutdown_announcements.note(incarnation, now_seconds)
         self._apply_signals(incarnation.upstream)
 
@@ -322,7 +322,7 @@
     def note_pause(
         self, incarnation: Incarnation, pause_seconds: float | None, now_seconds: float
     ) -> None:
-        """Record that an upstream asked this host to pause its requests."""
+        """Record that an upstream requested a pause from this host."""
         self.pauses.note(incarnation, pause_seconds, now_seconds)
         self._apply_signals(incarnation.upstream)
 
@@ -440,27 +440,27 @@
         return speed
 
     def usable_slots(
-        self, upstream: Upstream, part_ratio: float, now_seconds: float
+        self, upstream: Upstream, share_ratio: float, now_seconds: float
     ) -> int:
         """Return the number of requests that may run there at once, from all hosts."""
-        ratio = upstream.health.admit_ratio(now_seconds) * part_ratio
+        ratio = upstream.health.admit_ratio(now_seconds) * share_ratio
         return max(1, int(upstream.slots_count * self._slots_factor * ratio))
 
     def view(
         self,
         upstream: Upstream,
         peers: Membership,
-        part_ratio: float,
+        share_ratio: float,
         extra_slots_ratio: float,
         now_seconds: float,
     ) -> RunnerView:
         """Return the view for placement, which includes the load of peers.
 
-        ``part_ratio`` is this host's share of the pool; ``extra_slots_ratio`` lets
+        ``share_ratio`` is this host's share of the pool; ``extra_slots_ratio`` lets
         urgent requests use additional slots.
         """
         load = peers.load_of(upstream.name, upstream.generation_name)
-        usable = self.usable_slots(upstream, part_ratio, now_seconds)
+        usable = self.usable_slots(upstream, share_ratio, now_seconds)
         slots = usable + math.ceil(usable * extra_slots_ratio)
         running = len(upstream.own_attempts) + load.running_count
         waiting = upstream.own_waiting_tokens + load.waiting_tokens
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -187,7 +187,7 @@
             for _ in range(10):
                 at_seconds += 0.1
                 tracker.note_time(count, at_seconds)
-        return round(tracker.part_ratio(at_seconds), 2)
+        return round(tracker.share_ratio(at_seconds), 2)
 
     def test_hosts_that_are_all_alive_use_the_full_limit(self):
         self.assertEqual(1.0, self.share(90))
@@ -206,12 +206,12 @@
     def test_a_starting_host_without_peers_is_not_the_whole_fleet(self):
         tracker = LimitTracker(QuotaSettings(), "h")
         tracker.note_time(1, 0.1)
-        self.assertEqual(1.0, tracker.part_ratio(0.1))
+        self.assertEqual(1.0, tracker.share_ratio(0.1))
         tracker.note_members(90, 0.2)
         tracker.note_time(1, 0.3)
-        self.assertEqual(0.01, round(tracker.part_ratio(0.3), 2))
+        self.assertEqual(0.01, round(tracker.share_ratio(0.3), 2))
         tracker.note_time(90, 0.8)
-        self.assertEqual(1.0, tracker.part_ratio(0.8))
+        self.assertEqual(1.0, tracker.share_ratio(0.8))
 
     def test_a_short_gap_in_summaries_does_not_reduce_the_share(self):
         self.assertEqual(1.0, self.share(90, 1))
