--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -102,11 +102,11 @@
     """A rule that decides which request caused the crashes of upstreams."""
 
     def is_responsible(
-        self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
+        self, suspect: SuspectRequest, other_suspects: Iterable[SuspectRequest]
     ) -> bool:
         """Return whether a request is to be quarantined.
 
-        ``others`` were running on the same incarnation at its last crash.
+        ``other_suspects`` were running on the same incarnation at its last crash.
         """
 
 
@@ -118,13 +118,13 @@
     """
 
     def is_responsible(
-        self, suspect: SuspectRequest, others: Iterable[SuspectRequest]
+        self, suspect: SuspectRequest, other_suspects: Iterable[SuspectRequest]
     ) -> bool:
         """Return whether a request is to be quarantined."""
         count = len(suspect.crashes)
         if count < QUARANTINE_CRASHES_COUNT:
             return False
-        return all(len(other.crashes) < count for other in others)
+        return all(len(other.crashes) < count for other in other_suspects)
 
 
 class CrashTracker:
--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -191,7 +191,7 @@
 
     upstream: str
     changes: tuple[CacheChanges, ...]
-    #: Whether the changes replace all previous knowledge of the cache.
+    #: Whether the changes replace all known entries of the cache.
     is_reset: bool = False
 
 
@@ -240,7 +240,7 @@
     is_leaving: bool = False
     pause_seconds: float | None = None
     #: Response that carried the signal, for logs.
-    source: str = "reported in its answer"
+    source: str = "reported in its response"
 
 
 @attrs.frozen(repr=False)
@@ -260,7 +260,7 @@
 
 @attrs.frozen(repr=False)
 class CrashUpdateReceived(ReprMixin):
-    """A peer reported upstreams that crashed under requests."""
+    """A peer reported crashes, and the requests that the upstreams were running."""
 
     update: CrashUpdate
 
@@ -331,6 +331,7 @@
     reason: str
     run_state: RunState
     retry_after_seconds: float | None = None
+    #: Upstream, limit path or ``host`` that the reason refers to, if any.
     peer: str = ""
     #: State that the refusal is based on, for logs.
     evidence: str = ""
--- a/packages/rampwick-policy/src/rampwick_policy/_identity.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_identity.py
@@ -24,7 +24,7 @@
         """Hash of the identity, computed on first use.
 
         Few requests need it: those whose runner crashed, and those that arrive while
-        such requests are remembered.
+        such requests are tracked.
         """
         if not self._fingerprint:
             digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
--- a/packages/rampwick-policy/src/rampwick_policy/_lease.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_lease.py
@@ -32,7 +32,7 @@
     #: Last observed version of the record; 0 if there is none.
     version: int = ABSENT
     record: LeaseRecord | None = None
-    #: Last time at which a sign of the holder was observed, of any version.
+    #: Last time at which a new record or any announcement of a holder was observed.
     last_seen_seconds: float = 0.0
     #: Version of the last write of this process.
     _written_version: int = ABSENT
@@ -81,7 +81,7 @@
         return now_seconds >= self._seen_at_seconds + self.record.duration_seconds
 
     def _is_own(self, now_seconds: float) -> bool:
-        """Return whether no other host can have taken the lease since it was written.
+        """Return whether no other host can have acquired the lease since its write.
 
         In a restored store, a record of this host may be older than one that another
         host wrote.
@@ -109,7 +109,7 @@
         self._held_until_seconds = self._may_order_until_seconds = -math.inf
 
     def is_held(self, now_seconds: float) -> bool:
-        """Return whether no other host can have taken the lease yet.
+        """Return whether no other host can have acquired the lease yet.
 
         Sending orders may require a renewal first.
         """
--- a/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_prefill_speed.py
@@ -20,8 +20,8 @@
 #: Share of the time to the first token due to the round trip and the engine's steps.
 OVERHEAD_SECONDS = 0.012
 
-#: Quantile that the estimate follows: most prompts below it were computed beside other
-#: prompts that this host did not know of.
+#: Quantile that the estimate follows: most prompts below it were computed alongside
+#: prompts of other hosts that had not been reported to this host yet.
 QUANTILE = 0.6
 
 #: Relative step of the estimate after each sample: the initial step, which shrinks with
--- a/packages/rampwick-policy/src/rampwick_policy/_reasons.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_reasons.py
@@ -5,7 +5,7 @@
 DEADLINE_UNREACHABLE = "deadline_unreachable"
 DEADLINE_PASSED = "deadline_passed"
 UPSTREAM_FAILED = "upstream_failed"
-#: The request is quarantined, because upstreams crashed under it.
+#: The request is quarantined, because upstreams crashed while running it.
 ENDS_UPSTREAMS = "ends_upstreams"
 NO_UPSTREAM = "no_upstream"
 NO_RETRY_LEFT = "no_retry_left"
--- a/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
@@ -30,7 +30,8 @@
 from ._rendezvous import rank
 from ._state_changes import StateChangeTracker
 
-#: Covers messages dropped by a full send queue and a relay fail-over.
+#: Time for which updates are retransmitted. Covers messages dropped by a full send
+#: queue and a relay fail-over.
 RETRANSMIT_SECONDS = 3.0
 
 #: Maximum age of crashes that the initial state sync includes.
@@ -86,9 +87,9 @@
         self._state_changes = state_changes
         #: Fingerprint of the isolated request that this host runs, by upstream.
         self._isolated_at: dict[str, bytes] = {}
-        #: Facts not sent to peers yet, and sent ones that are still retransmitted.
-        self._unsent: list[_Fact] = []
-        self._sent: deque[_Fact] = deque()
+        #: Facts not broadcast yet, and broadcast ones that are still retransmitted.
+        self._pending: list[_Fact] = []
+        self._broadcast: deque[_Fact] = deque()
         #: Called when there is an update to broadcast.
         self.on_update: Callable[[], None] = _do_nothing
 
@@ -185,7 +186,7 @@
             self._isolated_at[item.upstream] = identity.fingerprint
 
     def note_released(self, item: QueuedRequest) -> None:
-        """Record that a request has left its upstream."""
+        """Record that the attempt of a request at its upstream ended."""
         if not self._isolated_at or item.arrival.identity is None:
             return
         if self._isolated_at.get(item.upstream) == item.arrival.identity.fingerprint:
@@ -253,18 +254,20 @@
 
     def take_update(self, now_seconds: float) -> CrashUpdate | None:
         """Return the facts not broadcast yet, and keep them for retransmissions."""
-        if not self._unsent:
+        if not self._pending:
             return None
-        facts, self._unsent = self._unsent, []
-        self._sent.extend(facts)
+        facts, self._pending = self._pending, []
+        self._broadcast.extend(facts)
         return _to_update(facts, now_seconds)
 
     def take_retransmission(self, now_seconds: float) -> CrashUpdate | None:
         """Return the facts that were broadcast recently."""
         oldest_seconds = now_seconds - RETRANSMIT_SECONDS
-        while self._sent and self._sent[0].at_seconds < oldest_seconds:
-            self._sent.popleft()
-        return _to_update(list(self._sent), now_seconds) if self._sent else None
+        while self._broadcast and self._broadcast[0].at_seconds < oldest_seconds:
+            self._broadcast.popleft()
+        return (
+            _to_update(list(self._broadcast), now_seconds) if self._broadcast else None
+        )
 
     def initial_state(self, now_seconds: float) -> CrashUpdate | None:
         """Return the state that a newly connected host needs."""
@@ -319,7 +322,7 @@
         self._state_changes.note("request", name, state, _describe_crashes(suspect))
 
     def _enqueue(self, fact: _Fact) -> None:
-        self._unsent.append(fact)
+        self._pending.append(fact)
         self.on_update()
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_rates.py
@@ -1,8 +1,8 @@
 """Request rate limits that upstreams announce for all hosts together.
 
-An overloaded upstream includes such a rate in its answers while the limit applies.
-Answers may be reordered, so each observation has the time at which the request was sent
-and the time at which its answer arrived.
+An overloaded upstream includes such a rate in its responses while the limit applies.
+Responses may be reordered, so each observation has the times at which the request was
+sent and its response arrived.
 """
 
 import math
@@ -15,26 +15,27 @@
 from ._state_changes import StateChangeTracker
 
 #: Age up to which an unconfirmed rate applies. Hosts that send to the upstream confirm
-#: it with each answer. Without a bound, a host that missed the end of a rate limit
+#: it with each response. Without a bound, a host that missed the end of a rate limit
 #: would apply it forever.
 STALE_SECONDS = 30.0
 
-#: Time after which the next host with an answer publishes an unchanged rate again.
+#: Time after which the next host with a response broadcasts an unchanged rate again.
 CONFIRM_SECONDS = 10.0
 
-#: Covers messages dropped by a full send queue and a relay fail-over.
+#: Time for which updates are retransmitted. Covers messages dropped by a full send
+#: queue and a relay fail-over.
 RETRANSMIT_SECONDS = 3.0
 
 
 @attrs.frozen(repr=False)
 class RateObservation(ReprMixin):
-    """The rate limit in one answer of an upstream."""
+    """The rate limit in one response of an upstream."""
 
     #: Incarnation that answered; empty if incarnations are not distinguished.
     incarnation: str
     #: Requests per second from all hosts together; ``None`` if there is no limit.
     requests_per_second: float | None
-    #: Times at which the request was sent and the head of its answer arrived.
+    #: Times at which the request was sent and the head of its response arrived.
     sent_at_seconds: float
     received_at_seconds: float
 
@@ -55,11 +56,11 @@
     def __init__(self, state_changes: StateChangeTracker) -> None:
         self._state_changes = state_changes
         self._observations: dict[str, RateObservation] = {}
-        #: Times at which this host, and any host, last published each rate.
-        self._published_at: dict[str, float] = {}
+        #: Times at which this host, and any host, last broadcast each rate.
+        self._broadcast_at: dict[str, float] = {}
         self._confirmed_at: dict[str, float] = {}
-        self._unpublished: set[str] = set()
-        #: Called when there is an update to publish.
+        self._pending: set[str] = set()
+        #: Called when there is an update to broadcast.
         self.on_update: Callable[[], None] = _do_nothing
 
     def __len__(self) -> int:
@@ -85,13 +86,13 @@
     def record_response(
         self, upstream: str, observed: RateObservation, now_seconds: float
     ) -> None:
-        """Record a rate from an answer to this host and publish it if it is new."""
-        has_changed = self.record(upstream, observed, "stated in its answer")
+        """Record a rate from a response to this host and broadcast it if it is new."""
+        has_changed = self.record(upstream, observed, "reported in its response")
         if self._observations.get(upstream) is not observed:
             return
         confirmed_at_seconds = self._confirmed_at.get(upstream, -math.inf)
         if has_changed or now_seconds - confirmed_at_seconds > CONFIRM_SECONDS:
-            self._unpublished.add(upstream)
+            self._pending.add(upstream)
             self.on_update()
 
     def receive_update(self, update: RateLimitUpdate, now_seconds: float) -> None:
@@ -103,25 +104,28 @@
                 now_seconds - reported.asked_age_seconds,
                 now_seconds - reported.heard_age_seconds,
             )
-            source = f"a peer got an answer {reported.heard_age_seconds:.3f} s ago"
+            source = (
+                "reported in a response to a peer "
+                f"{reported.heard_age_seconds:.3f} s ago"
+            )
             self.record(reported.upstream, observed, source)
             if self._observations.get(reported.upstream) is observed:
                 self._confirmed_at[reported.upstream] = now_seconds
 
     def take_update(self, now_seconds: float) -> RateLimitUpdate | None:
-        """Return the unpublished rates, which are also retransmitted later."""
-        unpublished, self._unpublished = self._unpublished, set()
-        for upstream in unpublished:
-            self._published_at[upstream] = self._confirmed_at[upstream] = now_seconds
-        return self._to_update(unpublished, now_seconds)
+        """Return the pending rates, which are also retransmitted later."""
+        pending, self._pending = self._pending, set()
+        for upstream in pending:
+            self._broadcast_at[upstream] = self._confirmed_at[upstream] = now_seconds
+        return self._to_update(pending, now_seconds)
 
     def take_retransmission(self, now_seconds: float) -> RateLimitUpdate | None:
-        """Return the recently published rates for retransmission."""
+        """Return the recently broadcast rates for retransmission."""
         oldest_seconds = now_seconds - RETRANSMIT_SECONDS
-        published = {
-            name for name, at in self._published_at.items() if at > oldest_seconds
+        broadcast = {
+            name for name, at in self._broadcast_at.items() if at > oldest_seconds
         }
-        return self._to_update(published, now_seconds)
+        return self._to_update(broadcast, now_seconds)
 
     def initial_state(self, now_seconds: float) -> RateLimitUpdate | None:
         """Return all rates, for a host that has just connected."""
@@ -157,7 +161,7 @@
         before = known.requests_per_second if known else None
         if observed.requests_per_second == before:
             return False
-        self._note(upstream, observed, source)
+        self._record_state(upstream, observed, source)
         return True
 
     def sweep(self, now_seconds: float) -> None:
@@ -165,17 +169,19 @@
         oldest_seconds = now_seconds - 2.0 * STALE_SECONDS
         for upstream, observed in list(self._observations.items()):
             if observed.received_at_seconds < oldest_seconds:
-                self.forget(upstream, "no answer has included a rate recently")
+                self.forget(upstream, "no response has included a rate recently")
 
     def forget(self, upstream: str, reason: str) -> None:
         """Drop the rate of an upstream that no longer exists."""
-        self._published_at.pop(upstream, None)
+        self._broadcast_at.pop(upstream, None)
         self._confirmed_at.pop(upstream, None)
-        self._unpublished.discard(upstream)
+        self._pending.discard(upstream)
         if self._observations.pop(upstream, None) is not None:
             self._state_changes.forget("rate", upstream, reason)
 
-    def _note(self, upstream: str, observed: RateObservation, source: str) -> None:
+    def _record_state(
+        self, upstream: str, observed: RateObservation, source: str
+    ) -> None:
         if observed.requests_per_second is None:
             self._state_changes.note("rate", upstream, "open", source)
             return
--- a/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
@@ -1,4 +1,4 @@
-"""Upstreams that announced their shutdown in an answer to a host."""
+"""Upstreams that announced their shutdown in a response to a host."""
 
 from collections.abc import Callable, Collection, Iterable
 
@@ -10,7 +10,8 @@
 #: expired in an outage of the store may be written again for the same incarnation.
 UNLISTED_SECONDS = 600.0
 
-#: Covers messages dropped by a full send queue and a relay fail-over.
+#: Time for which updates are retransmitted. Covers messages dropped by a full send
+#: queue and a relay fail-over.
 RETRANSMIT_SECONDS = 3.0
 
 
@@ -41,7 +42,7 @@
         return incarnation in self._announced_at
 
     def note(self, incarnation: Incarnation, now_seconds: float) -> bool:
-        """Record an announcement in an answer to this host.
+        """Record an announcement in a response to this host.
 
         Return whether it is new; only a new one is broadcast to peers.
         """
--- a/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
@@ -20,7 +20,7 @@
 
 @attrs.define(repr=False)
 class StateChangeTracker(ReprMixin):
-    """Last recorded states, and the changes that have not been taken yet."""
+    """Last recorded states, and the changes since the last call of ``take``."""
 
     _states: dict[tuple[str, str], str] = attrs.field(factory=dict)
     _pending: list[StateChange] = attrs.field(factory=list)
--- a/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_summary_aggregator.py
@@ -18,7 +18,7 @@
 from ._configuration import TreeVersion
 
 #: Maximum number of placements of a hall that wait for the next sum. Older ones are
-#: dropped, since a home is computed for prefixes without a known holder.
+#: dropped, since rendezvous hashing places prefixes without a known holder.
 MAX_PLACED = 512
 
 
@@ -105,7 +105,10 @@
 
 
 def without_limits(summary: Summary) -> Summary:
-    """Return the summary of hosts that may be dead, without limits and host count."""
+    """Return the summary of hosts that may be dead, without limits and host count.
+
+    Dead hosts neither send requests nor count as members.
+    """
     return attrs.evolve(summary, limits=[], hosts_count=1, limits_known_seconds=0.0)
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_targets.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_targets.py
@@ -87,9 +87,9 @@
     def _note_unchanged(self, at_seconds: float) -> None:
         self.unchanged_until_seconds = max(self.unchanged_until_seconds, at_seconds)
 
-    def merge_ages(self, named: Iterable[NamedWeights], now_seconds: float) -> None:
+    def merge_ages(self, ages: Iterable[NamedWeights], now_seconds: float) -> None:
         """Merge target times observed by a peer; the earliest time applies."""
-        for item in named:
+        for item in ages:
             model, version = item.model, item.weights_version
             at_seconds = now_seconds - item.age_seconds
             known_seconds = self._target_since.get(model, {}).get(version, math.inf)
@@ -99,14 +99,14 @@
     def _note(
         self, model: str, version: int, at_seconds: float, is_estimate: bool
     ) -> None:
-        named = self._target_since.setdefault(model, {})
-        named[version] = at_seconds
+        since = self._target_since.setdefault(model, {})
+        since[version] = at_seconds
         self._estimated.discard((model, version))
         if is_estimate:
             self._estimated.add((model, version))
-        while len(named) > MAX_VERSIONS_PER_MODEL:
-            oldest = min(named)
-            del named[oldest]
+        while len(since) > MAX_VERSIONS_PER_MODEL:
+            oldest = min(since)
+            del since[oldest]
             self._estimated.discard((model, oldest))
 
     def read_age_seconds(self, now_seconds: float) -> float:
@@ -120,16 +120,16 @@
     def all_newest(self) -> list[WeightsTarget]:
         """Return the newest target of each model."""
         return [
-            WeightsTarget(model, max(named))
-            for model, named in self._target_since.items()
+            WeightsTarget(model, max(since))
+            for model, since in self._target_since.items()
         ]
 
     def ages(self, now_seconds: float) -> list[NamedWeights]:
         """Return the ages of the newest targets with an observed time."""
         return [
-            NamedWeights(model, version, max(0.0, now_seconds - named[version]))
-            for model, named in self._target_since.items()
-            for version in sorted(named)[-MAX_PUBLISHED_VERSIONS:]
+            NamedWeights(model, version, max(0.0, now_seconds - since[version]))
+            for model, since in self._target_since.items()
+            for version in sorted(since)[-MAX_PUBLISHED_VERSIONS:]
             if (model, version) not in self._estimated
         ]
 
@@ -137,7 +137,7 @@
         """Return the time since a newer version became the target; 0 if none did."""
         newer = [
             at_seconds
-            for named, at_seconds in self._target_since.get(model, {}).items()
-            if named > version
+            for known_version, at_seconds in self._target_since.get(model, {}).items()
+            if known_version > version
         ]
         return now_seconds - min(newer) if newer else 0.0
--- a/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_timeliness.py
@@ -25,7 +25,7 @@
 
 
 def late_queue_ratio(item: QueuedRequest, now_seconds: float) -> float:
-    """Return the share of a runner's usual prefill queue that a late request may meet.
+    """Return the share of the usual prefill queue that a late request accepts.
 
     It grows while the request waits, because a request that is refused only at its
     deadline has cost its caller all of its time.
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream.py
@@ -46,8 +46,8 @@
     #: serves no requests meanwhile.
     load_version: int = 0
     load_until_seconds: float = -math.inf
-    #: Whether its current incarnation announced its shutdown, and until when that
-    #: incarnation asked this host to pause.
+    #: Whether its current incarnation announced its shutdown, and the end of the pause
+    #: that this incarnation requested from this host.
     is_shutting_down: bool = False
     paused_until_seconds: float = -math.inf
     #: Whether it is unresponsive; it is probed at once and gets no work until then.
@@ -61,7 +61,7 @@
     unresponsive_at_seconds: float = -math.inf
     #: Until when it counts as draining regardless of its entry.
     draining_until_seconds: float = -math.inf
-    #: Until when its restored entry is not trusted.
+    #: Until when its restored entry is ignored.
     unconfirmed_until_seconds: float = -math.inf
     #: When it was last probed.
     probed_at_seconds: float = -math.inf
--- a/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstream_rate_limiter.py
@@ -27,7 +27,7 @@
 #: only an answer shows that it accepts them again.
 MIN_PROBES_PER_SECOND = 0.1
 
-#: Additional senders per request per second of the rate.
+#: Senders, in addition to the first, for each request per second of the rate.
 SENDERS_PER_RATE = 1.0
 
 #: Capacity of a token bucket, so that a sender uses its share in spite of irregular
@@ -108,7 +108,8 @@
         refilled = (now_seconds - self.at_seconds) * self.requests_per_second
         self.tokens_count = min(BURST_COUNT, self.tokens_count + refilled)
         if not requests_per_second:
-            # Other senders use the share until this host becomes a sender again.
+            # Other senders use the share meanwhile, so tokens saved before would exceed
+            # the rate when this host becomes a sender again.
             self.tokens_count = 0.0
         self.at_seconds = now_seconds
         self.requests_per_second = requests_per_second
@@ -146,7 +147,7 @@
         alive_ratio: Callable[[float], float],
         sender_count_policy: SenderCountPolicy | None = None,
     ) -> None:
-        """``alive_ratio`` returns the part of the fleet that this host can reach."""
+        """``alive_ratio`` returns the share of the fleet that this host can reach."""
         self.rates = rates
         self.local_view = local_view
         self._alive_ratio = alive_ratio
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -130,7 +130,7 @@
                 rates = two.daemon.scheduler.rates
                 applied = rates.observation("lektor-0").requests_per_second
                 self.limit(bench, None)
-                # The next sender gets an answer without a rate.
+                # The next sender gets a response without a rate.
                 for number in range(1000):
                     if rates.observation("lektor-0").requests_per_second is None:
                         break
@@ -298,7 +298,7 @@
 
 
 class PropagationTest(TestCase):
-    """A rate in an answer to one host reaches all others, and later joiners."""
+    """A rate in a response to one host reaches all others, and later joiners."""
 
     def setUp(self):
         super().setUp()
@@ -311,7 +311,7 @@
         sent_at = at if sent_at is None else sent_at
         self.one.record_response("u", RateObservation("1", rate, sent_at, at), at)
 
-    def test_a_rate_is_published_at_once_and_retransmitted(self):
+    def test_a_rate_is_broadcast_at_once_and_retransmitted(self):
         self.answer(1.8, 1.0)
         self.assertEqual([True], self.notified)
         self.two.receive_update(self.one.take_update(1.02), 51.0)
@@ -320,7 +320,7 @@
         self.assertEqual(1, len(self.one.take_retransmission(2.0).rates))
         self.assertIs(None, self.one.take_retransmission(1.1 + RETRANSMIT_SECONDS))
 
-    def test_an_unchanged_rate_is_published_again_after_a_while(self):
+    def test_an_unchanged_rate_is_broadcast_again_after_a_while(self):
         self.answer(1.8, 1.0)
         self.one.take_update(1.0)
         self.answer(1.8, 5.0)
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -63,7 +63,7 @@
     return {row for row in rows if any(isinstance(part, int) and part for part in row)}
 
 
-class WithoutTest(TestCase):
+class SubtractSummaryTest(TestCase):
     @given(summaries(), summaries())
     def test_a_sum_minus_one_summary_is_the_sum_of_the_others(self, own, others):
         total = SummaryAggregator().merge([own, others], 9)
--- a/tests/test_request_rates.py
+++ b/tests/test_request_rates.py
@@ -12,7 +12,7 @@
 
 
 class ObservationTest(TestCase):
-    """Answers may be reordered; the observation that is certainly newest applies."""
+    """Responses may be reordered; the observation that is certainly newest applies."""
 
     def setUp(self):
         super().setUp()
@@ -27,18 +27,18 @@
     def rate(self, now, incarnation="1"):
         return self.rates.rate("u", incarnation, now)
 
-    def test_a_rate_applies_until_a_later_answer_has_none(self):
+    def test_a_rate_applies_until_a_later_response_has_none(self):
         self.assertTrue(self.record(1.8, 0.9, 1.0))
         self.assertEqual(1.8, self.rate(1.0))
         self.assertTrue(self.record(None, 1.1, 1.2))
         self.assertIs(None, self.rate(1.2))
 
-    def test_an_answer_to_an_earlier_request_does_not_end_a_rate(self):
+    def test_a_response_to_an_earlier_request_does_not_end_a_rate(self):
         self.record(1.8, 0.9, 1.0)
         self.assertFalse(self.record(None, 0.5, 1.3))
         self.assertEqual(1.8, self.rate(1.3))
 
-    def test_a_late_older_answer_does_not_restore_an_ended_rate(self):
+    def test_a_late_older_response_does_not_restore_an_ended_rate(self):
         self.record(1.8, 0.9, 1.0)
         self.record(None, 1.1, 1.2)
         self.assertFalse(self.record(1.8, 0.2, 1.5))
@@ -84,8 +84,8 @@
         )
 
 
-class AnswersTest(TestCase):
-    """Answers with chosen bytes, and whether a host applies the rate in them."""
+class ResponsesTest(TestCase):
+    """Responses with chosen bytes, and whether a host applies the rate in them."""
 
     def applied_rate(self, *scripts):
         async def main():
@@ -109,14 +109,14 @@
 
         return answer
 
-    def test_an_answer_starts_and_ends_a_rate(self):
+    def test_a_response_starts_and_ends_a_rate(self):
         self.assertEqual(20.0, self.applied_rate(self.announcing(b"20")))
         self.assertEqual(20.0, self.applied_rate(self.announcing(b"20", 500)))
         names, ends = self.announcing(b"20"), self.announcing(b"")
         self.assertIs(None, self.applied_rate(names, ends))
         self.assertEqual(20.0, self.applied_rate(names, ends, names))
 
-    def test_an_answer_to_another_request_is_ignored(self):
+    def test_a_response_to_another_request_is_ignored(self):
         crossed = self.announcing(b"20", request_id="another")
         self.assertIs(None, self.applied_rate(crossed))
 
@@ -125,7 +125,7 @@
         both = self.announcing(b"20"), self.announcing(b"nan")
         self.assertEqual(20.0, self.applied_rate(*both))
 
-    def test_an_answer_without_proof_does_not_end_a_rate(self):
+    def test_a_response_without_proof_does_not_end_a_rate(self):
         names = self.announcing(b"20")
         self.assertEqual(
             20.0, self.applied_rate(names, self.announcing(b"", signed=False))
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""Guards against requests to an upstream that announced its shutdown in an answer."""
+"""Guards against requests to an upstream that announced its shutdown in a response."""
 
 from contextlib import asynccontextmanager
 
@@ -54,7 +54,7 @@
             with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
                     found["a"].scripts = [answer_leaving]
-                    # The store is unavailable, so only the answer announces it.
+                    # The store is unavailable, so only the response announces it.
                     host.store.failure = PlatformUnavailableError("down", step="test")
                     statuses = [
                         (await host.call("/open/1", request_id=f"r{number}")).status
@@ -91,7 +91,7 @@
 
 
 def announce_shutdown(session, at, *names, incarnation="one"):
-    """Have upstreams announce their shutdown in an answer."""
+    """Have upstreams announce their shutdown in a response."""
     for name in names:
         session.do(at, UpstreamSignalled(name, incarnation, is_leaving=True))
 
--- a/tests/test_timeliness.py
+++ b/tests/test_timeliness.py
@@ -104,20 +104,20 @@
         self.assertEqual(["huge"], host.tick(7.0))
 
 
-class ReadingSpeedTest(TestCase):
-    def learn(self, start, *rates):
+class PrefillSpeedTest(TestCase):
+    def estimate(self, start, *rates):
         speed = PrefillSpeed(start)
         for rate in rates:
             speed.note(3000, 3000 / rate + 0.012)
         return speed.tokens_per_second
 
     def test_estimate_converges_to_the_observed_speed(self):
-        self.assertLess(abs(self.learn(56_000.0, *[30_000.0] * 30) - 30_000), 3000)
-        self.assertLess(abs(self.learn(8_000.0, *[30_000.0] * 40) - 30_000), 3000)
+        self.assertLess(abs(self.estimate(56_000.0, *[30_000.0] * 30) - 30_000), 3000)
+        self.assertLess(abs(self.estimate(8_000.0, *[30_000.0] * 40) - 30_000), 3000)
 
     def test_outliers_from_wrong_cache_estimates_have_little_effect(self):
         rates = [30_000.0, 31_000.0, 300_000.0, 29_000.0, 30_000.0, 5_000.0] * 10
-        self.assertLess(abs(self.learn(30_000.0, *rates) - 30_000), 4500)
+        self.assertLess(abs(self.estimate(30_000.0, *rates) - 30_000), 4500)
 
     def test_only_prompts_with_an_empty_queue_are_measured(self):
         upstream = Upstream(HostEntry("r", "runner", "h", "r:1"), health=None)
