--- a/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request_quarantine.py
@@ -211,7 +211,7 @@
 
     # Updates from and to peers.
 
-    def receive(self, update: CrashUpdate, now_seconds: float) -> bool:
+    def receive_update(self, update: CrashUpdate, now_seconds: float) -> bool:
         """Apply a peer's update; return whether it quarantined a request."""
         for live in update.live:
             incarnation_key = IncarnationKey(live.upstream, live.incarnation)
--- a/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_scheduler.py
@@ -341,7 +341,7 @@
     def _on_crashes_received(
         self, event: ev.CrashUpdateReceived, now_seconds: float
     ) -> list[ev.Action]:
-        if self.quarantine.receive(event.update, now_seconds):
+        if self.quarantine.receive_update(event.update, now_seconds):
             return self._refuse_quarantined(now_seconds)
         return []
 
--- a/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_shutdown_announcements.py
@@ -52,7 +52,9 @@
         self.on_update()
         return True
 
-    def receive(self, update: LeavingUpdate, now_seconds: float) -> list[Incarnation]:
+    def receive_update(
+        self, update: LeavingUpdate, now_seconds: float
+    ) -> list[Incarnation]:
         """Apply a peer's update; return the incarnations that are new."""
         received = [
             Incarnation(item.upstream, item.incarnation) for item in update.leaving
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -58,7 +58,7 @@
 UNCONFIRMED_SECONDS = 5.0
 RESTORED_DRAINING_SECONDS = 20.0
 
-#: State of the entry of an upstream that is shutting down.
+#: State of the entry of a draining upstream.
 LEAVING_STATE = "leaving"
 
 
@@ -300,7 +300,7 @@
         return is_new
 
     def is_draining(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether an upstream is shutting down, by its entry or a response."""
+        """Return whether an upstream is draining, by its entry or a response."""
         if upstream.is_shutting_down or upstream.entry.state == LEAVING_STATE:
             return True
         return now_seconds < upstream.draining_until_seconds
@@ -314,7 +314,7 @@
         self, update: LeavingUpdate, now_seconds: float
     ) -> list[Incarnation]:
         """Apply a peer's update; return the shutdowns that are new to this host."""
-        received = self.shutdown_announcements.receive(update, now_seconds)
+        received = self.shutdown_announcements.receive_update(update, now_seconds)
         for incarnation in received:
             self._apply_signals(incarnation.upstream)
         return received
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -218,15 +218,15 @@
         self.one.note(removed, 1.5)
         self.assertEqual([True], self.updates)
         update = self.one.take_update(1.02)
-        self.assertEqual([removed], self.two.receive(update, 1.03))
-        self.assertEqual([], self.two.receive(update, 1.04))
+        self.assertEqual([removed], self.two.receive_update(update, 1.03))
+        self.assertEqual([], self.two.receive_update(update, 1.04))
         self.assertIs(None, self.one.take_update(1.1))
         self.assertEqual(update, self.one.take_retransmission(2.0))
         self.assertIs(None, self.one.take_retransmission(1.1 + RETRANSMIT_SECONDS))
 
     def test_received_announcements_are_sent_to_new_peers_only(self):
         update = LeavingUpdate([LeavingUpstream("a", "1")])
-        self.two.receive(update, 1.0)
+        self.two.receive_update(update, 1.0)
         self.assertEqual([], self.updates)
         self.assertIs(None, self.two.take_update(1.0))
         self.assertEqual(update, self.two.initial_state(1.0))
