--- a/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
@@ -6,15 +6,15 @@
 """
 
 from ._cache_reader import CacheReaderTask as CacheReaderTask
-from ._channels import (
-    Channel as Channel,
-    ChannelPool as ChannelPool,
-)
 from ._client import (
     UpstreamClient as UpstreamClient,
     UpstreamResponse as UpstreamResponse,
     UpstreamStream as UpstreamStream,
 )
+from ._connection_pool import (
+    Channel as Channel,
+    ChannelPool as ChannelPool,
+)
 from ._control import (
     CONTROL_TIMEOUT_SECONDS as CONTROL_TIMEOUT_SECONDS,
     DialectControl as DialectControl,
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -26,7 +26,7 @@
 from .._errors import AttemptError
 from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
-from ._channels import ChannelPool
+from ._connection_pool import ChannelPool
 from ._control import call_upstream
 
 #: Maximum wait of one poll at the cache, and the additional time allowed for the
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -25,7 +25,7 @@
 from .._dialects import ControlRequest, read_signals
 from .._errors import AttemptError
 from .._headers import LEAVING, RawHeaders, ResponseHead
-from ._channels import Channel, ChannelPool
+from ._connection_pool import Channel, ChannelPool
 from ._control import CONTROL_TIMEOUT_SECONDS, call_upstream
 from ._sse import EventSplitter, StreamEvent
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/_control.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_control.py
@@ -12,7 +12,7 @@
 from .._errors import AttemptError
 from .._headers import ResponseHead
 from .._scheduler_task import SchedulerTask
-from ._channels import ChannelPool
+from ._connection_pool import ChannelPool
 
 #: Timeout of a control call. An order is sent only if the lease outlives this timeout,
 #: so it is short; responses take a few milliseconds.
