--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -115,7 +115,7 @@
         metrics.outdated_runners.set(self._rollout_controller.outdated_count())
         for purpose, count in self._read_platform_calls().items():
             metrics.platform_calls.labels(purpose).set(count)
-        for reason, count in self._context.channels.opened_counts().items():
+        for reason, count in self._context.connection_pool.opened_counts().items():
             metrics.connections_opened.labels(reason).set(count)
         roles = self._read_roles()
         metrics.roles.labels("relay").set(roles.is_relay)
@@ -138,7 +138,7 @@
         status["lease"] = self._describe_lease()
         status["roles"] = attrs.asdict(self._read_roles())
         status["platform_calls"] = dict(self._read_platform_calls())
-        status["connections_opened"] = self._context.channels.opened_counts()
+        status["connections_opened"] = self._context.connection_pool.opened_counts()
         status["degraded"] = self._list_problems(status)
         return JSONResponse(status)
 
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -33,7 +33,7 @@
 from .upstream import (
     CacheReaderTask,
     CancelTask,
-    ChannelPool,
+    ConnectionPool,
     DialectControl,
     ProbeTask,
     StallDetector,
@@ -58,7 +58,7 @@
         settings: Settings,
         api: ObjectApi | None,
         upstreams: UpstreamClient,
-        channels: ChannelPool,
+        connection_pool: ConnectionPool,
         peer_address: str,
         clocks: Clocks,
         integration: Integration | None,
@@ -67,7 +67,7 @@
         self.settings = settings
         self.api = api
         self.clocks = clocks
-        self.channels = channels
+        self.connection_pool = connection_pool
         self._metrics = Metrics()
         self.lifecycle = Lifecycle()
         self.follower = ConfigurationFollower()
@@ -86,7 +86,7 @@
         control: UpstreamControl = upstreams
         if integration is not None:
             control = DialectControl(
-                channels,
+                connection_pool,
                 dialects.control,
                 self._find_health_path,
                 self.scheduler,
@@ -119,7 +119,7 @@
         self.cache_reader = CacheReaderTask(
             own,
             self.scheduler,
-            channels,
+            connection_pool,
             dialects.cache,
             salts,
             self.gossip.cache_outbox.publish,
@@ -139,7 +139,7 @@
             lifecycle=self.lifecycle,
             read_clock=read_clock,
             configuration=self.configuration,
-            channels=channels,
+            connection_pool=connection_pool,
             dialects=dialects,
             salts=salts,
             stall_detector=self.stall_detector,
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -19,7 +19,7 @@
 from ._logs import ComponentLogger, milliseconds
 from ._servers import CLOSE_TIMEOUT_SECONDS, Addresses, Listeners, listen, serve_apps
 from .upstream import (
-    ChannelPool,
+    ConnectionPool,
     UpstreamClient,
 )
 
@@ -49,7 +49,7 @@
         self._settings = assembly.settings
         self._api = assembly.api
         self._clocks = assembly.clocks
-        self._channels = assembly.channels
+        self._connection_pool = assembly.connection_pool
         self._components = assembly
         self._hosts = assembly.hosts
         self._configuration = assembly.configuration
@@ -92,7 +92,7 @@
         tasks.start_soon(self._components.probes.run)
         tasks.start_soon(self._components.cancels.run)
         tasks.start_soon(self.rollout_controller.run)
-        tasks.start_soon(self._channels.sweep)
+        tasks.start_soon(self._connection_pool.sweep)
         tasks.start_soon(self._components.cache_reader.run)
         if self._components.targets is not None:
             tasks.start_soon(self._components.targets.run)
@@ -139,7 +139,7 @@
                 is_steward=self.rollout_controller.is_holder,
                 **self._describe_targets(),
                 hosts_heard_count=len(self._gossip.roles.live_names),
-                connections_opened=self._channels.opened_counts(),
+                connections_opened=self._connection_pool.opened_counts(),
                 platform_calls=dict(getattr(self._api, "calls", {})),
                 store_era=self._api.era if self._api else 0,
             )
@@ -226,9 +226,11 @@
         if isinstance(api, HttpObjectApi):
             api.on_restored = _log_restore
         clocks = clocks or Clocks()
-        channels = await stack.enter_async_context(ChannelPool(clocks.monotonic))
+        connection_pool = await stack.enter_async_context(
+            ConnectionPool(clocks.monotonic)
+        )
         upstreams = UpstreamClient(
-            channels,
+            connection_pool,
             settings.retry.silence_timeout_seconds,
             settings.limits.max_event_bytes,
         )
@@ -237,7 +239,7 @@
             settings,
             api,
             upstreams,
-            channels,
+            connection_pool,
             settings.peers.advertised_address or listeners.addresses.peer,
             clocks,
             integration,
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -20,7 +20,7 @@
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask
-from ..upstream import ChannelPool, StallDetector, UpstreamClient
+from ..upstream import ConnectionPool, StallDetector, UpstreamClient
 from ._call import hash_key
 from ._claims import ClaimTask
 from ._stream_tokens import StreamTokens
@@ -70,7 +70,7 @@
     lifecycle: Lifecycle
     read_clock: Callable[[], float]
     configuration: ConfigurationTask
-    channels: ChannelPool
+    connection_pool: ConnectionPool
     dialects: Dialects
     salts: SaltTable
     stall_detector: StallDetector
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -21,7 +21,7 @@
 from .._errors import AttemptError
 from .._headers import ResponseHead
 from .._logs import ComponentLogger
-from ..upstream import Channel, ReadMonitor
+from ..upstream import ReadMonitor, UpstreamConnection
 from ._context import EntryContext
 from ._rates import post_rate_limit
 from ._routed_request import RoutedRequest
@@ -59,7 +59,7 @@
         self._resume_after = resume_after
         #: Whether the caller received part of a response that this attempt continues.
         self._is_resumed = is_resumed
-        self._channel: Channel
+        self._connection: UpstreamConnection
         self._read_monitor: ReadMonitor
         #: Time for which the connection may stay idle after the response.
         self.idle_timeout_seconds = 0.0
@@ -73,15 +73,15 @@
         body = self._request.body
         if body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             headers.append((b"content-length", str(len(body)).encode()))
-        async with self._context.channels.borrow(
+        async with self._context.connection_pool.borrow(
             dispatch.upstream, dispatch.address, self._max_connections()
-        ) as self._channel:
+        ) as self._connection:
             check_not_withdrawn(self._context.scheduler, dispatch)
             sent_at_seconds = self._context.read_clock()
-            await self._channel.send(call.method, call.target, headers, body)
+            await self._connection.send(call.method, call.target, headers, body)
             head = await self._receive_head()
             facts = dialect.read_response(head, self._expected_incarnation)
-            self._update_channel(facts)
+            self._update_connection(facts)
             self._post_upstream_state(facts, sent_at_seconds)
             self._check(head, facts)
             with self._context.stall_detector.monitor(
@@ -91,13 +91,13 @@
                 yield head
             if monitor.has_stalled:
                 raise self.failed(Outcome.BROKEN, "the response stream is stalled")
-        self.idle_timeout_seconds = self._channel.max_idle_seconds
+        self.idle_timeout_seconds = self._connection.max_idle_seconds
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the chunks of the body as they arrive."""
         monitor = self._read_monitor
         self._context.stall_detector.note_waiting(monitor)
-        async for chunk in self._channel.receive_pieces():
+        async for chunk in self._connection.receive_chunks():
             # Time that a slow caller takes must not count as a stall of the upstream.
             monitor.waiting_since_seconds = None
             yield chunk
@@ -147,11 +147,11 @@
         with anyio.move_on_after(
             min(UNRESPONSIVE_AFTER_SECONDS, stall_timeout_seconds)
         ):
-            return await self._channel.receive_head()
+            return await self._connection.receive_head()
         self._report_unresponsive()
         # The cancelled read has consumed no bytes.
         with anyio.move_on_after(stall_timeout_seconds - UNRESPONSIVE_AFTER_SECONDS):
-            return await self._channel.receive_head()
+            return await self._connection.receive_head()
         raise self.failed(Outcome.BROKEN, "the upstream is unresponsive")
 
     def _report_unresponsive(self) -> None:
@@ -173,11 +173,11 @@
             return float("inf")
         return self._context.settings.retry.silence_timeout_seconds
 
-    def _update_channel(self, facts: ResponseInfo) -> None:
+    def _update_connection(self, facts: ResponseInfo) -> None:
         if facts.is_closing:
-            self._channel.max_idle_seconds = 0.0
+            self._connection.max_idle_seconds = 0.0
         elif facts.max_idle_seconds is not None:
-            self._channel.set_idle_limit(facts.max_idle_seconds)
+            self._connection.set_idle_limit(facts.max_idle_seconds)
 
     def _check(self, head: ResponseHead, facts: ResponseInfo) -> None:
         """Raise unless the response belongs to this attempt and may be forwarded."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -152,7 +152,7 @@
         self.context.metrics.first_token.labels(*self.labels).observe(waited)
         # The response starts once its first chunk has arrived, so that the call can be
         # retried if the service fails before.
-        chunks = answer.pieces
+        chunks = answer.chunks
         first = await anext(chunks, b"")
         self.context.scheduler.post(
             AttemptDelivered(self.request_id, dispatch.attempt_id)
--- a/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/__init__.py
@@ -12,8 +12,8 @@
     UpstreamStream as UpstreamStream,
 )
 from ._connection_pool import (
-    Channel as Channel,
-    ChannelPool as ChannelPool,
+    ConnectionPool as ConnectionPool,
+    UpstreamConnection as UpstreamConnection,
 )
 from ._control import (
     CONTROL_TIMEOUT_SECONDS as CONTROL_TIMEOUT_SECONDS,
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -26,7 +26,7 @@
 from .._errors import AttemptError
 from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
-from ._connection_pool import ChannelPool
+from ._connection_pool import ConnectionPool
 from ._control import call_upstream
 
 #: Maximum wait of one poll at the cache, and the additional time allowed for the
@@ -132,7 +132,7 @@
         self,
         own: Member,
         scheduler: SchedulerTask,
-        channels: ChannelPool,
+        connection_pool: ConnectionPool,
         dialect: CacheDialect,
         salts: SaltTable,
         notify_peers: Callable[[CacheReported], None],
@@ -140,7 +140,7 @@
     ) -> None:
         self._own = own
         self._scheduler = scheduler
-        self._channels = channels
+        self._connection_pool = connection_pool
         self._dialect = dialect
         self._salts = salts
         self._notify_peers = notify_peers
@@ -244,7 +244,7 @@
         # Use a separate connection pool, so that a waiting poll does not occupy
         # connections needed by requests.
         head, body = await call_upstream(
-            self._channels,
+            self._connection_pool,
             f"{source.name} events",
             source.address,
             request,
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -25,7 +25,7 @@
 from .._dialects import ControlRequest, read_signals
 from .._errors import AttemptError
 from .._headers import LEAVING, RawHeaders, ResponseHead
-from ._connection_pool import Channel, ChannelPool
+from ._connection_pool import ConnectionPool, UpstreamConnection
 from ._control import CONTROL_TIMEOUT_SECONDS, call_upstream
 from ._sse import EventSplitter, StreamEvent
 
@@ -54,11 +54,11 @@
 
     def __init__(
         self,
-        channels: ChannelPool,
+        connection_pool: ConnectionPool,
         silence_timeout_seconds: float,
         max_event_bytes: int,
     ) -> None:
-        self._channels = channels
+        self._connection_pool = connection_pool
         self._silence_timeout_seconds = silence_timeout_seconds
         self._max_event_bytes = max_event_bytes
 
@@ -81,22 +81,22 @@
             *headers,
             (b"content-length", length),
         ]
-        async with self._channels.borrow(peer, address) as channel:
-            await channel.send(method, target, request_headers, body)
+        async with self._connection_pool.borrow(peer, address) as connection:
+            await connection.send(method, target, request_headers, body)
             with self._read_timeout(step, peer):
-                head = await channel.receive_head()
-            yield UpstreamResponse(head, self._pieces(channel, step, peer))
+                head = await connection.receive_head()
+            yield UpstreamResponse(head, self._chunks(connection, step, peer))
 
-    async def _pieces(
-        self, channel: Channel, step: str, peer: str
+    async def _chunks(
+        self, connection: UpstreamConnection, step: str, peer: str
     ) -> AsyncIterator[bytes]:
-        pieces = channel.receive_pieces()
+        chunks = connection.receive_chunks()
         while True:
             with self._read_timeout(step, peer):
-                piece = await anext(pieces, None)
-            if piece is None:
+                chunk = await anext(chunks, None)
+            if chunk is None:
                 return
-            yield piece
+            yield chunk
 
     def _read_timeout(self, step: str, peer: str) -> "_ReadTimeout":
         return _ReadTimeout(self._silence_timeout_seconds, step, peer)
@@ -172,7 +172,7 @@
         self, upstream: str, address: str, request: ControlRequest
     ) -> tuple[ResponseHead, bytes]:
         return await call_upstream(
-            self._channels, upstream, address, request, CONTROL_TIMEOUT_SECONDS
+            self._connection_pool, upstream, address, request, CONTROL_TIMEOUT_SECONDS
         )
 
 
@@ -203,8 +203,8 @@
     """A response in progress."""
 
     head: ResponseHead
-    #: Pieces of the body as they arrive.
-    pieces: AsyncIterator[bytes]
+    #: Chunks of the body as they arrive.
+    chunks: AsyncIterator[bytes]
 
     @property
     def status(self) -> int:
@@ -228,7 +228,7 @@
         self._status = response.status
         self.head = response.head
         self._headers = response.texts()
-        self._pieces = response.pieces
+        self._chunks = response.chunks
         self._upstream = upstream
         self._max_event_bytes = max_event_bytes
 
@@ -266,7 +266,7 @@
     async def batches(self) -> AsyncIterator[list[StreamEvent]]:
         """Yield events in batches as they arrive."""
         splitter = EventSplitter(self._max_event_bytes, self._upstream)
-        async for data in self._pieces:
+        async for data in self._chunks:
             events = splitter.feed(data)
             if events:
                 yield events
--- a/packages/rampwick-router/src/rampwick_router/upstream/_connection_pool.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_connection_pool.py
@@ -49,17 +49,17 @@
 REQUEST = "request"
 
 
-class ChannelLimitError(AttemptError):
+class ConnectionLimitError(AttemptError):
     """All connections that this host may open to an upstream are in use."""
 
 
 @attrs.define(eq=False, repr=False)
-class Channel(ReprMixin):
+class UpstreamConnection(ReprMixin):
     """One connection to an upstream."""
 
     peer: str
     _socket: TcpSocket
-    _connection: h11.Connection = attrs.field(init=False)
+    _http: h11.Connection = attrs.field(init=False)
     #: Maximum idle time; responses of the upstream may change it.
     max_idle_seconds: float = DEFAULT_IDLE_SECONDS
     idle_since_seconds: float = 0.0
@@ -71,7 +71,7 @@
     _was_closed: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self._connection = h11.Connection(
+        self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
 
@@ -82,11 +82,11 @@
         self.requests_count += 1
         self.has_sent = False
         request = h11.Request(method=method, target=target, headers=list(headers))
-        head = self._connection.send(request)
+        head = self._http.send(request)
         tail = b""
         if body:
-            tail += self._connection.send(h11.Data(data=body))
-        tail += self._connection.send(h11.EndOfMessage())
+            tail += self._http.send(h11.Data(data=body))
+        tail += self._http.send(h11.EndOfMessage())
         data = head + tail
         for start in range(0, len(data), SEND_BYTES):
             await self._send_bytes(data[start : start + SEND_BYTES])
@@ -108,8 +108,8 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise self._broken("read answer", "the connection closed")
 
-    async def receive_pieces(self) -> AsyncIterator[bytes]:
-        """Yield the body in pieces; raise an error if it is truncated."""
+    async def receive_chunks(self) -> AsyncIterator[bytes]:
+        """Yield the body in chunks; raise an error if it is truncated."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -122,7 +122,7 @@
     async def _next_event(self) -> object:
         while True:
             try:
-                event = self._connection.next_event()
+                event = self._http.next_event()
             except h11.RemoteProtocolError as error:
                 raise self._broken("read answer", error) from error
             if event is not h11.NEED_DATA:
@@ -132,7 +132,7 @@
             except OSError as error:
                 raise self._broken("read answer", error) from error
             self._was_closed = not data
-            self._connection.receive_data(data)
+            self._http.receive_data(data)
 
     def is_reusable(self) -> bool:
         """Return whether the response was complete and no data followed it.
@@ -140,12 +140,12 @@
         Must be called once after each response; it prepares the connection for the next
         request.
         """
-        connection = self._connection
-        if self._has_failed or connection.trailing_data != (b"", False):
+        http = self._http
+        if self._has_failed or http.trailing_data != (b"", False):
             return False
-        if (connection.our_state, connection.their_state) != (h11.DONE, h11.DONE):
+        if (http.our_state, http.their_state) != (h11.DONE, h11.DONE):
             return False
-        connection.start_next_cycle()
+        http.start_next_cycle()
         self._socket.unwatch()
         return not self._socket.is_readable()
 
@@ -181,19 +181,19 @@
 
 
 @attrs.define(repr=False)
-class _UpstreamChannels(ReprMixin):
+class _UpstreamConnections(ReprMixin):
     """Connections to one incarnation of an upstream."""
 
-    idle: list[Channel] = attrs.field(factory=list)
+    idle: list[UpstreamConnection] = attrs.field(factory=list)
     open_count: int = 0
 
 
-class ChannelPool:
+class ConnectionPool:
     """Connections to all upstreams of one host."""
 
     def __init__(self, read_clock: Callable[[], float]) -> None:
         self._read_clock = read_clock
-        self._by_upstream: dict[str, _UpstreamChannels] = {}
+        self._by_upstream: dict[str, _UpstreamConnections] = {}
         #: Number of connections opened so far, by reason.
         self._opened: Counter[str] = Counter()
 
@@ -201,13 +201,13 @@
         """Return the number of connections opened so far, by reason."""
         return dict(self._opened)
 
-    async def __aenter__(self) -> "ChannelPool":
+    async def __aenter__(self) -> "ConnectionPool":
         return self
 
     async def __aexit__(self, *details: object) -> None:
-        for channels in self._by_upstream.values():
-            for channel in channels.idle:
-                channel.close()
+        for connections in self._by_upstream.values():
+            for connection in connections.idle:
+                connection.close()
         self._by_upstream.clear()
 
     @asynccontextmanager
@@ -217,82 +217,86 @@
         address: str,
         max_count: float = math.inf,
         reason: str = REQUEST,
-    ) -> AsyncIterator[Channel]:
+    ) -> AsyncIterator[UpstreamConnection]:
         """Lend a connection to an upstream, an idle one if available.
 
         ``reason`` states what the connection is for, for metrics on connection cost.
         Afterwards the connection returns to the pool if its response was complete.
         Otherwise it is closed, which also stops the upstream's work on the request.
         """
-        channels = self._by_upstream.setdefault(upstream, _UpstreamChannels())
-        channel = self._take_idle(channels)
-        if channel is None:
-            channel = await self._open(channels, upstream, address, max_count, reason)
+        connections = self._by_upstream.setdefault(upstream, _UpstreamConnections())
+        connection = self._take_idle(connections)
+        if connection is None:
+            connection = await self._open(
+                connections, upstream, address, max_count, reason
+            )
         is_complete = False
         try:
-            yield channel
-            is_complete = channel.is_reusable()
+            yield connection
+            is_complete = connection.is_reusable()
         finally:
-            if is_complete and channel.max_idle_seconds > 0.0:
-                channel.idle_since_seconds = self._read_clock()
-                channels.idle.append(channel)
+            if is_complete and connection.max_idle_seconds > 0.0:
+                connection.idle_since_seconds = self._read_clock()
+                connections.idle.append(connection)
             else:
-                channels.open_count -= 1
-                channel.close()
+                connections.open_count -= 1
+                connection.close()
 
-    def _take_idle(self, channels: _UpstreamChannels) -> Channel | None:
+    def _take_idle(
+        self, connections: _UpstreamConnections
+    ) -> UpstreamConnection | None:
         # Use the most recently used connection first, so that the others can expire.
-        while channels.idle:
-            channel = channels.idle.pop()
-            if channel.may_stay_idle(self._read_clock()):
-                return channel
-            channels.open_count -= 1
-            channel.close()
+        while connections.idle:
+            connection = connections.idle.pop()
+            if connection.may_stay_idle(self._read_clock()):
+                return connection
+            connections.open_count -= 1
+            connection.close()
         return None
 
     async def _open(
         self,
-        channels: _UpstreamChannels,
+        connections: _UpstreamConnections,
         upstream: str,
         address: str,
         max_count: float,
         reason: str,
-    ) -> Channel:
-        if channels.open_count >= max_count:
-            raise ChannelLimitError(
+    ) -> UpstreamConnection:
+        if connections.open_count >= max_count:
+            raise ConnectionLimitError(
                 f"all {max_count:.0f} connections are in use",
                 outcome=Outcome.UNREACHABLE,
                 step="connect",
                 peer=upstream,
             )
-        channels.open_count += 1
+        connections.open_count += 1
         is_open = False
         try:
-            connection = await _connect(upstream, address)
+            tcp_socket = await _connect(upstream, address)
             is_open = True
         finally:
             if not is_open:
-                channels.open_count -= 1
+                connections.open_count -= 1
         self._opened[reason] += 1
-        return Channel(upstream, connection)
+        return UpstreamConnection(upstream, tcp_socket)
 
     async def sweep(self) -> None:
         """Close expired idle connections periodically until cancelled."""
         while True:
             await sleep_aligned(SWEEP_SECONDS)
-            for upstream, channels in list(self._by_upstream.items()):
-                self._close_expired(channels)
-                if not channels.open_count:
+            for upstream, connections in list(self._by_upstream.items()):
+                self._close_expired(connections)
+                if not connections.open_count:
                     self._by_upstream.pop(upstream, None)
 
-    def _close_expired(self, channels: _UpstreamChannels) -> None:
+    def _close_expired(self, connections: _UpstreamConnections) -> None:
         now_seconds = self._read_clock()
-        idle, channels.idle = channels.idle, []
+        idle, connections.idle = connections.idle, []
         expired = [item for item in idle if not item.may_stay_idle(now_seconds)]
-        channels.idle += [item for item in idle if item not in expired]
-        for channel in expired:
-            channels.open_count -= 1
-            channel.close()
+        connections.idle += [item for item in idle if item not in expired]
+        for connection in expired:
+            connections.open_count -= 1
+            connection.close()
 
 
 async def _connect(upstream: str, address: str) -> TcpSocket:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_control.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_control.py
@@ -12,7 +12,7 @@
 from .._errors import AttemptError
 from .._headers import ResponseHead
 from .._scheduler_task import SchedulerTask
-from ._connection_pool import ChannelPool
+from ._connection_pool import ConnectionPool
 
 #: Timeout of a control call. An order is sent only if the lease outlives this timeout,
 #: so it is short; responses take a few milliseconds.
@@ -40,13 +40,13 @@
 
     def __init__(
         self,
-        channels: ChannelPool,
+        connection_pool: ConnectionPool,
         dialect: ControlDialect,
         find_health_path: Callable[[str], str],
         scheduler: SchedulerTask,
     ) -> None:
         self._scheduler = scheduler
-        self._channels = channels
+        self._connection_pool = connection_pool
         self._dialect = dialect
         self._find_health_path = find_health_path
 
@@ -80,7 +80,11 @@
         self, entry: HostEntry, request: ControlRequest
     ) -> tuple[ResponseHead, bytes]:
         head, body = await call_upstream(
-            self._channels, entry.name, entry.address, request, CONTROL_TIMEOUT_SECONDS
+            self._connection_pool,
+            entry.name,
+            entry.address,
+            request,
+            CONTROL_TIMEOUT_SECONDS,
         )
         signals = self._dialect.read_signals(head, body)
         if signals:
@@ -97,7 +101,7 @@
 
 
 async def call_upstream(
-    channels: ChannelPool,
+    connection_pool: ConnectionPool,
     name: str,
     address: str,
     request: ControlRequest,
@@ -108,12 +112,14 @@
     if request.body:
         headers.append((b"content-length", str(len(request.body)).encode()))
     with anyio.move_on_after(timeout_seconds):
-        async with channels.borrow(name, address, reason=request.step) as channel:
-            await channel.send(request.method, request.path, headers, request.body)
-            head = await channel.receive_head()
+        async with connection_pool.borrow(
+            name, address, reason=request.step
+        ) as connection:
+            await connection.send(request.method, request.path, headers, request.body)
+            head = await connection.receive_head()
             body = b""
-            async for piece in channel.receive_pieces():
-                body += piece
+            async for chunk in connection.receive_chunks():
+                body += chunk
                 if len(body) > MAX_RESPONSE_BYTES:
                     raise _failed(
                         f"response larger than {MAX_RESPONSE_BYTES} bytes",
--- a/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_stalls.py
@@ -1,6 +1,6 @@
 """Detection of upstreams that stall in the middle of a response.
 
-A timeout for each piece of a body costs more than forwarding the piece. Instead one
+A timeout for each chunk of a body costs more than forwarding the chunk. Instead one
 task periodically checks all responses in progress, so that a stall is detected slightly
 later than its timeout.
 """
--- a/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_tcp_socket.py
@@ -6,7 +6,7 @@
 
 The code uses asyncio's event loop directly, which anyio runs on here. Waiting through
 anyio registers the socket again for each read, which doubled the system calls for each
-piece of a stream.
+chunk of a stream.
 """
 
 import asyncio
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -71,17 +71,17 @@
             with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
                     scheduler = host.daemon.scheduler
-                    channels = host.daemon.entry._context.channels
-                    borrow = channels.borrow
+                    connection_pool = host.daemon.entry._context.connection_pool
+                    borrow = connection_pool.borrow
 
                     @asynccontextmanager
                     async def announce_first(upstream, *terms, **options):
-                        async with borrow(upstream, *terms, **options) as channel:
+                        async with borrow(upstream, *terms, **options) as connection:
                             signal = UpstreamSignalled("a", "a", is_leaving=True)
                             scheduler.post(signal)
-                            yield channel
+                            yield connection
 
-                    channels.borrow = announce_first
+                    connection_pool.borrow = announce_first
                     answer = await host.call("/once/1")
                     return answer.status, {
                         name: len(item.requests) for name, item in found.items()
