--- a/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_kind_watcher.py
@@ -21,8 +21,8 @@
 BACKOFF_FACTOR = 1.6
 MAX_BACKOFF_SECONDS = 0.8
 
-#: Interval of the checks whether this host has to read.
-WANTED_POLL_SECONDS = 0.5
+#: Interval of the checks whether this host must read the store.
+ROLE_CHECK_INTERVAL_SECONDS = 0.5
 
 
 @attrs.frozen(repr=False)
@@ -32,7 +32,7 @@
     objects: Mapping[str, StoredObject]
     #: Highest version of the included changes.
     version: int
-    #: Steady time at which the state was last confirmed as the newest.
+    #: Monotonic time at which the state was last confirmed as the newest.
     confirmed_at_seconds: float
     #: Whether the preceding call to the store failed.
     is_after_failure: bool = False
@@ -83,7 +83,7 @@
     """Task that watches one prefix and passes each state to a callback.
 
     ``on_state`` is called after every successful call, also if only the confirmation
-    time has changed. While ``is_wanted`` returns False, other hosts read the store and
+    time has changed. While ``must_read`` returns False, other hosts read the store and
     no calls are made. The task waits ``pause_seconds`` between two calls, so that a few
     calls read many changes in a short time.
     """
@@ -97,19 +97,19 @@
         on_state: Callable[[KindState], None],
         on_problem: Callable[[str], None],
         read_clock: Callable[[], float],
-        draw: random.Random,
+        rng: random.Random,
         pause_seconds: float = 0.0,
-        is_wanted: Callable[[], bool] = lambda: True,
+        must_read: Callable[[], bool] = lambda: True,
     ) -> None:
         self._api = api
         self._prefix = prefix
         self._wait_seconds = wait_seconds
-        self._take_state = on_state
-        self._take_problem = on_problem
+        self._on_state = on_state
+        self._on_problem = on_problem
         self._read_clock = read_clock
-        self._draw = draw
+        self._rng = rng
         self._pause_seconds = pause_seconds
-        self._is_wanted = is_wanted
+        self._must_read = must_read
         self._view = KindView()
         self._is_listed = False
         #: Failures since the last successful watch, and whether the last call failed.
@@ -121,15 +121,15 @@
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            while not self._is_wanted():
-                await sleep_aligned(WANTED_POLL_SECONDS)
+            while not self._must_read():
+                await sleep_aligned(ROLE_CHECK_INTERVAL_SECONDS)
             try:
                 confirmed_at_seconds = await self._poll()
                 self._note_success(confirmed_at_seconds)
                 await anyio.sleep(self._pause_seconds)
             except HistoryGoneError as error:
                 self._is_listed = False
-                self._take_problem(str(error))
+                self._on_problem(str(error))
                 self._history_gone_count += 1
                 if self._history_gone_count > 1:
                     # The watch after a listing failed as well. Without a backoff, a
@@ -142,19 +142,19 @@
                 self._is_listed = False
                 self._failures_count += 1
                 self._has_failed = True
-                self._take_problem(str(error))
+                self._on_problem(str(error))
                 await self._back_off()
 
     async def refresh(self) -> None:
         """Read all objects again, or raise PlatformError."""
         started_seconds = self._read_clock()
-        self._take_listing(await self._list())
+        self._apply_listing(await self._list())
         self._note_success(started_seconds)
 
     async def _poll(self) -> float:
         started_seconds = self._read_clock()
         if not self._is_listed:
-            self._take_listing(await self._list())
+            self._apply_listing(await self._list())
             self._is_listed = True
             return started_seconds
         listing = await self._api.watch(
@@ -185,7 +185,7 @@
         # page are certainly included.
         return Listing(version=version, objects=objects)
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         known_version = self._view.store_version
         if not self._view.apply_listing(listing):
             # An older listing does not confirm the known state.
@@ -203,9 +203,9 @@
             store_version=self._view.store_version,
         )
         self._has_failed = False
-        self._take_state(state)
+        self._on_state(state)
 
     async def _back_off(self) -> None:
         seconds = INITIAL_BACKOFF_SECONDS * BACKOFF_FACTOR ** (self._failures_count - 1)
-        seconds = min(MAX_BACKOFF_SECONDS, seconds) * self._draw.uniform(0.5, 1.0)
+        seconds = min(MAX_BACKOFF_SECONDS, seconds) * self._rng.uniform(0.5, 1.0)
         await anyio.sleep(seconds)
--- a/packages/rampwick-platform/src/rampwick_platform/_socket_options.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_socket_options.py
@@ -12,7 +12,7 @@
 USER_TIMEOUT_MILLISECONDS = 2000
 
 #: Keep-alive probes of an idle connection: initial delay, interval and count. They cost
-#: two packets per second.
+#: two packets per second on an idle connection.
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES_COUNT = 3
--- a/packages/rampwick-platform/src/rampwick_platform/_weights_store.py
+++ b/packages/rampwick-platform/src/rampwick_platform/_weights_store.py
@@ -25,9 +25,9 @@
         """Replace the target of a model; VersionConflictError if a write came first."""
         stored = await self._api.get(WEIGHTS_KEY)
         current = decode_record(stored, WeightsTargets).targets if stored else []
-        others = [item for item in current if item.model != target.model]
+        other_targets = [item for item in current if item.model != target.model]
         record = WeightsTargets(
-            write_id=secrets.token_hex(8), targets=[*others, target]
+            write_id=secrets.token_hex(8), targets=[*other_targets, target]
         )
         version = stored.version if stored else ABSENT
         await put_idempotent(self._api, WEIGHTS_KEY, record, version)
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -265,10 +265,10 @@
 
 
 def _count_suspects(scheduler: Scheduler, now_seconds: float) -> dict[str, int]:
-    book = scheduler.quarantine.tracker
+    tracker = scheduler.quarantine.tracker
     counts = dict.fromkeys((item.name.lower() for item in QuarantineState), 0)
-    for suspect in book:
-        counts[book.quarantine_state(suspect.fingerprint).name.lower()] += 1
+    for suspect in tracker:
+        counts[tracker.quarantine_state(suspect.fingerprint).name.lower()] += 1
     return counts
 
 
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -134,7 +134,7 @@
             upstreams=upstreams,
             claims=self.claims,
             metrics=self._metrics,
-            tokens=StreamTokens(settings.peers.secret),
+            stream_tokens=StreamTokens(settings.peers.secret),
             ids=RequestIdGenerator(host.name, incarnation),
             lifecycle=self.lifecycle,
             read_clock=read_clock,
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -105,7 +105,7 @@
         log.info("started", host=self._settings.host.name)
 
     async def wait_initial_state(self) -> None:
-        """Wait, up to a time-out, for the configuration, host list and cache contents.
+        """Wait, up to a timeout, for the configuration, host list and cache contents.
 
         Callers' connections are queued meanwhile. Without the configuration the host
         would reject requests, and without the cache contents it would treat each
@@ -159,11 +159,11 @@
     async def stop(self) -> None:
         """Wait for the start of a planned shutdown and carry it out."""
         await self.lifecycle.wait_stopping()
-        began_seconds = self._clocks.monotonic()
+        started_seconds = self._clocks.monotonic()
         stop_within_seconds = self._settings.life.stop_within_seconds
         if stop_within_seconds:
             exit_deadline_seconds = (
-                began_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
+                started_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
             )
             self.lifecycle.exit_deadline_seconds = exit_deadline_seconds
         log.info("not ready, waiting for the balancer to stop routing here")
@@ -179,7 +179,7 @@
                 # In a forced shutdown EntryApp ends each open request with an error.
                 await anyio.sleep(DRAIN_CHECK_SECONDS)
         log.info(
-            "left",
+            "stopped",
             open_count=self.entry.open_count,
             platform_calls=dict(getattr(self._api, "calls", {})),
         )
@@ -189,8 +189,10 @@
         drain_seconds = self._settings.life.drain_timeout_seconds
         if self.lifecycle.exit_deadline_seconds is None:
             return drain_seconds
-        left_seconds = self.lifecycle.exit_deadline_seconds - self._clocks.monotonic()
-        return max(0.0, min(drain_seconds, left_seconds))
+        remaining_seconds = (
+            self.lifecycle.exit_deadline_seconds - self._clocks.monotonic()
+        )
+        return max(0.0, min(drain_seconds, remaining_seconds))
 
 
 def _log_restore(era_before: int, era: int, call: str) -> None:
--- a/packages/rampwick-router/src/rampwick_router/_dialects.py
+++ b/packages/rampwick-router/src/rampwick_router/_dialects.py
@@ -57,7 +57,7 @@
     key: str | None
     #: Headers that are forwarded to the upstream unchanged.
     forwarded_headers: Sequence[Header]
-    #: Time-out of the caller; None if it sent none.
+    #: Timeout of the caller; None if it sent none.
     timeout_seconds: float | None = None
     #: Model and prompt parts; empty for plain services.
     model: str = ""
@@ -157,7 +157,7 @@
     is_other_incarnation: bool = False
     #: Weights version of the upstream; None if it is not reported.
     weights_version: int | None = None
-    #: Idle time-out of the connection; None if it is not reported.
+    #: Idle timeout of the connection; None if it is not reported.
     max_idle_seconds: float | None = None
     #: Whether the upstream closes the connection, as during its shutdown.
     is_closing: bool = False
--- a/packages/rampwick-router/src/rampwick_router/_fallback.py
+++ b/packages/rampwick-router/src/rampwick_router/_fallback.py
@@ -22,7 +22,8 @@
 
 STEP = "read fallback"
 
-#: Revision and version below any real one.
+#: Lower than any real revision or version, and higher than the version -1 of a host
+#: that has no host list yet.
 FALLBACK_REVISION = 0
 
 
--- a/packages/rampwick-router/src/rampwick_router/_headers.py
+++ b/packages/rampwick-router/src/rampwick_router/_headers.py
@@ -49,32 +49,34 @@
 
     Headers listed in a Connection header are hop-by-hop as well.
     """
-    known = list(headers)
+    all_headers = list(headers)
     listed = {
         token.strip().lower()
-        for name, value in known
+        for name, value in all_headers
         if name.lower() == b"connection"
         for token in value.split(b",")
     }
     hop_by_hop = CONNECTION_HEADERS | listed
-    return [(name, value) for name, value in known if name.lower() not in hop_by_hop]
+    return [
+        (name, value) for name, value in all_headers if name.lower() not in hop_by_hop
+    ]
 
 
 def find(headers: Iterable[Header], name: bytes) -> bytes | None:
     """Return the value of the first header with a lower-case name, or None."""
-    for known, value in headers:
-        if known.lower() == name:
+    for header_name, value in headers:
+        if header_name.lower() == name:
             return value
     return None
 
 
 def find_all(headers: Iterable[Header], name: bytes) -> list[bytes]:
     """Return the values of all headers with a lower-case name."""
-    return [value for known, value in headers if known.lower() == name]
+    return [value for header_name, value in headers if header_name.lower() == name]
 
 
 def keep_alive_seconds(headers: Iterable[Header]) -> float | None:
-    """Return the idle time-out in a Keep-Alive header, or None."""
+    """Return the idle timeout in a Keep-Alive header, or None."""
     value = find(headers, b"keep-alive")
     if value is None:
         return None
--- a/packages/rampwick-router/src/rampwick_router/_logs.py
+++ b/packages/rampwick-router/src/rampwick_router/_logs.py
@@ -1,7 +1,7 @@
 """Structured logs, written by eliot, with a fixed prefix for each component.
 
-Each message is limited to N lines a second; the next line that is written contains the
-number of lines dropped before it.
+The lines of each message are limited by a token bucket; the next line that is written
+contains the number of lines dropped before it.
 """
 
 import math
--- a/packages/rampwick-router/src/rampwick_router/_servers.py
+++ b/packages/rampwick-router/src/rampwick_router/_servers.py
@@ -17,7 +17,7 @@
 #: Time that the HTTP server is given to close idle connections.
 CLOSE_TIMEOUT_SECONDS = 0.5
 
-#: Idle time-out of callers' connections; longer than the usual minute of balancers, so
+#: Idle timeout of callers' connections; longer than the usual minute of balancers, so
 #: that the balancer closes first.
 KEEP_ALIVE_SECONDS = 75
 
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -165,9 +165,9 @@
         api: ObjectApi,
         reader: ConfigurationReader,
         settings: Settings,
-        is_wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         read_clock: Callable[[], float],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._reader = reader
         self._read_clock = read_clock
@@ -179,17 +179,17 @@
         self._restored = RestoredTrees()
         self._last_state: KindState | None = None
         #: Time at which a held back tree may be applied.
-        self._due_at_seconds = math.inf
-        self._has_due = anyio.Event()
+        self._held_until_seconds = math.inf
+        self._hold_changed = anyio.Event()
         self._watcher = KindWatcher(
             api,
             reader.configuration_prefix,
             wait_seconds=settings.platform.confirm_wait_seconds,
-            is_wanted=is_wanted,
+            must_read=must_read,
             on_state=self._apply_state,
             on_problem=self._note_problem,
             read_clock=read_clock,
-            draw=draw,
+            rng=rng,
         )
 
     async def run(self, task: ConfigurationTask) -> None:
@@ -202,10 +202,10 @@
     async def _apply_held(self) -> None:
         """Apply trees that are held back as soon as this is allowed."""
         while True:
-            self._has_due = anyio.Event()
-            wait_seconds = max(0.0, self._due_at_seconds - self._read_clock())
+            self._hold_changed = anyio.Event()
+            wait_seconds = max(0.0, self._held_until_seconds - self._read_clock())
             with anyio.move_on_after(wait_seconds) as scope:
-                await self._has_due.wait()
+                await self._hold_changed.wait()
             if scope.cancelled_caught and self._last_state is not None:
                 self._apply_state(self._last_state)
 
@@ -244,7 +244,7 @@
     @property
     def _is_held(self) -> bool:
         """Whether the state of the store is held back."""
-        return math.isfinite(self._due_at_seconds)
+        return math.isfinite(self._held_until_seconds)
 
     def _apply_state(self, state: KindState) -> None:
         self._task.note_problem("")
@@ -262,7 +262,7 @@
             except RampwickError as error:
                 # Rejected as a whole; the previous configuration stays in force.
                 self._refused_version = state.version
-                self._due_at_seconds = math.inf
+                self._held_until_seconds = math.inf
                 log.problem("configuration rejected", error=str(error))
         # Do not confirm while a newer revision is known that is not in force: it may
         # have revoked a key. This includes a revision that the store lost when it was
@@ -281,11 +281,11 @@
         if offer.due_at_seconds <= now_seconds:
             if self._is_held:
                 _log_restored(tree)
-            self._due_at_seconds = math.inf
+            self._held_until_seconds = math.inf
             return follower.offer_tree(offer.tree, "platform")
-        if offer.due_at_seconds != self._due_at_seconds:
-            self._due_at_seconds = offer.due_at_seconds
-            self._has_due.set()
+        if offer.due_at_seconds != self._held_until_seconds:
+            self._held_until_seconds = offer.due_at_seconds
+            self._hold_changed.set()
             _log_held(tree, follower, offer.due_at_seconds - now_seconds)
         return False
 
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -92,9 +92,9 @@
         self,
         api: ObjectApi,
         reader: UpstreamReader,
-        is_wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         read_clock: Callable[[], float],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._reader = reader
         self._read_clock = read_clock
@@ -105,11 +105,11 @@
             reader.upstreams_prefix,
             wait_seconds=UPSTREAMS_WAIT_SECONDS,
             pause_seconds=WATCH_PAUSE_SECONDS,
-            is_wanted=is_wanted,
+            must_read=must_read,
             on_state=self._apply_state,
             on_problem=self._note_problem,
             read_clock=read_clock,
-            draw=draw,
+            rng=rng,
         )
         self._task: HostListConsumer
 
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
@@ -74,7 +74,7 @@
         """Record that an order is about to be sent; it may arrive until its timeout."""
         self._order_arrives_seconds = self._read_clock() + timeout_seconds
 
-    async def keep(self, is_candidate: bool) -> None:
+    async def maintain(self, is_candidate: bool) -> None:
         """Renew or acquire the lease if due; otherwise check an unresponsive holder."""
         now_seconds = self._read_clock()
         if self.is_held and not self._has_fresh_targets(now_seconds):
@@ -130,9 +130,11 @@
         self.lease.give_up()
         # Keep the same distance between the orders of two holders as when a lease
         # expires.
-        apart_seconds = self.lease.duration_seconds - self.lease.order_window_seconds
+        order_gap_seconds = (
+            self.lease.duration_seconds - self.lease.order_window_seconds
+        )
         since_seconds = self._read_clock() - self._order_arrives_seconds
-        wait_seconds = max(0.0, apart_seconds - since_seconds)
+        wait_seconds = max(0.0, order_gap_seconds - since_seconds)
         try:
             await self._leases.release(self.lease, wait_seconds, self._read_clock)
             log.info("lease released", wait_seconds=wait_seconds)
@@ -167,9 +169,9 @@
         acquired counts from when the newest version was seen.
         """
         assert self._leases is not None
-        silent_seconds = now_seconds - self.lease.last_seen_seconds
+        unseen_seconds = now_seconds - self.lease.last_seen_seconds
         is_known = self.lease.version in (0, self._read_version)
-        if is_known or silent_seconds < HOLDER_TIMEOUT_SECONDS:
+        if is_known or unseen_seconds < HOLDER_TIMEOUT_SECONDS:
             return
         await self._leases.read(self.lease, self._read_clock)
         self._read_version = self.lease.version
--- a/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
@@ -98,8 +98,8 @@
             return False
         if self.is_reader():
             return True
-        silent_seconds = self._read_clock() - self._answered_at()
-        return max(age_seconds, silent_seconds) > FALLBACK_SECONDS
+        unanswered_seconds = self._read_clock() - self._answered_at()
+        return max(age_seconds, unanswered_seconds) > FALLBACK_SECONDS
 
     def _is_past_grace(self) -> bool:
         if not self._is_weak:
--- a/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_rollout_controller.py
@@ -94,13 +94,13 @@
         scheduler: SchedulerTask,
         control: UpstreamControl,
         read_clock: Callable[[], float],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._settings = settings.steward
         self._scheduler = scheduler
         self._control = control
         self._read_clock = read_clock
-        self._draw = draw
+        self._rng = rng
         self._lease_manager = LeaseManager(
             LeaseStore(api, f"leases/steward-{settings.host.region}") if api else None,
             LeaseWatcher(
@@ -164,13 +164,13 @@
         """Acquire or renew the lease and run the rollout, until cancelled."""
         if not self._has_platform or not self._settings.is_candidate:
             return
-        await anyio.sleep(self._draw.uniform(0.0, ACQUIRE_JITTER_SECONDS))
+        await anyio.sleep(self._rng.uniform(0.0, ACQUIRE_JITTER_SECONDS))
         async with anyio.create_task_group() as tasks:
             while not self._has_stopped:
                 self._wake = anyio.Event()
                 is_busy = False
                 try:
-                    await self._keep_lease()
+                    await self._maintain_lease()
                     if self.is_holder:
                         is_busy = await self._run_plan(tasks)
                 except (PlatformError, DataError) as error:
@@ -191,9 +191,9 @@
         self._has_stopped = True
         await self._lease_manager.retire()
 
-    async def _keep_lease(self) -> None:
+    async def _maintain_lease(self) -> None:
         try:
-            await self._lease_manager.keep(self.is_candidate())
+            await self._lease_manager.maintain(self.is_candidate())
         finally:
             if self._lease_manager.update_held():
                 # Orders of the previous holder show in the runners' reports.
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -55,9 +55,9 @@
         reader: TargetReader,
         scheduler: SchedulerTask,
         wake: Callable[[], None],
-        is_wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         read_clock: Callable[[], float],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._reader = reader
         self._scheduler = scheduler
@@ -66,11 +66,11 @@
             api,
             reader.targets_prefix,
             wait_seconds=TARGETS_WAIT_SECONDS,
-            is_wanted=is_wanted,
+            must_read=must_read,
             on_state=self._apply_state,
             on_problem=_log_problem,
             read_clock=read_clock,
-            draw=draw,
+            rng=rng,
         )
 
     async def run(self) -> None:
@@ -102,21 +102,21 @@
         self,
         api: ObjectApi,
         scheduler: SchedulerTask,
-        is_wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         wake: Callable[[], None],
         read_clock: Callable[[], float],
     ) -> None:
         self._read_clock = read_clock
         self._store = WeightsStore(api)
         self._scheduler = scheduler
-        self._is_wanted = is_wanted
+        self._must_read = must_read
         self._wake = wake
 
     async def run(self) -> None:
         """Read the targets periodically while this host needs them, until cancelled."""
         is_after_failure = False
         while True:
-            if self._is_wanted():
+            if self._must_read():
                 started_seconds = self._read_clock()
                 try:
                     targets = await self._store.load()
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -99,7 +99,7 @@
             raise _unavailable(RESTORED_MESSAGE, wait_seconds)
         hashed = key_hash(workspace, key)
         shard = shard_of(hashed, self._settings.shards_count)
-        began_seconds = self._read_clock()
+        started_seconds = self._read_clock()
         claim = Claim(
             key_hash=hashed,
             write_id=secrets.token_hex(8),
@@ -116,7 +116,7 @@
         # The claim is usable for half its window. The other half covers a pause of
         # this host after the check before dispatch: a later request with the same key
         # must still find the claim in the store.
-        usable_until = began_seconds + self._settings.window_seconds / 2
+        usable_until = started_seconds + self._settings.window_seconds / 2
         return AcquiredClaim(shard, claim.write_id, usable_until)
 
     async def _submit(self, shard: int, claim: Claim) -> bool:
@@ -144,8 +144,10 @@
                 await anyio.sleep(self._settings.batch_seconds)
                 batch = [first, *self._receive_pending()]
                 for shard in {pending.shard for pending in batch}:
-                    part = [pending for pending in batch if pending.shard == shard]
-                    task_group.start_soon(self._claim_batch, shard, part)
+                    shard_batch = [
+                        pending for pending in batch if pending.shard == shard
+                    ]
+                    task_group.start_soon(self._claim_batch, shard, shard_batch)
 
     def _receive_pending(self) -> list[_PendingClaim]:
         batch = []
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -65,7 +65,7 @@
     upstreams: UpstreamClient
     claims: ClaimTask
     metrics: Metrics
-    tokens: StreamTokens
+    stream_tokens: StreamTokens
     ids: RequestIdGenerator
     lifecycle: Lifecycle
     read_clock: Callable[[], float]
@@ -75,7 +75,7 @@
     salts: SaltTable
     stall_detector: StallDetector
     #: Recent response times, to decide during a shutdown which requests still fit.
-    pace: SlowAnswerTracker = attrs.field(factory=SlowAnswerTracker)
+    slow_answers: SlowAnswerTracker = attrs.field(factory=SlowAnswerTracker)
 
     def check_access(self, call: RoutedCall) -> Access:
         """Return the access decision of the configuration in force for a request."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_entry.py
@@ -202,7 +202,7 @@
         self, token: str, headers: dict[str, str], responder: Responder
     ) -> None:
         workspace = find_workspace(self._context.view, headers)
-        reference = self._context.tokens.decode(token)
+        reference = self._context.stream_tokens.decode(token)
         if reference is None or reference.workspace != workspace.path:
             raise _lost_stream("no such stream")
         position = _read_position(headers, token)
--- a/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_exchange.py
@@ -274,8 +274,8 @@
                 "import_from": source.name if source else "",
                 "queue_ms": round(choice.queue_seconds * 1000),
                 "scores_ms": {
-                    other.upstream: round(other.score_seconds * 1000)
-                    for other in choice.considered[:MAX_LOGGED_SCORES]
+                    candidate.upstream: round(candidate.score_seconds * 1000)
+                    for candidate in choice.considered[:MAX_LOGGED_SCORES]
                 },
             }
         waited = self.context.read_clock() - self.arrived_at_seconds
@@ -318,9 +318,9 @@
 def _refusal_status(kind: ErrorKind, run_state: RunState) -> int:
     """Return a status that matches what is known about the request's execution.
 
-    503 states that the request was not run. It must not be sent if an attempt may have
-    run; it replaces 502 if no attempt has run, except for refusals that are permanent
-    because earlier requests with the same fingerprint ran.
+    503 states that the request was not run, so 502 replaces it once an attempt may have
+    run. If no attempt has run, 503 replaces 502. A permanent refusal keeps its status,
+    since earlier requests with the same fingerprint ran.
     """
     status = kind.status
     if kind.is_permanent:
--- a/packages/rampwick-router/src/rampwick_router/entry/_relay.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_relay.py
@@ -59,7 +59,7 @@
         self._target = target
         self._context = target.context
         self._dispatch = dispatch
-        self._order = SequenceFilter(0, dispatch.upstream)
+        self._sequence = SequenceFilter(0, dispatch.upstream)
         self._has_delivered = False
         self._is_complete = False
         self.response = ReceivedResponse()
@@ -70,7 +70,7 @@
             attempt_id=dispatch.attempt_id,
             is_chat=target.call.is_chat,
         )
-        self._token = self._context.tokens.encode(reference)
+        self._token = self._context.stream_tokens.encode(reference)
 
     async def run(self, content: bytes) -> None:
         """Relay the complete response, resuming the stream if its connection breaks."""
@@ -91,7 +91,7 @@
     async def _resume_after(self, error: AttemptError) -> None:
         was_closed = error.was_closed
         for _ in range(MAX_RESUMES):
-            if error.outcome is not Outcome.BROKEN or not self._order.next_position:
+            if error.outcome is not Outcome.BROKEN or not self._sequence.next_position:
                 raise error
             await anyio.sleep(RESUME_DELAY_SECONDS)
             self._context.metrics.resumes.inc()
@@ -112,7 +112,7 @@
             dispatch.address,
             dispatch.upstream,
             dispatch.attempt_id,
-            self._order.next_position,
+            self._sequence.next_position,
             is_chat=self._target.call.is_chat,
         ) as stream:
             await self._receive(stream, sent_at_seconds)
@@ -143,7 +143,7 @@
         raise self._error(Outcome.BROKEN, "the stream ended before its end")
 
     async def _forward(self, events: list[StreamEvent]) -> None:
-        if self._order.next_position == 0:
+        if self._sequence.next_position == 0:
             self._check_fingerprint(events[0])
         chunks = [event for event in events if self._admit(event)]
         if not chunks:
@@ -153,7 +153,7 @@
             self.response.chunks += [orjson.loads(event.data) for event in chunks]
             return
         await self._start_response()
-        first = self._order.next_position - len(chunks)
+        first = self._sequence.next_position - len(chunks)
         if self.response.usage is not None and not self._target.call.wants_usage:
             # The usage event occupies a position but is not sent to this caller.
             first -= 1
@@ -179,7 +179,7 @@
         if event.is_done:
             self._is_complete = self.response.usage is not None
             return False
-        if self._is_complete or not self._order.admit(event):
+        if self._is_complete or not self._sequence.admit(event):
             return False
         if b'"usage"' not in event.data:
             return True
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -80,10 +80,10 @@
             sent_at_seconds = self._context.read_clock()
             await self._connection.send(call.method, call.target, headers, body)
             head = await self._receive_head()
-            facts = dialect.read_response(head, self._expected_incarnation)
-            self._update_connection(facts)
-            self._post_upstream_state(facts, sent_at_seconds)
-            self._check(head, facts)
+            info = dialect.read_response(head, self._expected_incarnation)
+            self._update_connection(info)
+            self._post_upstream_state(info, sent_at_seconds)
+            self._check(head, info)
             with self._context.stall_detector.monitor(
                 self._stall_timeout_seconds()
             ) as monitor:
@@ -104,7 +104,7 @@
             self._context.stall_detector.note_waiting(monitor)
 
     def failed(
-        self, outcome: Outcome, message: str, facts: ResponseInfo | None = None
+        self, outcome: Outcome, message: str, info: ResponseInfo | None = None
     ) -> AttemptError:
         """Return the error for an attempt that ended with an outcome."""
         return AttemptError(
@@ -112,7 +112,7 @@
             outcome=outcome,
             step=STEP,
             peer=self.dispatch.upstream,
-            retry_after_seconds=facts.signals.pause_seconds if facts else None,
+            retry_after_seconds=info.signals.pause_seconds if info else None,
         )
 
     @property
@@ -167,60 +167,60 @@
     def _stall_timeout_seconds(self) -> float:
         """Return the time without data after which another upstream is tried.
 
-        There is no such time-out for a request that must not run again.
+        There is no such timeout for a request that must not run again.
         """
         if not self._request.is_repeatable:
             return float("inf")
         return self._context.settings.retry.silence_timeout_seconds
 
-    def _update_connection(self, facts: ResponseInfo) -> None:
-        if facts.is_closing:
+    def _update_connection(self, info: ResponseInfo) -> None:
+        if info.is_closing:
             self._connection.max_idle_seconds = 0.0
-        elif facts.max_idle_seconds is not None:
-            self._connection.set_idle_limit(facts.max_idle_seconds)
+        elif info.max_idle_seconds is not None:
+            self._connection.set_idle_limit(info.max_idle_seconds)
 
-    def _check(self, head: ResponseHead, facts: ResponseInfo) -> None:
+    def _check(self, head: ResponseHead, info: ResponseInfo) -> None:
         """Raise unless the response belongs to this attempt and may be forwarded."""
-        self._post_weights(facts)
+        self._post_weights(info)
         status = f"status {head.status}"
-        if facts.is_misdirected:
-            raise self.failed(Outcome.MISDIRECTED, status, facts)
-        if facts.was_refused:
-            raise self.failed(Outcome.BUSY, status, facts)
-        if facts.request_id != self._request.call.request_id:
-            message = f"the response is for request {facts.request_id!r}"
+        if info.is_misdirected:
+            raise self.failed(Outcome.MISDIRECTED, status, info)
+        if info.was_refused:
+            raise self.failed(Outcome.BUSY, status, info)
+        if info.request_id != self._request.call.request_id:
+            message = f"the response is for request {info.request_id!r}"
             raise self.failed(Outcome.BROKEN, message)
-        if not facts.is_signed:
+        if not info.is_signed:
             raise self.failed(Outcome.BROKEN, f"{status} without signature")
         if self._is_resumed and not is_success(head):
             raise self.failed(Outcome.BROKEN, f"resumed with {status}")
         accepted = AttemptAccepted(self._request_id, self.dispatch.attempt_id)
         self._context.scheduler.post(accepted)
 
-    def _post_upstream_state(self, facts: ResponseInfo, sent_at_seconds: float) -> None:
+    def _post_upstream_state(self, info: ResponseInfo, sent_at_seconds: float) -> None:
         """Post rate limit and signals of a response from the intended upstream."""
-        if facts.is_misdirected or facts.is_other_incarnation:
+        if info.is_misdirected or info.is_other_incarnation:
             return
-        if facts.request_id != self._request.call.request_id:
+        if info.request_id != self._request.call.request_id:
             return
-        post_signals(self._context.scheduler, self.dispatch, facts.signals)
+        post_signals(self._context.scheduler, self.dispatch, info.signals)
         post_rate_limit(
             self._context.scheduler,
             self.dispatch,
-            facts.request_rate,
+            info.request_rate,
             sent_at_seconds=sent_at_seconds,
-            is_verified=facts.is_signed,
+            is_verified=info.is_signed,
         )
 
-    def _post_weights(self, facts: ResponseInfo) -> None:
+    def _post_weights(self, info: ResponseInfo) -> None:
         dispatch = self.dispatch
-        if facts.weights_version is None or not dispatch.weights_version:
+        if info.weights_version is None or not dispatch.weights_version:
             return
-        if facts.is_other_incarnation:
+        if info.is_other_incarnation:
             return
-        if facts.weights_version != dispatch.weights_version:
+        if info.weights_version != dispatch.weights_version:
             seen = WeightsReported(
-                dispatch.upstream, dispatch.incarnation, facts.weights_version
+                dispatch.upstream, dispatch.incarnation, info.weights_version
             )
             self._context.scheduler.post(seen)
 
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_entry.py
@@ -13,7 +13,7 @@
 from ._routed_exchange import RoutedExchange
 from ._routed_request import RoutedRequest
 
-#: Time-out of a configuration refresh for a request that no configuration covers yet.
+#: Timeout of a configuration refresh for a request that no configuration covers yet.
 REFRESH_TIMEOUT_SECONDS = 0.4
 
 log = ComponentLogger("route")
@@ -86,7 +86,7 @@
         # connections and are rejected if they would not fit at the slowest recent pace.
         overrun_ratio = 1.0
         if lifecycle.balancer_delay_elapsed:
-            overrun_ratio = self._context.pace.worst_ratio(now_seconds)
+            overrun_ratio = self._context.slow_answers.worst_ratio(now_seconds)
         if can_finish_before(
             lifecycle.exit_deadline_seconds,
             latency_target_seconds=route.latency_target_seconds,
@@ -127,9 +127,9 @@
     ) -> None:
         if responder.has_started:
             return
-        answer = self._context.dialects.caller.write_error(error, request_id)
-        await responder.start(answer.status, answer.headers)
-        await responder.end(answer.body)
+        response = self._context.dialects.caller.write_error(error, request_id)
+        await responder.start(response.status, response.headers)
+        await responder.end(response.body)
 
 
 def _read_raw(scope: Message) -> RawCall:
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_exchange.py
@@ -170,9 +170,9 @@
 
     def _record_response(self, dispatch: Dispatch) -> None:
         now_seconds = self.context.read_clock()
-        whole_seconds = now_seconds - self.arrived_at_seconds
-        self.context.pace.note(
-            whole_seconds,
+        total_seconds = now_seconds - self.arrived_at_seconds
+        self.context.slow_answers.note(
+            total_seconds,
             latency_target_seconds=self._request.route.latency_target_seconds,
             answer_tokens=self._call.max_answer_tokens,
             now_seconds=now_seconds,
@@ -185,7 +185,7 @@
             workspace=self.terms.workspace.path,
             route=self._request.route.name,
             first_ms=round(self._first_seconds * 1000),
-            whole_ms=round(whole_seconds * 1000),
+            whole_ms=round(total_seconds * 1000),
             events_count=self._events_count,
         )
 
@@ -207,9 +207,11 @@
         if self.responder.has_started:
             # Only a connection closed early marks the response as incomplete.
             return
-        answer = self.context.dialects.caller.write_error(error, self._call.request_id)
-        await self.responder.start(answer.status, answer.headers)
-        await self.responder.end(answer.body)
+        response = self.context.dialects.caller.write_error(
+            error, self._call.request_id
+        )
+        await self.responder.start(response.status, response.headers)
+        await self.responder.end(response.body)
 
     def recheck_access(self) -> None:
         """Raise if the request's key may have been revoked since its arrival."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_request.py
@@ -33,7 +33,7 @@
 
     @property
     def deadline_seconds(self) -> float:
-        """Monotonic time at which the caller's or the route's time-out ends."""
+        """Monotonic time at which the caller's or the route's timeout ends."""
         seconds = self.route.timeout_seconds
         if self.call.timeout_seconds is not None:
             seconds = min(seconds, self.call.timeout_seconds)
--- a/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_service_exchange.py
@@ -118,17 +118,17 @@
             peer=dispatch.upstream,
             headers=headers,
             body=self._call.body,
-        ) as answer:
+        ) as response:
             post_rate_limit(
                 self.context.scheduler,
                 dispatch,
-                read_request_rate(answer.head, REQUEST_RATE),
+                read_request_rate(response.head, REQUEST_RATE),
                 sent_at_seconds=sent_at_seconds,
-                is_verified=answer.status < HTTPStatus.INTERNAL_SERVER_ERROR,
+                is_verified=response.status < HTTPStatus.INTERNAL_SERVER_ERROR,
             )
-            signals = read_signals(answer.head, LEAVING)
+            signals = read_signals(response.head, LEAVING)
             post_signals(self.context.scheduler, dispatch, signals)
-            if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
+            if response.status == HTTPStatus.TOO_MANY_REQUESTS:
                 raise AttemptError(
                     "the service answered with status 429",
                     outcome=Outcome.BUSY,
@@ -138,13 +138,13 @@
             self.context.scheduler.post(
                 AttemptAccepted(self.request_id, dispatch.attempt_id)
             )
-            await self._forward(dispatch, answer)
+            await self._forward(dispatch, response)
         return AttemptDone(self.request_id, dispatch.attempt_id)
 
-    async def _forward(self, dispatch: Dispatch, answer: UpstreamResponse) -> None:
+    async def _forward(self, dispatch: Dispatch, response: UpstreamResponse) -> None:
         headers = [
             (name, value)
-            for name, value in answer.head.headers
+            for name, value in response.head.headers
             if is_forwarded_header(name.decode("latin-1"))
         ]
         headers.append((b"rampwick-upstream", dispatch.upstream.encode()))
@@ -152,12 +152,12 @@
         self.context.metrics.first_token.labels(*self.labels).observe(waited)
         # The response starts once its first chunk has arrived, so that the call can be
         # retried if the service fails before.
-        chunks = answer.chunks
+        chunks = response.chunks
         first = await anext(chunks, b"")
         self.context.scheduler.post(
             AttemptDelivered(self.request_id, dispatch.attempt_id)
         )
-        await self.responder.start(answer.status, headers)
+        await self.responder.start(response.status, headers)
         await self.responder.send(first)
         async for chunk in chunks:
             await self.responder.send(chunk)
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -87,16 +87,21 @@
                 self._has_update.set()
 
     def _flush(self) -> None:
-        here, elsewhere = self._from_own_hall.take(), self._from_other_halls.take()
-        if not here and not elsewhere:
+        own_hall, other_halls = (
+            self._from_own_hall.take(),
+            self._from_other_halls.take(),
+        )
+        if not own_hall and not other_halls:
             return
         live = self._list_live()
         if self._table.is_relay(live):
-            self._send(here, lambda peer: not self._table.is_in_group(peer.hall))
-            self._send([*here, *elsewhere], self._is_in_own_group)
+            self._send(own_hall, lambda peer: not self._table.is_in_group(peer.hall))
+            self._send([*own_hall, *other_halls], self._is_in_own_group)
             return
         relay = self._relay(live)
-        self._send(here, self._is_in_own_group if relay is None else _is_named(relay))
+        self._send(
+            own_hall, self._is_in_own_group if relay is None else _is_named(relay)
+        )
 
     def _relay(self, live: set[str]) -> str | None:
         """Return the hall's relay in a large fleet, if it is connected."""
@@ -111,10 +116,10 @@
         return self._table.is_in_group(peer.hall)
 
     def _send(
-        self, seen: list[CacheReported], is_for: Callable[[Member], bool]
+        self, seen: list[CacheReported], is_recipient: Callable[[Member], bool]
     ) -> None:
         if seen:
-            self._links.broadcast(to_cache_event_update(seen), is_for)
+            self._links.broadcast(to_cache_event_update(seen), is_recipient)
 
 
 def _is_named(name: str) -> Callable[[Member], bool]:
--- a/packages/rampwick-router/src/rampwick_router/peers/_directory.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_directory.py
@@ -40,13 +40,13 @@
         own: Member,
         is_disconnected: Callable[[], bool],
         is_reader: Callable[[], bool],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._api = api
         self._own = own
         self._is_disconnected = is_disconnected
         self._is_reader = is_reader
-        self._draw = draw
+        self._rng = rng
         self._members: list[Member] = []
         #: Called after the records have been read.
         self.on_records_read: Callable[[], None] = _do_nothing
@@ -63,7 +63,7 @@
         # together, the seeds may be the last ones to listen.
         await self._refresh(is_first=True)
         while True:
-            seconds = DISCOVERY_INTERVAL_SECONDS * self._draw.uniform(0.7, 1.3)
+            seconds = DISCOVERY_INTERVAL_SECONDS * self._rng.uniform(0.7, 1.3)
             await anyio.sleep(seconds)
             await self._refresh(is_first=False)
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -104,7 +104,7 @@
         self.directory: PeerDirectory | None = None
         self.roles = Roles(own, scheduler, read_clock)
         self.table = self.roles.table
-        self._listener = self.roles.listener
+        self._relay_listener = self.roles.relay_listener
         self._links = PeerLinks(
             own,
             settings.peers,
@@ -214,7 +214,7 @@
         now_seconds = self._read_clock()
         if self.table.is_large:
             relays = self.table.relays(self.table.own.hall, now_seconds)
-            if self._listener.is_relay_unresponsive(relays, now_seconds):
+            if self._relay_listener.is_relay_unresponsive(relays, now_seconds):
                 log.problem("relay unresponsive", peer=relays[0].name)
                 self.table.note_unreachable(relays[0].name, now_seconds)
                 self._links.schedule_reconcile()
@@ -276,7 +276,7 @@
         if not self.table.is_in_group(peer.hall):
             # Covered by the summary of its relay.
             return
-        self._listener.note_message(peer.name, self._read_clock())
+        self._relay_listener.note_message(peer.name, self._read_clock())
         self._sync.request_missing(link, summary)
         if self.table.is_large and not self.roles.is_relay_candidate:
             # Covered by the relay's fleet summary.
@@ -294,7 +294,7 @@
             return
         now_seconds = self._read_clock()
         relays = self.table.relays(own.hall, now_seconds)
-        report = self._listener.take(peer.name, update, relays, now_seconds)
+        report = self._relay_listener.take(peer.name, update, relays, now_seconds)
         if report is None:
             return
         self._sync.request_missing(link, update.summary)
--- a/packages/rampwick-router/src/rampwick_router/peers/_links.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_links.py
@@ -150,9 +150,9 @@
         """Return a link to a peer, if there is one."""
         return next((link for link in self._links if link.peer.name == name), None)
 
-    def broadcast(self, message: Any, is_for: Callable[[Member], bool]) -> None:
-        """Send a message to all connected peers that ``is_for`` selects."""
-        links = [link for link in self.links if is_for(link.peer)]
+    def broadcast(self, message: Any, is_recipient: Callable[[Member], bool]) -> None:
+        """Send a message to all connected peers that ``is_recipient`` selects."""
+        links = [link for link in self.links if is_recipient(link.peer)]
         if not links:
             return
         data = encode_message(message)
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -50,7 +50,7 @@
         self._started_seconds = read_clock()
         self.table = MemberTable(own)
         #: Tracks the hall relay's reports about other hosts, in a large fleet.
-        self.listener = RelayListener(own)
+        self.relay_listener = RelayListener(own)
 
     @property
     def is_relay_candidate(self) -> bool:
@@ -93,7 +93,7 @@
         """Return the live peers, seen directly or reported by the relay."""
         now_seconds = self._read_clock()
         if self.table.is_large and not self.is_relay_candidate:
-            return self.listener.live_peers(now_seconds)
+            return self.relay_listener.live_peers(now_seconds)
         views = self._scheduler.peer_views(now_seconds)
         own_hall = self.table.own.hall
         hall_peers = [view for view in views if view.hall == own_hall]
--- a/packages/rampwick-router/src/rampwick_router/peers/_stream.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_stream.py
@@ -70,7 +70,7 @@
         self._on_connected = on_connected
         self._transport: asyncio.Transport | None = None
         self._received = bytearray()
-        self._has_update = anyio.Event()
+        self._wakeup = anyio.Event()
         self._on_message: Callable[[Any], None] | None = None
         #: Error that ended the stream; none while it is open.
         self._failure: Exception | None = None
@@ -116,7 +116,7 @@
         if self._on_message is None:
             if len(self._received) > MAX_UNREAD_BYTES:
                 self._reading().pause_reading()
-            self._has_update.set()
+            self._wakeup.set()
             return
         try:
             self._deliver_received(self._on_message)
@@ -178,8 +178,8 @@
         """Wait for bytes, or raise the error that ended the stream."""
         if self._failure is not None:
             raise self._failure
-        self._has_update = anyio.Event()
-        await self._has_update.wait()
+        self._wakeup = anyio.Event()
+        await self._wakeup.wait()
 
     def close(self) -> None:
         """Close the connection and discard unsent data."""
@@ -226,7 +226,7 @@
         if self._failure is not None:
             return
         self._failure = error
-        self._has_update.set()
+        self._wakeup.set()
         if self._transport is not None:
             self._transport.abort()
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -87,7 +87,7 @@
             store_era=self._follower.version.store_era,
         )
         self._own = summary
-        self._roles.listener.note_published(summary, self._read_clock())
+        self._roles.relay_listener.note_published(summary, self._read_clock())
         self._links.broadcast(summary, self._roles.is_recipient)
         self.add_host(summary)
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        facts: Iterable[UpdateSource],
+        sources: Iterable[UpdateSource],
         summaries: SummaryPublisher,
         links: PeerLinks,
         roles: Roles,
@@ -68,7 +68,7 @@
         self._has_load = anyio.Event()
         self._has_burst = anyio.Event()
         self._broadcasters = [
-            UpdateBroadcaster(source, self._broadcast, read_clock) for source in facts
+            UpdateBroadcaster(source, self._broadcast, read_clock) for source in sources
         ]
         #: Whether there is a burst to broadcast from this hall, and from another hall.
         self._is_own_burst = False
@@ -124,12 +124,12 @@
         update that changes nothing for its hall.
         """
         is_own, self._is_own_burst = self._is_own_burst, False
-        is_elsewhere, self._is_remote_burst = self._is_remote_burst, False
+        is_remote, self._is_remote_burst = self._is_remote_burst, False
         self._summaries.publish_own(has_surged=is_own)
         if not self._roles.is_relay():
             return
         is_own = is_own and self._summaries.is_hall_burst()
-        if is_own or is_elsewhere:
+        if is_own or is_remote:
             self._summaries.publish_fleet()
         if is_own:
             self._summaries.publish_hall(has_surged=True)
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -241,8 +241,8 @@
     async def _poll(self, source: CacheSource, state: ReadState) -> bool:
         """Poll for the next events; return whether more are likely available."""
         request = self._dialect.events(source.address, state.since, POLL_WAIT_SECONDS)
-        # Use a separate connection pool, so that a waiting poll does not occupy
-        # connections needed by requests.
+        # Polls have their own entry in the connection pool, so that a waiting poll
+        # does not occupy connections needed by requests.
         head, body = await call_upstream(
             self._connection_pool,
             f"{source.name} events",
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -55,11 +55,11 @@
     def __init__(
         self,
         connection_pool: ConnectionPool,
-        silence_timeout_seconds: float,
+        stall_timeout_seconds: float,
         max_event_bytes: int,
     ) -> None:
         self._connection_pool = connection_pool
-        self._silence_timeout_seconds = silence_timeout_seconds
+        self._stall_timeout_seconds = stall_timeout_seconds
         self._max_event_bytes = max_event_bytes
 
     @asynccontextmanager
@@ -99,7 +99,7 @@
             yield chunk
 
     def _read_timeout(self, step: str, peer: str) -> "_ReadTimeout":
-        return _ReadTimeout(self._silence_timeout_seconds, step, peer)
+        return _ReadTimeout(self._stall_timeout_seconds, step, peer)
 
     @asynccontextmanager
     async def start_stream(
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -66,9 +66,9 @@
     peers: list
     sent: dict = attrs.field(factory=dict)
 
-    def broadcast(self, message, is_for):
+    def broadcast(self, message, is_recipient):
         for peer in self.peers:
-            if is_for(peer):
+            if is_recipient(peer):
                 self.sent.setdefault(peer.name, []).append(message)
 
     def link_to(self, name):
--- a/tests/test_kind_watcher.py
+++ b/tests/test_kind_watcher.py
@@ -98,7 +98,7 @@
             on_state=states.append,
             on_problem=problems.append,
             read_clock=script.clock,
-            draw=random.Random(1),
+            rng=random.Random(1),
             **options,
         )
         async with anyio.create_task_group() as tasks:
@@ -193,8 +193,8 @@
                 on_state=states.append,
                 on_problem=lambda problem: None,
                 read_clock=script.clock,
-                draw=random.Random(1),
-                is_wanted=lambda: False,
+                rng=random.Random(1),
+                must_read=lambda: False,
             )
             with anyio.move_on_after(0.3):
                 await watcher.run()
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -69,7 +69,7 @@
         reloads = [item for item in lines if "reloaded" in item["message"]]
         self.assertEqual(["peers"], reloads[0]["changed"])
         self.assertEqual("problem", reloads[1]["level"])
-        self.assertIn("left", lines[-1]["message"])
+        self.assertIn("stopped", lines[-1]["message"])
 
 
 class LogSinkTest(TestCase):
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -58,7 +58,7 @@
                 on_state=states.append,
                 on_problem=lambda problem: None,
                 read_clock=lambda: 0.0,
-                draw=random.Random(1),
+                rng=random.Random(1),
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(watcher.run)
@@ -247,7 +247,7 @@
                 on_state=lambda state: None,
                 on_problem=lambda problem: None,
                 read_clock=lambda: 0.0,
-                draw=random.Random(1),
+                rng=random.Random(1),
             )
             backoffs = []
 
--- a/tests/test_restored_trees.py
+++ b/tests/test_restored_trees.py
@@ -174,7 +174,7 @@
 
         self.host.reader.read_tree = refuse
         self.host.read(1, 46, 46, None)
-        self.assertEqual(float("inf"), self.host.source._due_at_seconds)
+        self.assertEqual(float("inf"), self.host.source._held_until_seconds)
         self.assertEqual(22, self.revision)
 
     def test_a_fallback_tree_does_not_delay_a_tree_of_the_store(self):
@@ -192,7 +192,7 @@
                 await anyio.lowlevel.checkpoint()
                 host.read(1, 30, 45, make_tree(18))
                 host.clock.now = COPY_HOLD_SECONDS
-                host.source._has_due.set()
+                host.source._hold_changed.set()
                 with anyio.fail_after(20.0):
                     while host.follower.revision != 18:
                         await anyio.sleep(0)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -284,8 +284,10 @@
         sent = []
 
         class Links:
-            def broadcast(self, message, is_for):
-                sent.extend(message for peer in members[:links_count] if is_for(peer))
+            def broadcast(self, message, is_recipient):
+                sent.extend(
+                    message for peer in members[:links_count] if is_recipient(peer)
+                )
 
         members = [
             Member(f"h{number}", "hall", f"h{number}:1")
@@ -305,8 +307,10 @@
         sent = []
 
         class Links:
-            def broadcast(self, message, is_for):
-                sent.extend(name for name in ("a", "b") if is_for(Member(name, "", "")))
+            def broadcast(self, message, is_recipient):
+                sent.extend(
+                    name for name in ("a", "b") if is_recipient(Member(name, "", ""))
+                )
 
         updates = MemberUpdates(Links())
         updates.add([Member("c", "hall", "c:1")], "a")
--- a/tests/test_routed.py
+++ b/tests/test_routed.py
@@ -145,7 +145,7 @@
             daemon = host.daemon
             now_seconds = daemon._clocks.monotonic()
             if slow_seconds:
-                daemon._context.pace.note(
+                daemon._context.slow_answers.note(
                     slow_seconds,
                     latency_target_seconds=1.0,
                     answer_tokens=0,
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -451,7 +451,7 @@
             lease = LeaseWatcher("a", 10.0, 5.0)
             store = LeaseStore(api, "leases/l")
             manager = LeaseManager(store, lease, lambda: 0.0, clock.read)
-            await manager.keep(is_candidate=True)
+            await manager.maintain(is_candidate=True)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(manager.fencing_number, 6.0)
                 await anyio.sleep(0)
@@ -460,7 +460,7 @@
                 api.respond.set()
             states = [(manager.is_held, lease.record.holder)]
             clock.now_seconds += 60.0
-            await manager.keep(is_candidate=True)
+            await manager.maintain(is_candidate=True)
             return [*states, (manager.is_held, lease.record.holder)]
 
         self.assertEqual([(False, ""), (False, "")], anyio.run(main))
--- a/tests/test_urgent_updates.py
+++ b/tests/test_urgent_updates.py
@@ -119,8 +119,8 @@
         peers = [Member(name, "h", f"{name}:1", 1) for name in ("a", "b", "c")]
         sent = []
 
-        def send(message, is_for):
-            sent.extend(peer.name for peer in peers if is_for(peer))
+        def send(message, is_recipient):
+            sent.extend(peer.name for peer in peers if is_recipient(peer))
 
         roles = SimpleNamespace(
             is_relay=lambda: is_relay, is_recipient=lambda peer: peer.name in recipients
