--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -199,17 +199,17 @@
             lambda: rollout_controller.is_holder,
             read_clock,
         )
-        reader = integration.reader
+        decoder = integration.decoder
         self.configuration.source = WatchedTreeSource(
-            api, reader, settings, role.must_read_configuration, read_clock, rng
+            api, decoder, settings, role.must_read_configuration, read_clock, rng
         )
         self.configuration.query_peer = self.gossip.freshness.query_reader
         self.hosts.source = WatchedHostSource(
-            api, reader, role.must_read_hosts, read_clock, rng
+            api, decoder, role.must_read_hosts, read_clock, rng
         )
         self.targets = WatchedTargetSource(
             api,
-            reader,
+            decoder,
             scheduler,
             rollout_controller.wake,
             role.must_read_targets,
--- a/packages/rampwick-router/src/rampwick_router/_integration.py
+++ b/packages/rampwick-router/src/rampwick_router/_integration.py
@@ -8,11 +8,11 @@
 from rampwick_schema import ReprMixin
 
 from ._dialects import Dialects
-from .control import ConfigurationReader, TargetReader, UpstreamReader
+from .control import ConfigurationDecoder, TargetDecoder, UpstreamDecoder
 
 
-class StoreReader(ConfigurationReader, UpstreamReader, TargetReader, Protocol):
-    """Reads configuration, upstreams and targets from a store."""
+class StoreDecoder(ConfigurationDecoder, UpstreamDecoder, TargetDecoder, Protocol):
+    """Decodes the configuration, upstreams and targets in a store."""
 
 
 @attrs.frozen(repr=False)
@@ -20,5 +20,5 @@
     """Translations between a platform's protocols and rampwick's types."""
 
     store: StoreDialect
-    reader: StoreReader
+    decoder: StoreDecoder
     dialects: Dialects
--- a/packages/rampwick-router/src/rampwick_router/control/__init__.py
+++ b/packages/rampwick-router/src/rampwick_router/control/__init__.py
@@ -8,20 +8,20 @@
 
 from ._configuration import ConfigurationTask as ConfigurationTask
 from ._configuration_sources import (
-    ConfigurationReader as ConfigurationReader,
+    ConfigurationDecoder as ConfigurationDecoder,
     TreeStoreSource as TreeStoreSource,
     WatchedTreeSource as WatchedTreeSource,
 )
 from ._host_lists import HostListTask as HostListTask
 from ._host_sources import (
     PolledHostSource as PolledHostSource,
-    UpstreamReader as UpstreamReader,
+    UpstreamDecoder as UpstreamDecoder,
     WatchedHostSource as WatchedHostSource,
 )
 from ._reader_role import ReaderRole as ReaderRole
 from ._rollout_controller import RolloutController as RolloutController
 from ._target_sources import (
     PolledTargetSource as PolledTargetSource,
-    TargetReader as TargetReader,
+    TargetDecoder as TargetDecoder,
     WatchedTargetSource as WatchedTargetSource,
 )
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -146,8 +146,8 @@
         self._store_version = max([self._store_version, *versions])
 
 
-class ConfigurationReader(Protocol):
-    """Reads a deployment's configuration from the store."""
+class ConfigurationDecoder(Protocol):
+    """Decodes a deployment's configuration from stored objects."""
 
     @property
     def configuration_prefix(self) -> str:
@@ -163,13 +163,13 @@
     def __init__(
         self,
         api: ObjectApi,
-        reader: ConfigurationReader,
+        decoder: ConfigurationDecoder,
         settings: Settings,
         must_read: Callable[[], bool],
         read_clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self._reader = reader
+        self._decoder = decoder
         self._read_clock = read_clock
         self._task: ConfigurationTask
         self._refreshed_at_seconds = -REFRESH_INTERVAL_SECONDS
@@ -183,7 +183,7 @@
         self._hold_changed = anyio.Event()
         self._watcher = KindWatcher(
             api,
-            reader.configuration_prefix,
+            decoder.configuration_prefix,
             wait_seconds=settings.platform.confirm_wait_seconds,
             must_read=must_read,
             on_state=self._apply_state,
@@ -254,7 +254,7 @@
         is_new = is_in_force = False
         if state.version != self._refused_version:
             try:
-                tree = self._reader.read_tree(state)
+                tree = self._decoder.read_tree(state)
                 if tree is not None:
                     is_new = self._offer(tree, state)
                     is_same = tree.revision == follower.revision
--- a/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_host_sources.py
@@ -74,8 +74,8 @@
             await anyio.sleep(self._interval_seconds)
 
 
-class UpstreamReader(Protocol):
-    """Reads upstreams that register themselves in the store."""
+class UpstreamDecoder(Protocol):
+    """Decodes the store entries of upstreams that register themselves."""
 
     @property
     def upstreams_prefix(self) -> str:
@@ -91,18 +91,18 @@
     def __init__(
         self,
         api: ObjectApi,
-        reader: UpstreamReader,
+        decoder: UpstreamDecoder,
         must_read: Callable[[], bool],
         read_clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self._reader = reader
+        self._decoder = decoder
         self._read_clock = read_clock
         self._guard = ExpiredEntryGuard()
         self._changed = anyio.Event()
         self._watcher = KindWatcher(
             api,
-            reader.upstreams_prefix,
+            decoder.upstreams_prefix,
             wait_seconds=UPSTREAMS_WAIT_SECONDS,
             pause_seconds=WATCH_PAUSE_SECONDS,
             must_read=must_read,
@@ -128,7 +128,7 @@
         entries = []
         for stored in state.objects.values():
             try:
-                entries.append(self._reader.read_upstream(stored))
+                entries.append(self._decoder.read_upstream(stored))
             except RampwickError as error:
                 log.problem(
                     "invalid upstream entry", entry=stored.key, error=str(error)
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -35,8 +35,8 @@
 log = ComponentLogger("steward")
 
 
-class TargetReader(Protocol):
-    """Reads weights targets from the store."""
+class TargetDecoder(Protocol):
+    """Decodes weights targets from stored objects."""
 
     @property
     def targets_prefix(self) -> str:
@@ -52,19 +52,19 @@
     def __init__(
         self,
         api: ObjectApi,
-        reader: TargetReader,
+        decoder: TargetDecoder,
         scheduler: SchedulerTask,
         wake: Callable[[], None],
         must_read: Callable[[], bool],
         read_clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self._reader = reader
+        self._decoder = decoder
         self._scheduler = scheduler
         self._wake = wake
         self._watcher = KindWatcher(
             api,
-            reader.targets_prefix,
+            decoder.targets_prefix,
             wait_seconds=TARGETS_WAIT_SECONDS,
             must_read=must_read,
             on_state=self._apply_state,
@@ -81,7 +81,7 @@
         targets = []
         for stored in state.objects.values():
             try:
-                targets.append(self._reader.read_target(stored))
+                targets.append(self._decoder.read_target(stored))
             except RampwickError as error:
                 log.problem(
                     "invalid weights target", target=stored.key, error=str(error)
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -255,7 +255,7 @@
         ]
 
 
-class NativeReader:
+class NativeDecoder:
     """Reads rampwick's native records from a store."""
 
     configuration_prefix = "config/"
@@ -424,7 +424,7 @@
         )
         integration = Integration(
             store=None,  # type: ignore[arg-type]
-            reader=NativeReader(),
+            decoder=NativeDecoder(),
             dialects=NATIVE_DIALECTS,
         )
         async with run_daemon(settings, api=store, integration=integration) as (
--- a/tests/test_restored_trees.py
+++ b/tests/test_restored_trees.py
@@ -39,7 +39,7 @@
 MARKED = {"/": Node(), "/other": Node()}
 
 
-class Reader:
+class Decoder:
     configuration_prefix = "config/"
 
     def __init__(self):
@@ -54,13 +54,13 @@
 
     def __init__(self, clock=None):
         self.clock = clock or SimpleNamespace(now=100.0)
-        self.reader = Reader()
+        self.decoder = Decoder()
         read_clock = lambda: self.clock.now  # noqa: E731
         scheduler = SchedulerTask(Scheduler(SETTINGS), read_clock)
         self.follower = ConfigurationFollower()
         self.task = ConfigurationTask(self.follower, scheduler, read_clock)
         self.source = WatchedTreeSource(
-            None, self.reader, SETTINGS, lambda: False, read_clock, random
+            None, self.decoder, SETTINGS, lambda: False, read_clock, random
         )
         self.source._task = self.task
         self.sync = PeerSync(
@@ -69,7 +69,7 @@
 
     def read(self, era, written, store, tree):
         """Make the source read a tree that was written at a revision of the store."""
-        self.reader.tree = tree
+        self.decoder.tree = tree
         state = KindState(
             {},
             join_version(era, written),
@@ -172,7 +172,7 @@
         def refuse(state):
             raise DataError("no tree", step="read record")
 
-        self.host.reader.read_tree = refuse
+        self.host.decoder.read_tree = refuse
         self.host.read(1, 46, 46, None)
         self.assertEqual(float("inf"), self.host.source._held_until_seconds)
         self.assertEqual(22, self.revision)
