--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -219,8 +219,8 @@
         """
         while self._refreshing is not None:
             await self._refreshing.wait()
-        since_seconds = self._read_clock() - self._refreshed_at_seconds
-        if since_seconds < self._refresh_interval_seconds:
+        elapsed_seconds = self._read_clock() - self._refreshed_at_seconds
+        if elapsed_seconds < self._refresh_interval_seconds:
             return
         self._refreshing = anyio.Event()
         try:
--- a/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_lease_manager.py
@@ -133,8 +133,8 @@
         order_gap_seconds = (
             self.lease.duration_seconds - self.lease.order_window_seconds
         )
-        since_seconds = self._read_clock() - self._order_arrives_seconds
-        wait_seconds = max(0.0, order_gap_seconds - since_seconds)
+        elapsed_seconds = self._read_clock() - self._order_arrives_seconds
+        wait_seconds = max(0.0, order_gap_seconds - elapsed_seconds)
         try:
             await self._leases.release(self.lease, wait_seconds, self._read_clock)
             log.info("lease released", wait_seconds=wait_seconds)
--- a/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
@@ -104,8 +104,8 @@
     def _is_past_grace(self) -> bool:
         if not self._is_weak:
             return True
-        age_seconds = self._read_clock() - self._started_seconds
-        return age_seconds >= self._grace_seconds()
+        uptime_seconds = self._read_clock() - self._started_seconds
+        return uptime_seconds >= self._grace_seconds()
 
     def _grace_seconds(self) -> float:
         """Return how long this host waits for data from readers after its start."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_claims.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_claims.py
@@ -201,8 +201,8 @@
     def recovery_remaining_seconds(self) -> float:
         """Time for which the store may still lack claims; 0 if it is complete."""
         self._check_era()
-        since_seconds = self._read_clock() - self._restored_at_seconds
-        return max(0.0, RESTORED_WAIT_SECONDS - since_seconds)
+        elapsed_seconds = self._read_clock() - self._restored_at_seconds
+        return max(0.0, RESTORED_WAIT_SECONDS - elapsed_seconds)
 
     def _check_era(self) -> None:
         """Record the time of a restore if the store's era has advanced."""
--- a/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_routed_attempt.py
@@ -219,10 +219,10 @@
         if info.is_other_incarnation:
             return
         if info.weights_version != dispatch.weights_version:
-            seen = WeightsReported(
+            event = WeightsReported(
                 dispatch.upstream, dispatch.incarnation, info.weights_version
             )
-            self._context.scheduler.post(seen)
+            self._context.scheduler.post(event)
 
 
 def is_success(head: ResponseHead) -> bool:
--- a/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_cache_outbox.py
@@ -53,11 +53,11 @@
         names = self.list_read_caches()
         if self._table.is_large or not names:
             return
-        seen = self._scheduler.run_query(
+        contents = self._scheduler.run_query(
             lambda scheduler, now_seconds: scheduler.pool.caches.contents(names)
         )
-        if seen:
-            link.put(to_cache_event_update(seen))
+        if contents:
+            link.put(to_cache_event_update(contents))
 
     async def run(self) -> None:
         """Send batches until cancelled."""
@@ -70,9 +70,9 @@
             self._flush()
             await anyio.sleep(BATCH_SECONDS)
 
-    def publish(self, seen: CacheReported) -> None:
+    def publish(self, event: CacheReported) -> None:
         """Queue events that this host has read."""
-        self._from_own_hall.add(seen)
+        self._from_own_hall.add(event)
         self._has_update.set()
 
     def receive(self, link: Link, message: CacheEventUpdate) -> None:
@@ -80,10 +80,10 @@
         is_relay = self._table.is_relay(self._list_live())
         is_own_hall = self._table.is_in_group(link.peer.hall)
         buffer = self._from_own_hall if is_own_hall else self._from_other_halls
-        for seen in cache_events(message):
-            self._scheduler.post(seen)
+        for event in cache_events(message):
+            self._scheduler.post(event)
             if is_relay:
-                buffer.add(seen)
+                buffer.add(event)
                 self._has_update.set()
 
     def _flush(self) -> None:
@@ -116,10 +116,10 @@
         return self._table.is_in_group(peer.hall)
 
     def _send(
-        self, seen: list[CacheReported], is_recipient: Callable[[Member], bool]
+        self, events: list[CacheReported], is_recipient: Callable[[Member], bool]
     ) -> None:
-        if seen:
-            self._links.broadcast(to_cache_event_update(seen), is_recipient)
+        if events:
+            self._links.broadcast(to_cache_event_update(events), is_recipient)
 
 
 def _is_named(name: str) -> Callable[[Member], bool]:
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -234,10 +234,10 @@
 
         They determine which hosts send to which upstream.
         """
-        seen = PeersChanged(self.roles.live_peers(), self.summaries.is_leaving)
-        if seen != self._last_live_peers:
-            self._last_live_peers = seen
-            self._scheduler.post(seen)
+        event = PeersChanged(self.roles.live_peers(), self.summaries.is_leaving)
+        if event != self._last_live_peers:
+            self._last_live_peers = event
+            self._scheduler.post(event)
 
     # Incoming messages.
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_messages.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_messages.py
@@ -118,14 +118,14 @@
     return CacheEventUpdate(
         [
             CacheUpdate(
-                seen.upstream,
-                seen.is_reset,
+                event.upstream,
+                event.is_reset,
                 [
                     CacheChange(item.label, list(item.prefixes), list(item.tokens))
-                    for item in seen.changes
+                    for item in event.changes
                 ],
             )
-            for seen in events
+            for event in events
         ]
     )
 
--- a/packages/rampwick-router/src/rampwick_router/peers/_roles.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_roles.py
@@ -112,11 +112,11 @@
         slow links.
         """
         peers = self.live_peers()
-        age_seconds = self._read_clock() - self._started_seconds
+        uptime_seconds = self._read_clock() - self._started_seconds
         if (
             peers.halls
             or not self.table.is_large
-            or age_seconds > ASSUMED_ALIVE_SECONDS
+            or uptime_seconds > ASSUMED_ALIVE_SECONDS
         ):
             return peers
         members = [member for member in self.table if member != self.table.own]
--- a/packages/rampwick-router/src/rampwick_router/peers/_stream.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_stream.py
@@ -70,6 +70,7 @@
         self._on_connected = on_connected
         self._transport: asyncio.Transport | None = None
         self._received = bytearray()
+        #: Set when bytes arrive or the stream ends, then replaced.
         self._wakeup = anyio.Event()
         self._on_message: Callable[[Any], None] | None = None
         #: Error that ended the stream; none while it is open.
--- a/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_urgent_updates.py
@@ -162,7 +162,7 @@
         source.on_update = self.wake
 
     def wake(self) -> None:
-        """Record that there is an update to broadcast."""
+        """Start broadcasting, since the source has an update."""
         self._has_update.set()
 
     async def run(self) -> None:
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -296,12 +296,12 @@
         changes = self._translate(source, events)
         if not changes and not is_reset:
             return
-        seen = CacheReported(source.name, tuple(changes), is_reset)
-        self._scheduler.post(seen)
+        event = CacheReported(source.name, tuple(changes), is_reset)
+        self._scheduler.post(event)
         if backlog is not None and not is_reset:
             backlog.add(changes)
         else:
-            self._notify_peers(seen)
+            self._notify_peers(event)
 
     def _translate(
         self, source: CacheSource, events: CacheEvents
