--- a/measure/_limit_strategies.py
+++ b/measure/_limit_strategies.py
@@ -141,7 +141,7 @@
 
     def has_surged(self, now_seconds: float) -> bool:
         """Return whether peers must be notified immediately of a burst in demand."""
-        return self.book.has_surged(self._workspace, now_seconds)
+        return self.book.has_burst(self._workspace, now_seconds)
 
 
 class EqualShares(FleetUsage):
--- a/measure/blame.py
+++ b/measure/blame.py
@@ -7,7 +7,7 @@
 import statistics
 from collections.abc import Sequence
 
-from ._blame_lab import PATTERNS, STRATEGIES, BlameLab
+from ._attribution_lab import PATTERNS, STRATEGIES, AttributionLab
 
 
 def main(argv: Sequence[str]) -> None:
@@ -19,21 +19,21 @@
     parser.add_argument("--seeds", type=int, default=5)
     arguments = parser.parse_args(argv)
     print(
-        "pattern                                 way                  "
-        "ends, mean  most  innocent  refused  lost  kept apart  waited p99 s"
+        "pattern                                 way               "
+        "crashes, mean  most  innocent  refused  lost    isolated  waited p99 s"
     )
     for pattern in PATTERNS:
         for strategy in arguments.ways:
             results = [
-                BlameLab(pattern, strategy, seed).run()
+                AttributionLab(pattern, strategy, seed).run()
                 for seed in range(1, arguments.seeds + 1)
             ]
-            ends = [count for result in results for count in result.ends.values()]
+            crashes = [count for result in results for count in result.crashes.values()]
             waits = sorted(wait for item in results for wait in item.waits_seconds)
             p99_seconds = waits[int(len(waits) * 0.99)] if waits else 0.0
             print(
                 f"{pattern.name:39s} {strategy:20s}"
-                f" {statistics.mean(ends):10.1f} {max(ends):5d}"
+                f" {statistics.mean(crashes):10.1f} {max(crashes):5d}"
                 f" {sum(item.innocents_count for item in results):9d}"
                 f" {sum(item.refused_count for item in results):8d}"
                 f" {sum(item.lost_count for item in results):5d}"
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -32,7 +32,9 @@
                 requests = LimitsLab(pattern, strategy, seed).run()
                 worst.append(worst_window_ratio(pattern, requests))
                 refused.append(refused_wrongly_ratio(pattern, requests))
-                admitted_tokens = sum(item.tokens for item in requests if item.has_gone)
+                admitted_tokens = sum(
+                    item.tokens for item in requests if item.was_admitted
+                )
                 used.append(admitted_tokens / sum(item.tokens for item in requests))
             print(
                 f"{pattern.name:32s} {strategy:13s}"
--- a/measure/rates.py
+++ b/measure/rates.py
@@ -17,7 +17,9 @@
     parser.add_argument(
         "--ways", nargs="*", choices=list(STRATEGIES), default=list(STRATEGIES)
     )
-    parser.add_argument("--patterns", nargs="*", type=int, help="by number, from 0")
+    parser.add_argument(
+        "--patterns", nargs="*", type=int, help="indexes of patterns, from 0"
+    )
     parser.add_argument("--seeds", type=int, default=3)
     arguments = parser.parse_args(argv)
     print(
--- a/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_limit_tracker.py
@@ -146,7 +146,7 @@
             if limit is None:
                 continue
             if is_retry:
-                limit.count_again(item.tokens, now_seconds)
+                limit.charge_again(item.tokens, now_seconds)
             else:
                 limit.move(item.tokens, item.at_seconds, now_seconds)
             charged.append(attrs.evolve(item, at_seconds=now_seconds))
@@ -166,14 +166,14 @@
         usages = (limit.usage(now_seconds) for limit in self._limits.values())
         return [usage for usage in usages if usage is not None]
 
-    def has_surged(self, workspace: Workspace, now_seconds: float) -> bool:
+    def has_burst(self, workspace: Workspace, now_seconds: float) -> bool:
         """Return whether the demand of a workspace calls for an immediate update."""
         if not workspace.limits:
             return False
         parameters = self._parameters(now_seconds)
         limits = (self._limits.get(limit.path) for limit in workspace.limits)
         return any(
-            limit.has_surged(parameters, now_seconds)
+            limit.has_burst(parameters, now_seconds)
             for limit in limits
             if limit is not None
         )
@@ -207,8 +207,8 @@
     def note_members(self, count: int, now_seconds: float) -> None:
         """Record the number of known hosts, whether alive or not.
 
-        A host that has just started and has no peers yet must not take itself for the
-        whole fleet.
+        A host that has just started and has no peers yet must not consider itself
+        the whole fleet.
         """
         if count > self._max_hosts_count:
             self._max_hosts_count = count
@@ -243,7 +243,7 @@
             allowed_tokens(limit.limit, parameters.window_seconds),
             limit.used_tokens(parameters, now_seconds),
             limit.admit_ratio,
-            parameters.part_ratio,
+            parameters.share_ratio,
             limit.is_binding(now_seconds),
         )
 
@@ -254,7 +254,7 @@
             for path, limit in sorted(self._limits.items())
         ]
 
-    def part_ratio(self, now_seconds: float) -> float:
+    def share_ratio(self, now_seconds: float) -> float:
         """Return the share of each limit that the live hosts may use."""
         ratio = self._hosts_count / self._max_hosts_count
         missing_seconds = now_seconds - self._max_hosts_at_seconds
@@ -269,13 +269,13 @@
             settings.window_seconds,
             settings.over_ratio,
             settings.slack_tokens,
-            self.part_ratio(now_seconds),
+            self.share_ratio(now_seconds),
             max(0.0, settings.window_seconds - known_seconds),
         )
 
 
 def _charged_tokens(limit: LimitedNode, event: ev.RequestArrived) -> float:
-    """Return the charge of a request: the count its caller names, not its real cost."""
+    """Return the charge of a request: its declared size, whatever its actual cost."""
     if limit.counts_requests:
         return 1.0
     if event.declared_tokens is not None:
--- a/packages/rampwick-policy/src/rampwick_policy/_pool.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_pool.py
@@ -78,7 +78,7 @@
         self.rate_limiter = UpstreamRateLimiter(
             self.rates,
             LocalView(settings.host.name, settings.host.hall),
-            self.limits.part_ratio,
+            self.limits.share_ratio,
         )
         self.caches = CacheTracker(
             settings.placement.known_prefixes_count, self.upstreams, self.peers
@@ -91,9 +91,9 @@
             ev.ProbeFailed: self._on_probe_failed,
             ev.HostListRead: self._on_host_list,
             ev.PeerSummaryReceived: self._on_peer_summary,
-            ev.PeerRemoved: self._on_peer_gone,
+            ev.PeerRemoved: self._on_peer_removed,
             ev.WeightsReported: self._on_weights,
-            ev.WeightsLoadOrdered: self._on_load,
+            ev.WeightsLoadOrdered: self._on_load_ordered,
             ev.TargetsReceived: self._on_targets,
             ev.CacheReported: self.caches.apply_changes,
             ev.RateLimitReported: self._on_rate_limit_reported,
@@ -196,9 +196,9 @@
     def expire_peers(self, now_seconds: float) -> None:
         """Drop peers that have been unresponsive for too long."""
         for view in self.peers.expire(now_seconds):
-            silent_seconds = now_seconds - view.last_seen_seconds
+            unresponsive_seconds = now_seconds - view.last_seen_seconds
             self.state_changes.forget(
-                "peer", view.name, f"no message for {silent_seconds:.1f} s"
+                "peer", view.name, f"no message for {unresponsive_seconds:.1f} s"
             )
 
     def update_limit_states(self, now_seconds: float) -> None:
@@ -206,7 +206,7 @@
         self.limits.note_time(self.peers.hosts_count(now_seconds), now_seconds)
         self.rates.sweep(now_seconds)
         for path, is_binding in self.limits.binding_states(now_seconds):
-            if not is_binding and not self.state_changes.knows("limit", path):
+            if not is_binding and not self.state_changes.has_state("limit", path):
                 continue
             limit_state = "binding" if is_binding else "open"
             state = self.limits.state(path, now_seconds)
@@ -276,7 +276,9 @@
                 upstream, "its weights version was reported", now_seconds
             )
 
-    def _on_load(self, event: ev.WeightsLoadOrdered, now_seconds: float) -> None:
+    def _on_load_ordered(
+        self, event: ev.WeightsLoadOrdered, now_seconds: float
+    ) -> None:
         upstream = self.upstreams.get(event.upstream)
         if upstream is None or event.weights_version < upstream.load_version:
             return
@@ -288,11 +290,11 @@
 
     def _on_targets(self, event: ev.TargetsReceived, now_seconds: float) -> None:
         targets = self.upstreams.targets
-        targets.learn(event.named, now_seconds)
+        targets.merge_ages(event.named, now_seconds)
         if event.read_at_seconds is None:
             targets.apply(event.targets, now_seconds)
         else:
-            targets.read(
+            targets.apply_reading(
                 event.targets,
                 event.read_at_seconds,
                 now_seconds,
@@ -313,7 +315,7 @@
             event.sent_at_seconds,
             now_seconds,
         )
-        self.rates.record_answer(event.upstream, observation, now_seconds)
+        self.rates.record_response(event.upstream, observation, now_seconds)
 
     def _on_rate_limits_received(
         self, event: ev.RateLimitUpdateReceived, now_seconds: float
@@ -340,7 +342,7 @@
             upstream = self.upstreams.get(incarnation.upstream)
             if upstream is not None:
                 self._record_state(
-                    upstream, "announced in an answer to a peer", now_seconds
+                    upstream, "announced in a response to a peer", now_seconds
                 )
 
     def _pause(
@@ -374,7 +376,7 @@
             is_leaving=event.is_leaving,
         )
 
-    def _on_peer_gone(self, event: ev.PeerRemoved, now_seconds: float) -> None:
+    def _on_peer_removed(self, event: ev.PeerRemoved, now_seconds: float) -> None:
         self.peers.drop(event.name)
         self.ledger.replace_peer_usage(event.name, (), now_seconds)
         self.limits.forget(event.name)
--- a/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_state_changes.py
@@ -20,7 +20,7 @@
 
 @attrs.define(repr=False)
 class StateChangeTracker(ReprMixin):
-    """Last recorded states, and the changes that have not been taken yet."""
+    """Last recorded states, and the changes since the last call of ``take``."""
 
     _states: dict[tuple[str, str], str] = attrs.field(factory=dict)
     _pending: list[StateChange] = attrs.field(factory=list)
@@ -33,7 +33,7 @@
         self._states[kind, name] = state
         self._pending.append(StateChange(kind, name, before, state, reason))
 
-    def knows(self, kind: str, name: str) -> bool:
+    def has_state(self, kind: str, name: str) -> bool:
         """Return whether a state is recorded for an object."""
         return (kind, name) in self._states
 
--- a/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_upstreams.py
@@ -58,7 +58,7 @@
 UNCONFIRMED_SECONDS = 5.0
 RESTORED_DRAINING_SECONDS = 20.0
 
-#: State of the entry of an upstream that is shutting down.
+#: State of the entry of a draining upstream.
 LEAVING_STATE = "leaving"
 
 
@@ -299,14 +299,14 @@
         upstream.role = report.role
         return is_new
 
-    def is_leaving(self, upstream: Upstream, now_seconds: float) -> bool:
-        """Return whether an upstream is shutting down, by its entry or its answers."""
+    def is_draining(self, upstream: Upstream, now_seconds: float) -> bool:
+        """Return whether an upstream is draining, by its entry or a response."""
         if upstream.is_shutting_down or upstream.entry.state == LEAVING_STATE:
             return True
         return now_seconds < upstream.draining_until_seconds
 
     def note_shutdown(self, incarnation: Incarnation, now_seconds: float) -> None:
-        """Record a shutdown that was announced in an answer to this host."""
+        """Record a shutdown that was announced in a response to this host."""
         self.shutdown_announcements.note(incarnation, now_seconds)
         self._apply_signals(incarnation.upstream)
 
@@ -314,7 +314,7 @@
         self, update: LeavingUpdate, now_seconds: float
     ) -> list[Incarnation]:
         """Apply a peer's update; return the shutdowns that are new to this host."""
-        received = self.shutdown_announcements.receive(update, now_seconds)
+        received = self.shutdown_announcements.receive_update(update, now_seconds)
         for incarnation in received:
             self._apply_signals(incarnation.upstream)
         return received
@@ -322,7 +322,7 @@
     def note_pause(
         self, incarnation: Incarnation, pause_seconds: float | None, now_seconds: float
     ) -> None:
-        """Record that an upstream asked this host to pause its requests."""
+        """Record that an upstream requested a pause from this host."""
         self.pauses.note(incarnation, pause_seconds, now_seconds)
         self._apply_signals(incarnation.upstream)
 
@@ -342,7 +342,7 @@
         self, upstream: Upstream, now_seconds: float
     ) -> IneligibleReason | None:
         """Return why an upstream gets no new requests, or None if it is eligible."""
-        if self.is_leaving(upstream, now_seconds):
+        if self.is_draining(upstream, now_seconds):
             return IneligibleReason.LEAVING
         if now_seconds < upstream.paused_until_seconds:
             return IneligibleReason.PAUSED
@@ -374,13 +374,13 @@
         upstream = self._upstreams.get(name)
         return (
             upstream is not None
-            and not self.is_leaving(upstream, now_seconds)
+            and not self.is_draining(upstream, now_seconds)
             and not upstream.is_loading(now_seconds)
         )
 
     def may_recover_soon(self, upstream: Upstream, now_seconds: float) -> bool:
         """Return whether an ineligible upstream may become eligible shortly."""
-        if self.is_leaving(upstream, now_seconds):
+        if self.is_draining(upstream, now_seconds):
             return False
         if now_seconds < upstream.unconfirmed_until_seconds:
             return False
@@ -393,7 +393,7 @@
 
     def describe(self, upstream: Upstream, now_seconds: float) -> str:
         """Return a short description of an upstream's state, for logs."""
-        if self.is_leaving(upstream, now_seconds):
+        if self.is_draining(upstream, now_seconds):
             return "leaving"
         if now_seconds < upstream.paused_until_seconds:
             return "paused"
@@ -440,27 +440,27 @@
         return speed
 
     def usable_slots(
-        self, upstream: Upstream, part_ratio: float, now_seconds: float
+        self, upstream: Upstream, share_ratio: float, now_seconds: float
     ) -> int:
         """Return the number of requests that may run there at once, from all hosts."""
-        ratio = upstream.health.admit_ratio(now_seconds) * part_ratio
+        ratio = upstream.health.admit_ratio(now_seconds) * share_ratio
         return max(1, int(upstream.slots_count * self._slots_factor * ratio))
 
     def view(
         self,
         upstream: Upstream,
         peers: Membership,
-        part_ratio: float,
+        share_ratio: float,
         extra_slots_ratio: float,
         now_seconds: float,
     ) -> RunnerView:
         """Return the view for placement, which includes the load of peers.
 
-        ``part_ratio`` is this host's share of the pool; ``extra_slots_ratio`` lets
+        ``share_ratio`` is this host's share of the pool; ``extra_slots_ratio`` lets
         urgent requests use additional slots.
         """
         load = peers.load_of(upstream.name, upstream.generation_name)
-        usable = self.usable_slots(upstream, part_ratio, now_seconds)
+        usable = self.usable_slots(upstream, share_ratio, now_seconds)
         slots = usable + math.ceil(usable * extra_slots_ratio)
         running = len(upstream.own_attempts) + load.running_count
         waiting = upstream.own_waiting_tokens + load.waiting_tokens
--- a/packages/rampwick-router/src/rampwick_router/_admin.py
+++ b/packages/rampwick-router/src/rampwick_router/_admin.py
@@ -115,7 +115,7 @@
         metrics.outdated_runners.set(self._rollout_controller.outdated_count())
         for purpose, count in self._read_platform_calls().items():
             metrics.platform_calls.labels(purpose).set(count)
-        for reason, count in self._context.channels.opened_counts().items():
+        for reason, count in self._context.connection_pool.opened_counts().items():
             metrics.connections_opened.labels(reason).set(count)
         roles = self._read_roles()
         metrics.roles.labels("relay").set(roles.is_relay)
@@ -138,7 +138,7 @@
         status["lease"] = self._describe_lease()
         status["roles"] = attrs.asdict(self._read_roles())
         status["platform_calls"] = dict(self._read_platform_calls())
-        status["connections_opened"] = self._context.channels.opened_counts()
+        status["connections_opened"] = self._context.connection_pool.opened_counts()
         status["degraded"] = self._list_problems(status)
         return JSONResponse(status)
 
@@ -254,7 +254,7 @@
             "fingerprint": suspect.fingerprint.hex(),
             "workspace": suspect.workspace_path,
             "state": tracker.quarantine_state(suspect.fingerprint).name.lower(),
-            "ends_count": suspect.ends_count,
+            "ends_count": suspect.crashes_count,
             "upstreams": [key.upstream for key in suspect.crashes],
             "refused_count": suspect.refused_count,
             "seen_seconds_ago": round(now_seconds - suspect.seen_at_seconds, 1),
@@ -265,10 +265,10 @@
 
 
 def _count_suspects(scheduler: Scheduler, now_seconds: float) -> dict[str, int]:
-    book = scheduler.quarantine.tracker
+    tracker = scheduler.quarantine.tracker
     counts = dict.fromkeys((item.name.lower() for item in QuarantineState), 0)
-    for suspect in book:
-        counts[book.quarantine_state(suspect.fingerprint).name.lower()] += 1
+    for suspect in tracker:
+        counts[tracker.quarantine_state(suspect.fingerprint).name.lower()] += 1
     return counts
 
 
--- a/packages/rampwick-router/src/rampwick_router/_assembly.py
+++ b/packages/rampwick-router/src/rampwick_router/_assembly.py
@@ -33,7 +33,7 @@
 from .upstream import (
     CacheReaderTask,
     CancelTask,
-    ChannelPool,
+    ConnectionPool,
     DialectControl,
     ProbeTask,
     StallDetector,
@@ -58,7 +58,7 @@
         settings: Settings,
         api: ObjectApi | None,
         upstreams: UpstreamClient,
-        channels: ChannelPool,
+        connection_pool: ConnectionPool,
         peer_address: str,
         clocks: Clocks,
         integration: Integration | None,
@@ -67,7 +67,7 @@
         self.settings = settings
         self.api = api
         self.clocks = clocks
-        self.channels = channels
+        self.connection_pool = connection_pool
         self._metrics = Metrics()
         self.lifecycle = Lifecycle()
         self.follower = ConfigurationFollower()
@@ -86,7 +86,7 @@
         control: UpstreamControl = upstreams
         if integration is not None:
             control = DialectControl(
-                channels,
+                connection_pool,
                 dialects.control,
                 self._find_health_path,
                 self.scheduler,
@@ -119,7 +119,7 @@
         self.cache_reader = CacheReaderTask(
             own,
             self.scheduler,
-            channels,
+            connection_pool,
             dialects.cache,
             salts,
             self.gossip.cache_outbox.publish,
@@ -134,12 +134,12 @@
             upstreams=upstreams,
             claims=self.claims,
             metrics=self._metrics,
-            tokens=StreamTokens(settings.peers.secret),
+            stream_tokens=StreamTokens(settings.peers.secret),
             ids=RequestIdGenerator(host.name, incarnation),
             lifecycle=self.lifecycle,
             read_clock=read_clock,
             configuration=self.configuration,
-            channels=channels,
+            connection_pool=connection_pool,
             dialects=dialects,
             salts=salts,
             stall_detector=self.stall_detector,
@@ -199,17 +199,17 @@
             lambda: rollout_controller.is_holder,
             read_clock,
         )
-        reader = integration.reader
+        decoder = integration.decoder
         self.configuration.source = WatchedTreeSource(
-            api, reader, settings, role.must_read_configuration, read_clock, rng
+            api, decoder, settings, role.must_read_configuration, read_clock, rng
         )
         self.configuration.query_peer = self.gossip.freshness.query_reader
         self.hosts.source = WatchedHostSource(
-            api, reader, role.must_read_hosts, read_clock, rng
+            api, decoder, role.must_read_hosts, read_clock, rng
         )
         self.targets = WatchedTargetSource(
             api,
-            reader,
+            decoder,
             scheduler,
             rollout_controller.wake,
             role.must_read_targets,
--- a/packages/rampwick-router/src/rampwick_router/_daemon.py
+++ b/packages/rampwick-router/src/rampwick_router/_daemon.py
@@ -19,7 +19,7 @@
 from ._logs import ComponentLogger, milliseconds
 from ._servers import CLOSE_TIMEOUT_SECONDS, Addresses, Listeners, listen, serve_apps
 from .upstream import (
-    ChannelPool,
+    ConnectionPool,
     UpstreamClient,
 )
 
@@ -49,7 +49,7 @@
         self._settings = assembly.settings
         self._api = assembly.api
         self._clocks = assembly.clocks
-        self._channels = assembly.channels
+        self._connection_pool = assembly.connection_pool
         self._components = assembly
         self._hosts = assembly.hosts
         self._configuration = assembly.configuration
@@ -92,7 +92,7 @@
         tasks.start_soon(self._components.probes.run)
         tasks.start_soon(self._components.cancels.run)
         tasks.start_soon(self.rollout_controller.run)
-        tasks.start_soon(self._channels.sweep)
+        tasks.start_soon(self._connection_pool.sweep)
         tasks.start_soon(self._components.cache_reader.run)
         if self._components.targets is not None:
             tasks.start_soon(self._components.targets.run)
@@ -105,7 +105,7 @@
         log.info("started", host=self._settings.host.name)
 
     async def wait_initial_state(self) -> None:
-        """Wait, up to a time-out, for the configuration, host list and cache contents.
+        """Wait, up to a timeout, for the configuration, host list and cache contents.
 
         Callers' connections are queued meanwhile. Without the configuration the host
         would reject requests, and without the cache contents it would treat each
@@ -139,7 +139,7 @@
                 is_steward=self.rollout_controller.is_holder,
                 **self._describe_targets(),
                 hosts_heard_count=len(self._gossip.roles.live_names),
-                connections_opened=self._channels.opened_counts(),
+                connections_opened=self._connection_pool.opened_counts(),
                 platform_calls=dict(getattr(self._api, "calls", {})),
                 store_era=self._api.era if self._api else 0,
             )
@@ -159,11 +159,11 @@
     async def stop(self) -> None:
         """Wait for the start of a planned shutdown and carry it out."""
         await self.lifecycle.wait_stopping()
-        began_seconds = self._clocks.monotonic()
+        started_seconds = self._clocks.monotonic()
         stop_within_seconds = self._settings.life.stop_within_seconds
         if stop_within_seconds:
             exit_deadline_seconds = (
-                began_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
+                started_seconds + stop_within_seconds - STOP_MARGIN_SECONDS
             )
             self.lifecycle.exit_deadline_seconds = exit_deadline_seconds
         log.info("not ready, waiting for the balancer to stop routing here")
@@ -179,7 +179,7 @@
                 # In a forced shutdown EntryApp ends each open request with an error.
                 await anyio.sleep(DRAIN_CHECK_SECONDS)
         log.info(
-            "left",
+            "stopped",
             open_count=self.entry.open_count,
             platform_calls=dict(getattr(self._api, "calls", {})),
         )
@@ -189,8 +189,10 @@
         drain_seconds = self._settings.life.drain_timeout_seconds
         if self.lifecycle.exit_deadline_seconds is None:
             return drain_seconds
-        left_seconds = self.lifecycle.exit_deadline_seconds - self._clocks.monotonic()
-        return max(0.0, min(drain_seconds, left_seconds))
+        remaining_seconds = (
+            self.lifecycle.exit_deadline_seconds - self._clocks.monotonic()
+        )
+        return max(0.0, min(drain_seconds, remaining_seconds))
 
 
 def _log_restore(era_before: int, era: int, call: str) -> None:
@@ -226,9 +228,11 @@
         if isinstance(api, HttpObjectApi):
             api.on_restored = _log_restore
         clocks = clocks or Clocks()
-        channels = await stack.enter_async_context(ChannelPool(clocks.monotonic))
+        connection_pool = await stack.enter_async_context(
+            ConnectionPool(clocks.monotonic)
+        )
         upstreams = UpstreamClient(
-            channels,
+            connection_pool,
             settings.retry.silence_timeout_seconds,
             settings.limits.max_event_bytes,
         )
@@ -237,7 +241,7 @@
             settings,
             api,
             upstreams,
-            channels,
+            connection_pool,
             settings.peers.advertised_address or listeners.addresses.peer,
             clocks,
             integration,
--- a/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_configuration_sources.py
@@ -108,11 +108,11 @@
         task.note_problem("")
         read = ReadTree(stored.tree, stored.store_version, stored.store_version)
         now_seconds = self._read_clock()
-        offer = self._restored.place(read, follower.head, now_seconds)
-        was_held, self._is_held = self._is_held, offer.due_at_seconds > now_seconds
+        offer = self._restored.make_offer(read, follower.head, now_seconds)
+        was_held, self._is_held = self._is_held, offer.applies_at_seconds > now_seconds
         if self._is_held:
             if not was_held:
-                _log_held(stored.tree, follower, offer.due_at_seconds - now_seconds)
+                _log_held(stored.tree, follower, offer.applies_at_seconds - now_seconds)
             return
         if was_held:
             _log_restored(stored.tree)
@@ -146,8 +146,8 @@
         self._store_version = max([self._store_version, *versions])
 
 
-class ConfigurationReader(Protocol):
-    """Reads a deployment's configuration from the store."""
+class ConfigurationDecoder(Protocol):
+    """Decodes a deployment's configuration from stored objects."""
 
     @property
     def configuration_prefix(self) -> str:
@@ -163,13 +163,13 @@
     def __init__(
         self,
         api: ObjectApi,
-        reader: ConfigurationReader,
+        decoder: ConfigurationDecoder,
         settings: Settings,
-        is_wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         read_clock: Callable[[], float],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        self._reader = reader
+        self._decoder = decoder
         self._read_clock = read_clock
         self._task: ConfigurationTask
         self._refreshed_at_seconds = -REFRESH_INTERVAL_SECONDS
@@ -179,17 +179,17 @@
         self._restored = RestoredTrees()
         self._last_state: KindState | None = None
         #: Time at which a held back tree may be applied.
-        self._due_at_seconds = math.inf
-        self._has_due = anyio.Event()
+        self._held_until_seconds = math.inf
+        self._hold_changed = anyio.Event()
         self._watcher = KindWatcher(
             api,
-            reader.configuration_prefix,
+            decoder.configuration_prefix,
             wait_seconds=settings.platform.confirm_wait_seconds,
-            is_wanted=is_wanted,
+            must_read=must_read,
             on_state=self._apply_state,
             on_problem=self._note_problem,
             read_clock=read_clock,
-            draw=draw,
+            rng=rng,
         )
 
     async def run(self, task: ConfigurationTask) -> None:
@@ -202,10 +202,10 @@
     async def _apply_held(self) -> None:
         """Apply trees that are held back as soon as this is allowed."""
         while True:
-            self._has_due = anyio.Event()
-            wait_seconds = max(0.0, self._due_at_seconds - self._read_clock())
+            self._hold_changed = anyio.Event()
+            wait_seconds = max(0.0, self._held_until_seconds - self._read_clock())
             with anyio.move_on_after(wait_seconds) as scope:
-                await self._has_due.wait()
+                await self._hold_changed.wait()
             if scope.cancelled_caught and self._last_state is not None:
                 self._apply_state(self._last_state)
 
@@ -219,8 +219,8 @@
         """
         while self._refreshing is not None:
             await self._refreshing.wait()
-        since_seconds = self._read_clock() - self._refreshed_at_seconds
-        if since_seconds < self._refresh_interval_seconds:
+        elapsed_seconds = self._read_clock() - self._refreshed_at_seconds
+        if elapsed_seconds < self._refresh_interval_seconds:
             return
         self._refreshing = anyio.Event()
         try:
@@ -244,7 +244,7 @@
     @property
     def _is_held(self) -> bool:
         """Whether the state of the store is held back."""
-        return math.isfinite(self._due_at_seconds)
+        return math.isfinite(self._held_until_seconds)
 
     def _apply_state(self, state: KindState) -> None:
         self._task.note_problem("")
@@ -254,7 +254,7 @@
         is_new = is_in_force = False
         if state.version != self._refused_version:
             try:
-                tree = self._reader.read_tree(state)
+                tree = self._decoder.read_tree(state)
                 if tree is not None:
                     is_new = self._offer(tree, state)
                     is_same = tree.revision == follower.revision
@@ -262,7 +262,7 @@
             except RampwickError as error:
                 # Rejected as a whole; the previous configuration stays in force.
                 self._refused_version = state.version
-                self._due_at_seconds = math.inf
+                self._held_until_seconds = math.inf
                 log.problem("configuration rejected", error=str(error))
         # Do not confirm while a newer revision is known that is not in force: it may
         # have revoked a key. This includes a revision that the store lost when it was
@@ -277,16 +277,16 @@
         now_seconds = self._read_clock()
         follower = self._task.follower
         read = ReadTree(tree, state.version, state.store_version)
-        offer = self._restored.place(read, follower.head, now_seconds)
-        if offer.due_at_seconds <= now_seconds:
+        offer = self._restored.make_offer(read, follower.head, now_seconds)
+        if offer.applies_at_seconds <= now_seconds:
             if self._is_held:
                 _log_restored(tree)
-            self._due_at_seconds = math.inf
+            self._held_until_seconds = math.inf
             return follower.offer_tree(offer.tree, "platform")
-        if offer.due_at_seconds != self._due_at_seconds:
-            self._due_at_seconds = offer.due_at_seconds
-            self._has_due.set()
-            _log_held(tree, follower, offer.due_at_seconds - now_seconds)
+        if offer.applies_at_seconds != self._held_until_seconds:
+            self._held_until_seconds = offer.applies_at_seconds
+            self._hold_changed.set()
+            _log_held(tree, follower, offer.applies_at_seconds - now_seconds)
         return False
 
 
--- a/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_reader_role.py
@@ -98,14 +98,14 @@
             return False
         if self.is_reader():
             return True
-        silent_seconds = self._read_clock() - self._answered_at()
-        return max(age_seconds, silent_seconds) > FALLBACK_SECONDS
+        unanswered_seconds = self._read_clock() - self._answered_at()
+        return max(age_seconds, unanswered_seconds) > FALLBACK_SECONDS
 
     def _is_past_grace(self) -> bool:
         if not self._is_weak:
             return True
-        age_seconds = self._read_clock() - self._started_seconds
-        return age_seconds >= self._grace_seconds()
+        uptime_seconds = self._read_clock() - self._started_seconds
+        return uptime_seconds >= self._grace_seconds()
 
     def _grace_seconds(self) -> float:
         """Return how long this host waits for data from readers after its start."""
--- a/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
+++ b/packages/rampwick-router/src/rampwick_router/control/_target_sources.py
@@ -35,8 +35,8 @@
 log = ComponentLogger("steward")
 
 
-class TargetReader(Protocol):
-    """Reads weights targets from the store."""
+class TargetDecoder(Protocol):
+    """Decodes weights targets from stored objects."""
 
     @property
     def targets_prefix(self) -> str:
@@ -52,25 +52,25 @@
     def __init__(
         self,
         api: ObjectApi,
-        reader: TargetReader,
+        decoder: TargetDecoder,
         scheduler: SchedulerTask,
         wake: Callable[[], None],
-        is_wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         read_clock: Callable[[], float],
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
-        self._reader = reader
+        self._decoder = decoder
         self._scheduler = scheduler
         self._wake = wake
         self._watcher = KindWatcher(
             api,
-            reader.targets_prefix,
+            decoder.targets_prefix,
             wait_seconds=TARGETS_WAIT_SECONDS,
-            is_wanted=is_wanted,
+            must_read=must_read,
             on_state=self._apply_state,
             on_problem=_log_problem,
             read_clock=read_clock,
-            draw=draw,
+            rng=rng,
         )
 
     async def run(self) -> None:
@@ -81,7 +81,7 @@
         targets = []
         for stored in state.objects.values():
             try:
-                targets.append(self._reader.read_target(stored))
+                targets.append(self._decoder.read_target(stored))
             except RampwickError as error:
                 log.problem(
                     "invalid weights target", target=stored.key, error=str(error)
@@ -102,21 +102,21 @@
         self,
         api: ObjectApi,
         scheduler: SchedulerTask,
-        is_wanted: Callable[[], bool],
+        must_read: Callable[[], bool],
         wake: Callable[[], None],
         read_clock: Callable[[], float],
     ) -> None:
         self._read_clock = read_clock
         self._store = WeightsStore(api)
         self._scheduler = scheduler
-        self._is_wanted = is_wanted
+        self._must_read = must_read
         self._wake = wake
 
     async def run(self) -> None:
         """Read the targets periodically while this host needs them, until cancelled."""
         is_after_failure = False
         while True:
-            if self._is_wanted():
+            if self._must_read():
                 started_seconds = self._read_clock()
                 try:
                     targets = await self._store.load()
--- a/packages/rampwick-router/src/rampwick_router/entry/_context.py
+++ b/packages/rampwick-router/src/rampwick_router/entry/_context.py
@@ -20,7 +20,7 @@
 from .._metrics import Metrics
 from .._scheduler_task import SchedulerTask
 from ..control import ConfigurationTask
-from ..upstream import ChannelPool, StallDetector, UpstreamClient
+from ..upstream import ConnectionPool, StallDetector, UpstreamClient
 from ._call import hash_key
 from ._claims import ClaimTask
 from ._stream_tokens import StreamTokens
@@ -65,17 +65,17 @@
     upstreams: UpstreamClient
     claims: ClaimTask
     metrics: Metrics
-    tokens: StreamTokens
+    stream_tokens: StreamTokens
     ids: RequestIdGenerator
     lifecycle: Lifecycle
     read_clock: Callable[[], float]
     configuration: ConfigurationTask
-    channels: ChannelPool
+    connection_pool: ConnectionPool
     dialects: Dialects
     salts: SaltTable
     stall_detector: StallDetector
     #: Recent response times, to decide during a shutdown which requests still fit.
-    pace: SlowAnswerTracker = attrs.field(factory=SlowAnswerTracker)
+    slow_answers: SlowAnswerTracker = attrs.field(factory=SlowAnswerTracker)
 
     def check_access(self, call: RoutedCall) -> Access:
         """Return the access decision of the configuration in force for a request."""
--- a/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_gossip.py
@@ -104,7 +104,7 @@
         self.directory: PeerDirectory | None = None
         self.roles = Roles(own, scheduler, read_clock)
         self.table = self.roles.table
-        self._listener = self.roles.listener
+        self._relay_listener = self.roles.relay_listener
         self._links = PeerLinks(
             own,
             settings.peers,
@@ -171,9 +171,9 @@
         self._links.schedule_reconcile()
 
     def _list_wanted(self) -> list[Member]:
-        self.table.learn(listed_members(self._hosts.host_list))
+        self.table.merge(listed_members(self._hosts.host_list))
         if self.directory is not None:
-            self.table.learn(self.directory.members())
+            self.table.merge(self.directory.members())
         return self.table.wanted_links(self._read_clock())
 
     def _list_seeds(self) -> Iterable[str]:
@@ -201,7 +201,7 @@
         self._add_members([link.peer], link)
 
     def _add_members(self, members: Iterable[Member], link: Link) -> None:
-        added = self.table.learn(members)
+        added = self.table.merge(members)
         if added:
             if self._is_starting:
                 # Later only members seen alive count: some known members have left.
@@ -214,7 +214,7 @@
         now_seconds = self._read_clock()
         if self.table.is_large:
             relays = self.table.relays(self.table.own.hall, now_seconds)
-            if self._listener.is_relay_unresponsive(relays, now_seconds):
+            if self._relay_listener.is_relay_unresponsive(relays, now_seconds):
                 log.problem("relay unresponsive", peer=relays[0].name)
                 self.table.note_unreachable(relays[0].name, now_seconds)
                 self._links.schedule_reconcile()
@@ -234,10 +234,10 @@
 
         They determine which hosts send to which upstream.
         """
-        seen = PeersChanged(self.roles.live_peers(), self.summaries.is_leaving)
-        if seen != self._last_live_peers:
-            self._last_live_peers = seen
-            self._scheduler.post(seen)
+        event = PeersChanged(self.roles.live_peers(), self.summaries.is_leaving)
+        if event != self._last_live_peers:
+            self._last_live_peers = event
+            self._scheduler.post(event)
 
     # Incoming messages.
 
@@ -276,7 +276,7 @@
         if not self.table.is_in_group(peer.hall):
             # Covered by the summary of its relay.
             return
-        self._listener.note_message(peer.name, self._read_clock())
+        self._relay_listener.note_message(peer.name, self._read_clock())
         self._sync.request_missing(link, summary)
         if self.table.is_large and not self.roles.is_relay_candidate:
             # Covered by the relay's fleet summary.
@@ -294,7 +294,7 @@
             return
         now_seconds = self._read_clock()
         relays = self.table.relays(own.hall, now_seconds)
-        report = self._listener.take(peer.name, update, relays, now_seconds)
+        report = self._relay_listener.receive(peer.name, update, relays, now_seconds)
         if report is None:
             return
         self._sync.request_missing(link, update.summary)
--- a/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
+++ b/packages/rampwick-router/src/rampwick_router/peers/_summaries.py
@@ -60,12 +60,12 @@
 
     def add_host(self, summary: Summary) -> None:
         """Add the summary of a host of this hall."""
-        self._hall_aggregator.take(summary)
-        self._fleet_aggregator.take(summary)
+        self._hall_aggregator.add(summary)
+        self._fleet_aggregator.add(summary)
 
     def add_hall(self, summary: Summary) -> None:
         """Add the summary of another hall."""
-        self._fleet_aggregator.take(summary)
+        self._fleet_aggregator.add(summary)
 
     def publish_own(self, *, has_surged: bool = False) -> None:
         """Send this host's summary to every peer that needs it.
@@ -87,7 +87,7 @@
             store_era=self._follower.version.store_era,
         )
         self._own = summary
-        self._roles.listener.note_published(summary, self._read_clock())
+        self._roles.relay_listener.note_published(summary, self._read_clock())
         self._links.broadcast(summary, self._roles.is_recipient)
         self.add_host(summary)
 
--- a/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_cache_reader.py
@@ -26,7 +26,7 @@
 from .._errors import AttemptError
 from .._logs import ComponentLogger
 from .._scheduler_task import SchedulerTask
-from ._channels import ChannelPool
+from ._connection_pool import ConnectionPool
 from ._control import call_upstream
 
 #: Maximum wait of one poll at the cache, and the additional time allowed for the
@@ -132,7 +132,7 @@
         self,
         own: Member,
         scheduler: SchedulerTask,
-        channels: ChannelPool,
+        connection_pool: ConnectionPool,
         dialect: CacheDialect,
         salts: SaltTable,
         notify_peers: Callable[[CacheReported], None],
@@ -140,7 +140,7 @@
     ) -> None:
         self._own = own
         self._scheduler = scheduler
-        self._channels = channels
+        self._connection_pool = connection_pool
         self._dialect = dialect
         self._salts = salts
         self._notify_peers = notify_peers
@@ -241,10 +241,10 @@
     async def _poll(self, source: CacheSource, state: ReadState) -> bool:
         """Poll for the next events; return whether more are likely available."""
         request = self._dialect.events(source.address, state.since, POLL_WAIT_SECONDS)
-        # Use a separate connection pool, so that a waiting poll does not occupy
-        # connections needed by requests.
+        # Polls have their own entry in the connection pool, so that a waiting poll
+        # does not occupy connections needed by requests.
         head, body = await call_upstream(
-            self._channels,
+            self._connection_pool,
             f"{source.name} events",
             source.address,
             request,
@@ -296,12 +296,12 @@
         changes = self._translate(source, events)
         if not changes and not is_reset:
             return
-        seen = CacheReported(source.name, tuple(changes), is_reset)
-        self._scheduler.post(seen)
+        event = CacheReported(source.name, tuple(changes), is_reset)
+        self._scheduler.post(event)
         if backlog is not None and not is_reset:
             backlog.add(changes)
         else:
-            self._notify_peers(seen)
+            self._notify_peers(event)
 
     def _translate(
         self, source: CacheSource, events: CacheEvents
--- a/tests/test_cache_outbox.py
+++ b/tests/test_cache_outbox.py
@@ -66,9 +66,9 @@
     peers: list
     sent: dict = attrs.field(factory=dict)
 
-    def broadcast(self, message, is_for):
+    def broadcast(self, message, is_recipient):
         for peer in self.peers:
-            if is_for(peer):
+            if is_recipient(peer):
                 self.sent.setdefault(peer.name, []).append(message)
 
     def link_to(self, name):
@@ -93,7 +93,7 @@
         ]
         own = next(member for member in members if member.name == own_name)
         table = MemberTable(own)
-        table.learn(members)
+        table.merge(members)
         links = RecordingLinks([member for member in members if member != own])
         self.posted = []
         names = {member.name for member in members} - {own_name}
--- a/tests/test_limited_upstreams.py
+++ b/tests/test_limited_upstreams.py
@@ -130,7 +130,7 @@
                 rates = two.daemon.scheduler.rates
                 applied = rates.observation("lektor-0").requests_per_second
                 self.limit(bench, None)
-                # The next sender gets an answer without a rate.
+                # The next sender gets a response without a rate.
                 for number in range(1000):
                     if rates.observation("lektor-0").requests_per_second is None:
                         break
@@ -182,7 +182,7 @@
 def make_limiter(local_view, rate, at=0.0, alive_ratio=1.0):
     """Return the rate limiter of a host that has the rate of one upstream."""
     rates = RequestRates(StateChangeTracker())
-    rates.take("u", RateObservation("", rate, at, at), "test")
+    rates.record("u", RateObservation("", rate, at, at), "test")
     return UpstreamRateLimiter(rates, local_view, lambda now_seconds: alive_ratio)
 
 
@@ -284,21 +284,21 @@
         upstream = make_upstream()
         self.assertFalse(limiter.may_send(upstream, 0.0))
         self.assertTrue(limiter.may_send(upstream, 1.0))
-        limiter.rates.take("u", RateObservation("", 0.5, 0.95, 1.0), "test")
+        limiter.rates.record("u", RateObservation("", 0.5, 0.95, 1.0), "test")
         for _ in range(int(BURST_COUNT)):
             self.assertTrue(limiter.may_send(upstream, 1.0))
             limiter.note_sent(upstream, 1.0)
         self.assertFalse(limiter.may_send(upstream, 2.9))
-        limiter.rates.take("u", RateObservation("", 10.0, 2.0, 2.9), "test")
+        limiter.rates.record("u", RateObservation("", 10.0, 2.0, 2.9), "test")
         self.assertFalse(limiter.may_send(upstream, 2.9))
         self.assertTrue(limiter.may_send(upstream, 3.0))
-        limiter.rates.take("u", RateObservation("", None, 2.95, 3.0), "test")
+        limiter.rates.record("u", RateObservation("", None, 2.95, 3.0), "test")
         limiter.note_sent(upstream, 3.0)
         self.assertTrue(limiter.may_send(upstream, 3.0))
 
 
 class PropagationTest(TestCase):
-    """A rate in an answer to one host reaches all others, and later joiners."""
+    """A rate in a response to one host reaches all others, and later joiners."""
 
     def setUp(self):
         super().setUp()
@@ -309,9 +309,9 @@
 
     def answer(self, rate, at, sent_at=None):
         sent_at = at if sent_at is None else sent_at
-        self.one.record_answer("u", RateObservation("1", rate, sent_at, at), at)
+        self.one.record_response("u", RateObservation("1", rate, sent_at, at), at)
 
-    def test_a_rate_is_published_at_once_and_retransmitted(self):
+    def test_a_rate_is_broadcast_at_once_and_retransmitted(self):
         self.answer(1.8, 1.0)
         self.assertEqual([True], self.notified)
         self.two.receive_update(self.one.take_update(1.02), 51.0)
@@ -320,7 +320,7 @@
         self.assertEqual(1, len(self.one.take_retransmission(2.0).rates))
         self.assertIs(None, self.one.take_retransmission(1.1 + RETRANSMIT_SECONDS))
 
-    def test_an_unchanged_rate_is_published_again_after_a_while(self):
+    def test_an_unchanged_rate_is_broadcast_again_after_a_while(self):
         self.answer(1.8, 1.0)
         self.one.take_update(1.0)
         self.answer(1.8, 5.0)
@@ -429,7 +429,7 @@
         live = LivePeers(frozenset({"e9"}), frozenset({"e9"}), frozenset({"trnava"}))
         session.do(0.0, PeersChanged(live, is_leaving=True))
         rates = RequestRates(StateChangeTracker())
-        rates.take("lektor-1", RateObservation("one", 1.0, 0.0, 0.0), "test")
+        rates.record("lektor-1", RateObservation("one", 1.0, 0.0, 0.0), "test")
         session.do(0.0, RateLimitUpdateReceived(rates.initial_state(0.0)))
         (refusal,) = session.arrive(0.1, "r0", latency_target_seconds=2.0)
         self.assertEqual("upstreams_at_rate", refusal.reason)
--- a/tests/test_requests_to_leaving_upstreams.py
+++ b/tests/test_requests_to_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""Guards against requests to an upstream that announced its shutdown in an answer."""
+"""Guards against requests to an upstream that announced its shutdown in a response."""
 
 from contextlib import asynccontextmanager
 
@@ -54,7 +54,7 @@
             with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
                     found["a"].scripts = [answer_leaving]
-                    # The store is unavailable, so only the answer announces it.
+                    # The store is unavailable, so only the response announces it.
                     host.store.failure = PlatformUnavailableError("down", step="test")
                     statuses = [
                         (await host.call("/open/1", request_id=f"r{number}")).status
@@ -71,17 +71,17 @@
             with anyio.fail_after(TEST_TIMEOUT_SECONDS):
                 async with run_routed({"labels": ["a", "b"]}) as (host, found):
                     scheduler = host.daemon.scheduler
-                    channels = host.daemon.entry._context.channels
-                    borrow = channels.borrow
+                    connection_pool = host.daemon.entry._context.connection_pool
+                    borrow = connection_pool.borrow
 
                     @asynccontextmanager
                     async def announce_first(upstream, *terms, **options):
-                        async with borrow(upstream, *terms, **options) as channel:
+                        async with borrow(upstream, *terms, **options) as connection:
                             signal = UpstreamSignalled("a", "a", is_leaving=True)
                             scheduler.post(signal)
-                            yield channel
+                            yield connection
 
-                    channels.borrow = announce_first
+                    connection_pool.borrow = announce_first
                     answer = await host.call("/once/1")
                     return answer.status, {
                         name: len(item.requests) for name, item in found.items()
@@ -91,7 +91,7 @@
 
 
 def announce_shutdown(session, at, *names, incarnation="one"):
-    """Have upstreams announce their shutdown in an answer."""
+    """Have upstreams announce their shutdown in a response."""
     for name in names:
         session.do(at, UpstreamSignalled(name, incarnation, is_leaving=True))
 
@@ -124,7 +124,7 @@
             if version == 2:
                 announce_shutdown(session, 1.5, "a", incarnation="")
         upstream = session.scheduler.upstreams.get("a")
-        self.assertTrue(session.scheduler.upstreams.is_leaving(upstream, 4.0))
+        self.assertTrue(session.scheduler.upstreams.is_draining(upstream, 4.0))
 
     def test_next_incarnation_gets_requests(self):
         session = Session(runners=1, slots=8)
@@ -141,7 +141,7 @@
         session.do(1.1, LeavingUpdateReceived(update))
         session.report(2.0, "lektor-1", incarnation="one", slots=8)
         upstreams = session.scheduler.upstreams
-        self.assertTrue(upstreams.is_leaving(upstreams.get("lektor-1"), 2.0))
+        self.assertTrue(upstreams.is_draining(upstreams.get("lektor-1"), 2.0))
 
     def test_closed_connections_of_a_draining_upstream_are_no_crash(self):
         session = Session(runners=1, slots=8)
@@ -218,15 +218,15 @@
         self.one.note(removed, 1.5)
         self.assertEqual([True], self.updates)
         update = self.one.take_update(1.02)
-        self.assertEqual([removed], self.two.receive(update, 1.03))
-        self.assertEqual([], self.two.receive(update, 1.04))
+        self.assertEqual([removed], self.two.receive_update(update, 1.03))
+        self.assertEqual([], self.two.receive_update(update, 1.04))
         self.assertIs(None, self.one.take_update(1.1))
         self.assertEqual(update, self.one.take_retransmission(2.0))
         self.assertIs(None, self.one.take_retransmission(1.1 + RETRANSMIT_SECONDS))
 
     def test_received_announcements_are_sent_to_new_peers_only(self):
         update = LeavingUpdate([LeavingUpstream("a", "1")])
-        self.two.receive(update, 1.0)
+        self.two.receive_update(update, 1.0)
         self.assertEqual([], self.updates)
         self.assertIs(None, self.two.take_update(1.0))
         self.assertEqual(update, self.two.initial_state(1.0))
