--- a/packages/rampwick-policy/src/rampwick_policy/_events.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_events.py
@@ -45,7 +45,7 @@
     service: str = ""
     #: Number of upstreams on which it may run; ``None`` uses the settings.
     max_attempts_count: int | None = None
-    #: Whether another upstream may continue a stream that broke after its first piece.
+    #: Whether another upstream may continue a stream that broke after its first chunk.
     is_resumable: bool = False
     #: Time within which the answer should start; ``None`` if there is no target.
     latency_target_seconds: float | None = None
@@ -69,7 +69,7 @@
 
 @attrs.frozen(repr=False)
 class AttemptDelivered(ReprMixin):
-    """The first piece of the answer is about to be sent to the caller."""
+    """The first chunk of the answer is about to be sent to the caller."""
 
     request_id: str
     attempt_id: str
@@ -83,7 +83,7 @@
     attempt_id: str
     outcome: Outcome
     message: str
-    #: Whether the caller has received pieces of the answer.
+    #: Whether the caller has received chunks of the answer.
     has_delivered: bool = False
     #: Retry delay requested by the upstream; ``None`` if it requested none.
     retry_after_seconds: float | None = None
--- a/packages/rampwick-policy/src/rampwick_policy/_refusals.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_refusals.py
@@ -25,7 +25,7 @@
 #: Time for which a request may wait without a usable upstream or retry budget.
 MAX_BLOCKED_SECONDS = 2.0
 
-#: The same for a stream that broke after its first piece. Its caller accepts a longer
+#: The same for a stream that broke after its first chunk. Its caller accepts a longer
 #: pause, about the time that an upstream needs to restart, and then retries itself.
 #: Without a bound callers had to wait until their deadlines, 4 s and more.
 MAX_BLOCKED_STREAM_SECONDS = 4.0
--- a/packages/rampwick-policy/src/rampwick_policy/_request.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_request.py
@@ -118,7 +118,7 @@
         return True
 
     def deliver(self, attempt_id: str) -> bool:
-        """Record that a first piece is sent to the caller.
+        """Record that a first chunk is sent to the caller.
 
         No other attempt follows, unless the request is resumable.
         """
