--- a/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_crash_attribution.py
@@ -30,13 +30,13 @@
 
 #: Retention of crashes of a request that is neither answered nor sent again. Long,
 #: because callers retry when their users come back.
-SUSPECT_SECONDS = 900.0
+SUSPECT_RETENTION_SECONDS = 900.0
 
 #: Retention of quarantined requests, counted from the last time that one arrived.
-QUARANTINE_SECONDS = 3600.0
+QUARANTINE_RETENTION_SECONDS = 3600.0
 
-#: Maximum number of tracked requests. Each takes about 660 bytes (traced with one crash
-#: each and 20 requests per incarnation). Beyond it, the workspace with the most tracked
+#: Maximum number of tracked requests. Each takes about 660 bytes, with one crash each
+#: and 20 requests per incarnation. Beyond it, the workspace with the most tracked
 #: requests loses its oldest.
 MAX_SUSPECT_REQUESTS_COUNT = 4096
 
@@ -94,7 +94,11 @@
     def is_expired(self, now_seconds: float) -> bool:
         """Return whether its retention time has passed since it was last seen."""
         is_quarantined = self.quarantined_at_seconds is not None
-        retention_seconds = QUARANTINE_SECONDS if is_quarantined else SUSPECT_SECONDS
+        retention_seconds = (
+            QUARANTINE_RETENTION_SECONDS
+            if is_quarantined
+            else SUSPECT_RETENTION_SECONDS
+        )
         return now_seconds - self.seen_at_seconds > retention_seconds
 
 
@@ -342,7 +346,7 @@
         for suspect in list(self._requests.values()):
             if suspect.is_expired(now_seconds):
                 self._drop(suspect)
-        oldest_seconds = now_seconds - SUSPECT_SECONDS
+        oldest_seconds = now_seconds - SUSPECT_RETENTION_SECONDS
         for times in (self._live_at, self._cleared_at):
             for key in [key for key, at in times.items() if at < oldest_seconds]:
                 del times[key]  # type: ignore[arg-type]
--- a/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_drain_admission.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self._worst_ratio = 0.0
-        self._at_seconds = 0.0
+        self._updated_at_seconds = 0.0
 
     def note(
         self,
@@ -40,14 +40,14 @@
         ratio = answer_seconds / estimated_seconds
         if ratio > self._decayed_ratio(now_seconds):
             self._worst_ratio = ratio
-            self._at_seconds = now_seconds
+            self._updated_at_seconds = now_seconds
 
     def worst_ratio(self, now_seconds: float) -> float:
         """Return the multiple of the estimate that even slow answers stay within."""
         return max(MIN_WORST_RATIO, self._decayed_ratio(now_seconds))
 
     def _decayed_ratio(self, now_seconds: float) -> float:
-        elapsed_seconds = now_seconds - self._at_seconds
+        elapsed_seconds = now_seconds - self._updated_at_seconds
         return self._worst_ratio * math.exp(-elapsed_seconds / WORST_DECAY_SECONDS)
 
 
--- a/packages/rampwick-policy/src/rampwick_policy/_health.py
+++ b/packages/rampwick-policy/src/rampwick_policy/_health.py
@@ -11,9 +11,9 @@
 
 from rampwick_schema import ReprMixin
 
-#: Minimum and maximum time without new work after a failure.
-MIN_PAUSE_SECONDS = 0.25
-MAX_PAUSE_SECONDS = 8.0
+#: Minimum and maximum backoff: the time without new work after a failure.
+MIN_BACKOFF_SECONDS = 0.25
+MAX_BACKOFF_SECONDS = 8.0
 
 #: Maximum count of consecutive failures.
 MAX_COUNTED_FAILURES = 16
@@ -34,7 +34,7 @@
     ramp_start_ratio: float
     ramp_seconds: float
     state: HealthState = HealthState.UP
-    pause_seconds: float = MIN_PAUSE_SECONDS
+    backoff_seconds: float = MIN_BACKOFF_SECONDS
     #: When the current state began; while down, the time of the last failure.
     since_seconds: float = 0.0
     #: When it last changed to down.
@@ -44,23 +44,23 @@
     failures_count: int = 0
 
     def note_failure(self, error: str, now_seconds: float) -> None:
-        """Mark the upstream as down; double the pause if it failed during its ramp."""
+        """Mark the upstream as down; double the backoff after a failure on the ramp."""
         since_return_seconds = now_seconds - self.since_seconds
         self.failures_count = min(self.failures_count + 1, MAX_COUNTED_FAILURES)
         if self.state is not HealthState.DOWN:
             self.down_at_seconds = now_seconds
             is_repeated = since_return_seconds < self.ramp_seconds and self.last_error
-            self.pause_seconds = (
-                min(MAX_PAUSE_SECONDS, self.pause_seconds * 2)
+            self.backoff_seconds = (
+                min(MAX_BACKOFF_SECONDS, self.backoff_seconds * 2)
                 if is_repeated
-                else MIN_PAUSE_SECONDS
+                else MIN_BACKOFF_SECONDS
             )
         self.state = HealthState.DOWN
         self.since_seconds = now_seconds
         self.last_error = error
 
     def note_probe(self, is_same_generation: bool, now_seconds: float) -> None:
-        """Readmit the upstream if a probe was answered after the pause.
+        """Readmit the upstream if a probe was answered after the backoff.
 
         If the generation is unchanged, only a connection broke and the cache is warm:
         all slots are available at once. A new generation gets them on the ramp.
@@ -68,7 +68,7 @@
         self.failures_count = 0
         if self.state is not HealthState.DOWN:
             return
-        if now_seconds - self.since_seconds < self.pause_seconds:
+        if now_seconds - self.since_seconds < self.backoff_seconds:
             return
         self.state = HealthState.UP if is_same_generation else HealthState.RAMPING
         self.since_seconds = now_seconds
--- a/packages/rampwick-router/src/rampwick_router/upstream/_client.py
+++ b/packages/rampwick-router/src/rampwick_router/upstream/_client.py
@@ -220,7 +220,7 @@
 
 
 class UpstreamStream:
-    """A response in progress."""
+    """The events of a streamed response in progress."""
 
     def __init__(
         self, response: UpstreamResponse, upstream: str, max_event_bytes: int
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -298,17 +298,17 @@
         health.note_probe(True, 10.3)
         self.assertEqual(1.0, health.admit_ratio(10.3))
 
-    def test_consecutive_failures_increase_the_pause(self):
+    def test_consecutive_failures_increase_the_backoff(self):
         health = Health(0.05, 6.0)
-        now_seconds, pauses = 0.0, []
+        now_seconds, backoffs = 0.0, []
         for _ in range(8):
             health.note_failure("reset", now_seconds)
-            pauses.append(health.pause_seconds)
-            now_seconds += health.pause_seconds
+            backoffs.append(health.backoff_seconds)
+            now_seconds += health.backoff_seconds
             health.note_probe(True, now_seconds)
             now_seconds += 0.1
-        self.assertEqual(sorted(pauses), pauses)
-        self.assertEqual(8.0, pauses[-1])
+        self.assertEqual(sorted(backoffs), backoffs)
+        self.assertEqual(8.0, backoffs[-1])
 
 
 def summary(sequence, **fields):
